--- a/src/main/java/dappleseam/clients/Owed.java
+++ b/src/main/java/dappleseam/clients/Owed.java
@@ -98,7 +98,7 @@
             headWritten = true;
             out.put("$" + transfer.length + "\r\n");
         }
-        transfer.takeTo(out, Math.max(0, MOST_PUT_OUT - out.size()));
+        transfer.moveTo(out, Math.max(0, MOST_PUT_OUT - out.size()));
         if (!transfer.isDone()) {
             return false;
         }
@@ -109,7 +109,7 @@
 
     /** What has gone out of a long value cannot be followed by the rest. */
     boolean isBroken() {
-        return transfer != null && transfer.isBroken();
+        return transfer != null && transfer.isFailed();
     }
 
     void release() {
--- a/src/main/java/dappleseam/drill/Exchange.java
+++ b/src/main/java/dappleseam/drill/Exchange.java
@@ -1,7 +1,7 @@
 package dappleseam.drill;
 
-import dappleseam.router.Asking;
-import dappleseam.router.Deployment;
+import dappleseam.router.QueryRequest;
+import dappleseam.router.RouterSettings;
 import dappleseam.router.Key;
 import dappleseam.router.Member;
 import dappleseam.router.NodeId;
@@ -9,8 +9,8 @@
 import dappleseam.router.QueryId;
 import dappleseam.router.Router;
 import dappleseam.router.TimerId;
-import dappleseam.site.FaultySettingException;
-import dappleseam.site.SiteReader;
+import dappleseam.site.InvalidConfigException;
+import dappleseam.site.ConfigReader;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -32,7 +32,7 @@
         Outcome.CANCELLED, Outcome.UNSENT
     };
 
-    private final SiteReader sites = new SiteReader();
+    private final ConfigReader sites = new ConfigReader();
     private final Map<Integer, Router> routers = new HashMap<>();
     private final Reply reply = new Reply();
 
@@ -93,10 +93,10 @@
         long seed = in.getLong();
         byte[] settings = bytes(in, in.getInt());
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        Deployment deployment;
+        RouterSettings deployment;
         try {
-            deployment = sites.readSite(settings).deployment();
-        } catch (FaultySettingException e) {
+            deployment = sites.readSettings(settings).routerSettings();
+        } catch (InvalidConfigException e) {
             throw new MalformedFrameException(e.getMessage());
         }
         guarded(instance, () ->
@@ -117,7 +117,7 @@
                 return switch (mode) {
                     case 1 -> () -> router.listFailed(nowMs);
                     case 3 -> () -> router.listChanged(nowMs, members);
-                    default -> () -> router.listGiven(nowMs, members, mode == 2);
+                    default -> () -> router.listReplaced(nowMs, members, mode == 2);
                 };
             }
             case 3: {
@@ -129,7 +129,7 @@
                 double workMs = in.getDouble() * MS_PER_S;
                 in.getFloat();
                 int flags = in.get();
-                Asking asking = new Asking(grade, new Key(key), leftMs, (flags & HINT_BIT) != 0 ? workMs : 0,
+                QueryRequest asking = new QueryRequest(grade, new Key(key), leftMs, (flags & HINT_BIT) != 0 ? workMs : 0,
                         (flags & WRITE_BIT) != 0, (flags & AGAIN_BIT) != 0);
                 return () -> router.query(nowMs, query, asking);
             }
@@ -155,7 +155,7 @@
             }
             case 7: {
                 TimerId timer = new TimerId(in.getInt());
-                return () -> router.woken(nowMs, timer);
+                return () -> router.timerFired(nowMs, timer);
             }
             case 8: {
                 node(in);
--- a/src/main/java/dappleseam/drill/Reply.java
+++ b/src/main/java/dappleseam/drill/Reply.java
@@ -99,7 +99,7 @@
         }
 
         @Override
-        public void wake(TimerId timer, double delayMs) {
+        public void startTimer(TimerId timer, double delayMs) {
             start(2, instance, 12).putDouble(delayMs * S_PER_MS).putInt(timer.value());
         }
 
--- a/src/main/java/dappleseam/list/ListFile.java
+++ b/src/main/java/dappleseam/list/ListFile.java
@@ -36,7 +36,7 @@
             json.writeStringField("model", entry.machine());
             json.writeNumberField("pod_group", entry.member().cell());
             json.writeStringField("state", entry.member().state().name().toLowerCase(Locale.ROOT));
-            json.writeNumberField("capacity_hint", entry.member().scale());
+            json.writeNumberField("capacity_hint", entry.member().weight());
             json.writeNumberField("boot_ms", entry.member().startedAtMs());
             json.writeEndObject();
         }
--- a/src/main/java/dappleseam/list/StartTimes.java
+++ b/src/main/java/dappleseam/list/StartTimes.java
@@ -52,7 +52,7 @@
         List<Member> members = new ArrayList<>(list.entries().size());
         for (Listed entry : list.entries()) {
             Member member = entry.member();
-            members.add(member.startedAt(startedAtMs(member, nowMs, age)));
+            members.add(member.withStartedAt(startedAtMs(member, nowMs, age)));
         }
         return members;
     }
--- a/src/main/java/dappleseam/origin/Origin.java
+++ b/src/main/java/dappleseam/origin/Origin.java
@@ -2,11 +2,11 @@
 
 import dappleseam.query.Backend;
 import dappleseam.query.Command;
-import dappleseam.query.Connections;
-import dappleseam.query.Ending;
+import dappleseam.query.ConnectionPolicy;
+import dappleseam.query.ExecutionResult;
 import dappleseam.query.Execution;
-import dappleseam.query.Inflow;
-import dappleseam.query.Reached;
+import dappleseam.query.LargeValueReceiver;
+import dappleseam.query.WriteProgress;
 import dappleseam.query.Slots;
 import dappleseam.router.Outcome;
 import dappleseam.wire.Chain;
@@ -26,11 +26,11 @@
 
     private final Loop loop;
     private final InetSocketAddress endpoint;
-    private Connections limits;
+    private ConnectionPolicy limits;
     private final Slots<Connection> open = new Slots<>();
     private boolean retired;
 
-    public Origin(Loop loop, InetSocketAddress endpoint, Connections limits) {
+    public Origin(Loop loop, InetSocketAddress endpoint, ConnectionPolicy limits) {
         this.loop = loop;
         this.endpoint = endpoint;
         this.limits = limits;
@@ -49,22 +49,22 @@
     }
 
     @Override
-    public Reached giveUp(Execution execution) {
+    public WriteProgress stopWaiting(Execution execution) {
         for (Connection c : open.all()) {
             if (c.current == execution) {
-                Reached reached = c.reached();
+                WriteProgress reached = c.reached();
                 c.current = null;
                 c.close();
                 return reached;
             }
         }
-        return Reached.NOT_WHOLE;
+        return WriteProgress.INCOMPLETE;
     }
 
     @Override
-    public boolean takeBack(Execution execution) {
+    public boolean cancelUnsent(Execution execution) {
         for (Connection c : open.all()) {
-            if (c.current == execution && c.reached() == Reached.NOT_WHOLE) {
+            if (c.current == execution && c.reached() == WriteProgress.INCOMPLETE) {
                 c.current = null;
                 c.close();
                 return true;
@@ -74,7 +74,7 @@
     }
 
     @Override
-    public void limit(Connections newLimits) {
+    public void setPolicy(ConnectionPolicy newLimits) {
         limits = newLimits;
     }
 
@@ -88,11 +88,11 @@
     }
 
     @Override
-    public void endWaiting() {
+    public void failWaiting() {
         for (Connection c : open.all()) {
             if (c.link == null || c.current != null && c.link.written() <= c.beginsAt) {
                 c.close();
-                c.end(Ending.broken(Reached.NOT_WHOLE, "the origin drains or is gone"));
+                c.end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, "the origin drains or is gone"));
             }
         }
     }
@@ -101,11 +101,11 @@
     public void retire() {
         retired = true;
         closeIdle();
-        endWaiting();
+        failWaiting();
     }
 
-    private final class Connection implements Inflow.Connection {
-        private final Inflow inflow = new Inflow(loop, this);
+    private final class Connection implements LargeValueReceiver.Connection {
+        private final LargeValueReceiver inflow = new LargeValueReceiver(loop, this);
         private final HttpReader reader = new HttpReader(loop.pool(), Large.LONGEST, inflow);
         /** Bytes put out of the value that goes out. */
         private long put;
@@ -143,12 +143,12 @@
         /** Stands idle for the next query, or until the origin would close it. */
         private void rest() {
             idleSince = loop.nowMs();
-            closing = loop.at(loop.nowMs() + limits.retireMs(), this::close);
+            closing = loop.at(loop.nowMs() + limits.idleTimeoutMs(), this::close);
         }
 
         private void failed(String cause) {
             open.free(slot);
-            end(Ending.broken(Reached.NOT_WHOLE, cause));
+            end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
         }
 
         void send(Execution e) {
@@ -157,7 +157,7 @@
             beginsAt = link.queued();
             endsAt = Long.MAX_VALUE;
             try {
-                write(e, Math.max(1, Math.round(e.waitUntil - loop.nowMs())), link.out());
+                write(e, Math.max(1, Math.round(e.deadlineMs - loop.nowMs())), link.out());
                 put = 0;
                 putValue();
             } catch (RuntimeException fault) { // half a head must not be followed by another
@@ -179,13 +179,13 @@
         private static void write(Execution e, long waitMs, Chain to) {
             Command command = e.command;
             to.put((command.isWrite() ? "PUT /" : "GET /") + command.key() + " HTTP/1.1\r\nHost: origin\r\n"
-                    + "X-Correlation-Id: " + command.id() + "\r\nX-Facts: " + command.factsWaiting(waitMs) + "\r\n"
+                    + "X-Correlation-Id: " + command.id() + "\r\nX-Facts: " + command.factsWithTimeout(waitMs) + "\r\n"
                     + (command.isWrite() ? "Content-Length: " + command.value().size() + "\r\n\r\n" : "\r\n"));
         }
 
         @Override
         public void drained() {
-            if (current != null && reached() == Reached.WHOLE) {
+            if (current != null && reached() == WriteProgress.COMPLETE) {
                 current.written();
             } else if (current != null && endsAt == Long.MAX_VALUE) {
                 try {
@@ -199,7 +199,7 @@
         }
 
         @Override
-        public Execution begins() {
+        public Execution answeringExecution() {
             return current;
         }
 
@@ -214,18 +214,18 @@
             close();
         }
 
-        Reached reached() {
-            return link != null && link.written() >= endsAt ? Reached.WHOLE : Reached.NOT_WHOLE;
+        WriteProgress reached() {
+            return link != null && link.written() >= endsAt ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
         }
 
         @Override
         public void received(ByteBuffer bytes) {
             Progress progress = reader.read(bytes);
             if (progress == Progress.BAD || current == null) {
-                boolean whole = reached() == Reached.WHOLE;
+                boolean whole = reached() == WriteProgress.COMPLETE;
                 close();
-                end(whole ? Ending.erred("not an answer in HTTP")
-                        : Ending.broken(Reached.NOT_WHOLE, "an answer ahead of its query"));
+                end(whole ? ExecutionResult.erred("not an answer in HTTP")
+                        : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, "an answer ahead of its query"));
             } else if (progress == Progress.DONE) {
                 answered(!bytes.hasRemaining());
             }
@@ -234,7 +234,7 @@
         /** Guards the next query against what came behind the last answer, or an end nobody has read yet. */
         boolean isClean() {
             idleMs = loop.nowMs() - idleSince;
-            if (link.isQuiet() && limits.reuse().isLikely(idleMs)) {
+            if (link.isQuiet() && limits.reuseStats().mayReuse(idleMs)) {
                 return true;
             }
             close();
@@ -246,12 +246,12 @@
             boolean completed = reader.status() == 200;
             boolean neverRan = reader.header("x-unprocessed").equals("1")
                     && (reader.status() == 503 || reader.status() == 504);
-            Ending failure = neverRan ? Ending.of(Outcome.FULL) : Ending.erred("status " + reader.status());
+            ExecutionResult failure = neverRan ? ExecutionResult.of(Outcome.FULL) : ExecutionResult.erred("status " + reader.status());
             boolean staysOpen = clean && reader.staysOpen() && !retired && endsAt != Long.MAX_VALUE;
             Chain body = reader.takeBody();
             Execution done = current;
             current = null;
-            inflow.whole();
+            inflow.complete();
             toldOfReuse(false);
             if (staysOpen) {
                 rest();
@@ -261,12 +261,12 @@
             if (!completed) {
                 body.release();
             }
-            done.end(completed ? Ending.completed(body) : failure);
+            done.end(completed ? ExecutionResult.completed(body) : failure);
         }
 
         private void toldOfReuse(boolean broke) {
             if (idleMs >= 0) {
-                limits.reuse().told(idleMs, broke);
+                limits.reuseStats().recordReuse(idleMs, broke);
                 idleMs = -1;
             }
         }
@@ -283,12 +283,12 @@
 
         @Override
         public void ended(String cause) {
-            Reached reached = reached();
+            WriteProgress reached = reached();
             if (current != null) {
                 toldOfReuse(true);
             }
             close();
-            end(Ending.broken(reached, cause));
+            end(ExecutionResult.connectionFailed(reached, cause));
         }
 
         void close() {
@@ -299,10 +299,10 @@
             if (link != null) {
                 link.close();
             }
-            inflow.broken();
+            inflow.fail();
         }
 
-        private void end(Ending ending) {
+        private void end(ExecutionResult ending) {
             if (current != null) {
                 Execution e = current;
                 current = null;
--- a/src/main/java/dappleseam/proxy/FleetLookout.java
+++ b/src/main/java/dappleseam/proxy/FleetLookout.java
@@ -8,7 +8,7 @@
 import dappleseam.fleet.share.Portion;
 import dappleseam.fleet.share.Said;
 import dappleseam.fleet.share.Seen;
-import dappleseam.router.Learnt;
+import dappleseam.router.NodeHealth;
 import dappleseam.router.NodeId;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -36,7 +36,7 @@
     /** By how much a place has to be another to be told: of a hundred proxies, a fifth of one. */
     private static final double PLACE_NEWS = 0.002;
 
-    private final Consumer<List<Learnt>> orders;
+    private final Consumer<List<NodeHealth>> orders;
     private final Whole whole;
     private final Executor loop;
     private final DoubleSupplier nowMs;
@@ -47,7 +47,7 @@
     /** Caches of which an execution had no answer, and that have not answered since. */
     private final Map<NodeId, Double> struckAt = new HashMap<>();
     private double usualMs;
-    private Map<NodeId, Learnt> learnt = Map.of();
+    private Map<NodeId, NodeHealth> learnt = Map.of();
     private Map<NodeId, Double> startedAt = Map.of();
     private double lookedAt = Double.NaN;
     private long taken;
@@ -65,7 +65,7 @@
     private record Told(double share, double place, double atMs) {}
 
     /** {@code orders}: the router's, on the I/O thread, which {@code loop} runs things on, by its clock. */
-    FleetLookout(long seed, Consumer<List<Learnt>> orders, Whole whole, Executor loop, DoubleSupplier nowMs) {
+    FleetLookout(long seed, Consumer<List<NodeHealth>> orders, Whole whole, Executor loop, DoubleSupplier nowMs) {
         hearsay = new Hearsay(new SplittableRandom(seed));
         this.orders = orders;
         this.whole = whole;
@@ -95,8 +95,8 @@
     }
 
     @Override
-    public void look(double nowMs, List<Learnt> known, Map<NodeId, Double> caches) {
-        Map<NodeId, Learnt> now = new HashMap<>();
+    public void look(double nowMs, List<NodeHealth> known, Map<NodeId, Double> caches) {
+        Map<NodeId, NodeHealth> now = new HashMap<>();
         known.forEach(one -> now.put(one.node(), one));
         learnt = now;
         caches.forEach((node, started) -> {
@@ -142,8 +142,8 @@
     }
 
     private double until(NodeId node) {
-        Learnt one = learnt.get(node);
-        return one == null || one.startedAtMs() != startedAt.getOrDefault(node, Double.NaN) ? 0 : one.asideUntilMs();
+        NodeHealth one = learnt.get(node);
+        return one == null || one.startedAtMs() != startedAt.getOrDefault(node, Double.NaN) ? 0 : one.ejectedUntilMs();
     }
 
     @Override
@@ -165,11 +165,11 @@
         }
         Map<NodeId, Held> caches = new HashMap<>();
         startedAt.forEach((node, started) -> caches.put(node, new Held(started, until(node), heardAt.getOrDefault(node, Double.NEGATIVE_INFINITY))));
-        List<Learnt> told = new ArrayList<>();
+        List<NodeHealth> told = new ArrayList<>();
         for (Order order : hearsay.decide(nowMs, words, caches)) {
-            Learnt before = learnt.get(order.node());
-            Learnt one = before == null ? new Learnt(order.node(), order.startedAtMs(), order.asideUntilMs(), 0, 0, 0)
-                    : new Learnt(order.node(), order.startedAtMs(), order.asideUntilMs(), before.busyUntilMs(), before.idleScale(), before.shed());
+            NodeHealth before = learnt.get(order.node());
+            NodeHealth one = before == null ? new NodeHealth(order.node(), order.startedAtMs(), order.asideUntilMs(), 0, 0, 0)
+                    : new NodeHealth(order.node(), order.startedAtMs(), order.asideUntilMs(), before.busyUntilMs(), before.idleWeight(), before.shedShare());
             told.add(one);
         }
         if (!told.isEmpty()) {
--- a/src/main/java/dappleseam/proxy/InFleet.java
+++ b/src/main/java/dappleseam/proxy/InFleet.java
@@ -14,8 +14,8 @@
 import dappleseam.fleet.share.Said;
 import dappleseam.fleet.share.Seen;
 import dappleseam.list.NodeList;
-import dappleseam.site.FleetFileReader;
-import dappleseam.site.Post;
+import dappleseam.site.FleetConfigReader;
+import dappleseam.site.ProxyConfig;
 import dappleseam.wire.Loop;
 import java.io.IOException;
 import java.lang.System.Logger;
@@ -37,7 +37,7 @@
     private static final double NANOS_PER_MS = 1e6;
 
     private final Path file;
-    private final Post post;
+    private final ProxyConfig post;
     private final PeerSocket socket;
     private volatile FleetLookout lookout;
     private final boolean isAsked;
@@ -47,14 +47,14 @@
      * Checks the file; nothing runs before {@link #start}. {@code left}: what one process of this proxy leaves for the next; {@code last}: the list
      * as this proxy last had it, null before the first, for any thread.
      */
-    InFleet(Path file, Post post, Path left, Supplier<NodeList> last) throws IOException {
+    InFleet(Path file, ProxyConfig post, Path left, Supplier<NodeList> last) throws IOException {
         this.file = file;
         this.post = post;
         Identity identity = read();
         store = identity.listStore() == null ? null : identity.listStore().startsWith("http:") ? new HttpStore(URI.create(identity.listStore()))
                 : new FolderStore(Path.of(identity.listStore()));
         isAsked = identity.choices().any();
-        socket = new PeerSocket(identity, Math.max(Bulletin.NOWHERE, Math.min(Bulletin.LAST_LOCATION, post.site().deployment().zone())), post.seed(), left, store == null ? List.of() : List.of(new KeepList(last, store)), new Relay());
+        socket = new PeerSocket(identity, Math.max(Bulletin.NOWHERE, Math.min(Bulletin.LAST_LOCATION, post.settings().routerSettings().zone())), post.seed(), left, store == null ? List.of() : List.of(new KeepList(last, store)), new Relay());
     }
 
     /** What the fleet's thread asks for, also before there is a proxy. */
@@ -94,19 +94,19 @@
     }
 
     /** Guards a start while the list service is down: the fleet's last known list, where it is newer than this proxy's own, drains included. */
-    Post withKept(Post told) {
+    ProxyConfig withKept(ProxyConfig told) {
         if (store == null) {
             return told;
         }
         try {
             ListStore.Stored kept = store.read();
-            long version = told.known().path("rev").asLong(-1);
+            long version = told.knownList().path("rev").asLong(-1);
             double age = System.currentTimeMillis() - kept.writtenMs();
             if (age > OLDEST_MS) {
                 LOG.log(Level.INFO, "the fleet''s last list is not taken: written {0} s ago", Math.round(age / MS_PER_S));
             } else if (kept.list().path("rev").asLong() > version) {
                 LOG.log(Level.INFO, "the fleet''s last list is taken at version {0}, the file had {1}", kept.list().path("rev").asLong(), version);
-                return told.withKnown(kept.list());
+                return told.withKnownList(kept.list());
             }
         } catch (IOException | RuntimeException e) { // it was worth a try
             LOG.log(Level.INFO, "the fleet''s last list is not taken: {0}", e.toString());
@@ -119,7 +119,7 @@
     }
 
     private Identity read() throws IOException {
-        return FleetFileReader.read(file, post.name(), (int) post.site().deployment().proxies());
+        return FleetConfigReader.read(file, post.name(), (int) post.settings().routerSettings().proxyCount());
     }
 
     /** The file as it is now, checked; running it takes it into force. */
--- a/src/main/java/dappleseam/proxy/KillDelay.java
+++ b/src/main/java/dappleseam/proxy/KillDelay.java
@@ -1,6 +1,6 @@
 package dappleseam.proxy;
 
-import dappleseam.router.Deployment;
+import dappleseam.router.RouterSettings;
 import dappleseam.router.ServiceGrade;
 import java.util.ArrayDeque;
 
@@ -19,16 +19,16 @@
     private final ArrayDeque<Replaced> before = new ArrayDeque<>();
     private double delayMs;
 
-    KillDelay(Deployment deployment) {
+    KillDelay(RouterSettings deployment) {
         delayMs = delayMs(deployment);
     }
 
-    static double delayMs(Deployment deployment) {
+    static double delayMs(RouterSettings deployment) {
         double longest = deployment.grades().stream().mapToDouble(ServiceGrade::timeoutMs).max().orElseThrow();
         return Math.min(LONGEST_WAIT_MS, longest) + KILL_MORE_MS;
     }
 
-    synchronized void changed(Deployment deployment, double nowMs) {
+    synchronized void changed(RouterSettings deployment, double nowMs) {
         forget(nowMs);
         before.add(new Replaced(delayMs, nowMs));
         delayMs = delayMs(deployment);
--- a/src/main/java/dappleseam/proxy/LearntFile.java
+++ b/src/main/java/dappleseam/proxy/LearntFile.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
 import dappleseam.list.SealedFile;
-import dappleseam.router.Learnt;
+import dappleseam.router.NodeHealth;
 import dappleseam.router.NodeId;
-import dappleseam.site.Site;
+import dappleseam.site.Settings;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -25,23 +25,23 @@
     private LearntFile() {}
 
     /** {@code nowMs} and the times in it are of the machine's monotonic clock, which the next process has, too; starts are as the list tells them. */
-    static void write(Path file, Site site, double nowMs, List<Learnt> learnt) throws IOException {
+    static void write(Path file, Settings site, double nowMs, List<NodeHealth> learnt) throws IOException {
         SealedFile.write(file, VERSION, json -> write(json, site, nowMs, learnt));
     }
 
-    private static void write(JsonGenerator json, Site site, double nowMs, List<Learnt> learnt) throws IOException {
+    private static void write(JsonGenerator json, Settings site, double nowMs, List<NodeHealth> learnt) throws IOException {
         json.writeStartObject();
         json.writeStringField("deployment", deployment(site));
         json.writeNumberField("at", nowMs);
         json.writeArrayFieldStart("nodes");
-        for (Learnt one : learnt.subList(0, Math.min(MOST, learnt.size()))) {
+        for (NodeHealth one : learnt.subList(0, Math.min(MOST, learnt.size()))) {
             json.writeStartObject();
             json.writeStringField("node", Long.toHexString(one.node().value()));
             json.writeNumberField("started", one.startedAtMs());
-            json.writeNumberField("aside", one.asideUntilMs());
+            json.writeNumberField("aside", one.ejectedUntilMs());
             json.writeNumberField("busy", one.busyUntilMs());
-            json.writeNumberField("idle", one.idleScale());
-            json.writeNumberField("shed", one.shed());
+            json.writeNumberField("idle", one.idleWeight());
+            json.writeNumberField("shed", one.shedShare());
             json.writeEndObject();
         }
         json.writeEndArray();
@@ -49,7 +49,7 @@
     }
 
     /** What can be used of it; an exception says why nothing can. An entry that is odd is left out alone. */
-    static List<Learnt> read(Path file, Site site, double nowMs) throws IOException {
+    static List<NodeHealth> read(Path file, Settings site, double nowMs) throws IOException {
         JsonNode root = SealedFile.read(file, VERSION);
         double at = root.path("at").asDouble(Double.NaN);
         if (!root.path("deployment").asText().equals(deployment(site))) {
@@ -58,10 +58,10 @@
         if (!(at <= nowMs && at > nowMs - OLDEST_MS)) {
             throw new IOException(at > nowMs ? "from the future" : "too old");
         }
-        List<Learnt> learnt = new ArrayList<>();
+        List<NodeHealth> learnt = new ArrayList<>();
         for (JsonNode one : root.path("nodes")) {
             if (learnt.size() < MOST && isSound(one)) {
-                learnt.add(new Learnt(new NodeId(Long.parseUnsignedLong(one.path("node").asText(), 16)),
+                learnt.add(new NodeHealth(new NodeId(Long.parseUnsignedLong(one.path("node").asText(), 16)),
                         one.path("started").asDouble(), one.path("aside").asDouble(), one.path("busy").asDouble(),
                         one.path("idle").asDouble(), one.path("shed").asDouble()));
             }
@@ -80,7 +80,7 @@
     }
 
     /** Nodes' ids and scales mean the same as long as machines and locations do; grades and limits may differ. */
-    private static String deployment(Site site) {
-        return String.join(",", site.machines()) + ';' + String.join(",", site.zones());
+    private static String deployment(Settings site) {
+        return String.join(",", site.modelNames()) + ';' + String.join(",", site.zones());
     }
 }
--- a/src/main/java/dappleseam/proxy/Lookout.java
+++ b/src/main/java/dappleseam/proxy/Lookout.java
@@ -1,6 +1,6 @@
 package dappleseam.proxy;
 
-import dappleseam.router.Learnt;
+import dappleseam.router.NodeHealth;
 import dappleseam.router.NodeId;
 import java.util.List;
 import java.util.Map;
@@ -23,7 +23,7 @@
     double listAgainMs(double nowMs, double ownMs);
 
     /** From time to time: what the router has learnt, and all caches in service by the list with their starts. */
-    void look(double nowMs, List<Learnt> learnt, Map<NodeId, Double> startedAtMs);
+    void look(double nowMs, List<NodeHealth> learnt, Map<NodeId, Double> startedAtMs);
 
     /** What the proxy does by what it is told, on the I/O thread. */
     interface Whole {
--- a/src/main/java/dappleseam/proxy/Nodes.java
+++ b/src/main/java/dappleseam/proxy/Nodes.java
@@ -4,8 +4,8 @@
 import dappleseam.list.NodeList;
 import dappleseam.origin.Origin;
 import dappleseam.query.Backend;
-import dappleseam.query.Connections;
-import dappleseam.query.Reuse;
+import dappleseam.query.ConnectionPolicy;
+import dappleseam.query.ReuseStats;
 import dappleseam.router.Member;
 import dappleseam.router.NodeId;
 import dappleseam.servers.CacheNode;
@@ -25,7 +25,7 @@
 
     private final Loop loop;
     private int originModel;
-    private Connections connections;
+    private ConnectionPolicy connections;
     private final Map<NodeId, Peer> peers = new HashMap<>();
     private long version;
     /** Lists heard of so far. */
@@ -55,21 +55,21 @@
         }
     }
 
-    Nodes(Loop loop, int originModel, Connections connections) {
+    Nodes(Loop loop, int originModel, ConnectionPolicy connections) {
         this.loop = loop;
         this.originModel = originModel;
         this.connections = connections;
     }
 
     /** What is allowed from now on. */
-    void limit(int newOriginModel, Connections newConnections) {
+    void limit(int newOriginModel, ConnectionPolicy newConnections) {
         originModel = newOriginModel;
         connections = newConnections;
-        peers.values().forEach(peer -> peer.backend.limit(connections));
+        peers.values().forEach(peer -> peer.backend.setPolicy(connections));
     }
 
-    Reuse reuse() {
-        return connections.reuse();
+    ReuseStats reuse() {
+        return connections.reuseStats();
     }
 
     int count() {
@@ -154,7 +154,7 @@
         Backend backend = stays ? before.backend : backend(m, entry.endpoint());
         peers.put(m.node(), new Peer(entry, backend, lists));
         if (m.state() == Member.State.DRAINING) {
-            backend.endWaiting();
+            backend.failWaiting();
         }
     }
 
--- a/src/main/java/dappleseam/proxy/Proxy.java
+++ b/src/main/java/dappleseam/proxy/Proxy.java
@@ -9,18 +9,18 @@
 import dappleseam.list.StartTimes;
 import dappleseam.query.Backend;
 import dappleseam.query.Command;
-import dappleseam.query.Connections;
-import dappleseam.query.Ending;
+import dappleseam.query.ConnectionPolicy;
+import dappleseam.query.ExecutionResult;
 import dappleseam.query.Execution;
-import dappleseam.query.Reached;
-import dappleseam.query.Reuse;
+import dappleseam.query.WriteProgress;
+import dappleseam.query.ReuseStats;
 import dappleseam.query.Slots;
 import dappleseam.query.Transfer;
-import dappleseam.router.Asking;
-import dappleseam.router.Deployment;
+import dappleseam.router.QueryRequest;
+import dappleseam.router.RouterSettings;
 import dappleseam.router.Host;
 import dappleseam.router.Key;
-import dappleseam.router.Learnt;
+import dappleseam.router.NodeHealth;
 import dappleseam.router.Member;
 import dappleseam.router.NodeId;
 import dappleseam.router.Outcome;
@@ -28,8 +28,8 @@
 import dappleseam.router.Router;
 import dappleseam.router.ServiceGrade;
 import dappleseam.router.TimerId;
-import dappleseam.site.Post;
-import dappleseam.site.Site;
+import dappleseam.site.ProxyConfig;
+import dappleseam.site.Settings;
 import dappleseam.wire.Loop;
 import java.io.IOException;
 import java.lang.System.Logger;
@@ -44,7 +44,7 @@
 import java.util.regex.Pattern;
 
 /** Between the router and the peers: holds the queries taken, and does what the router decides. */
-final class Proxy implements Host, Queries, Execution.Owner, Lookout.Whole {
+final class Proxy implements Host, Queries, Execution.Listener, Lookout.Whole {
     private static final Logger LOG = System.getLogger(Proxy.class.getName());
     /** The answer of an aborted query. */
     private static final String FAILED = "-ERR failed";
@@ -67,14 +67,14 @@
     private static final double TABLE_FULL_MS = 250;
 
     private final Loop loop;
-    private Site site;
+    private Settings site;
     private final Figures figures;
     private final Router router;
     private ListReader lists;
     private final ListWatch watch;
     private final Nodes nodes;
     private final StartTimes startTimes = new StartTimes();
-    private volatile List<Learnt> learnt = List.of();
+    private volatile List<NodeHealth> learnt = List.of();
     private final Slots<Taken> queries = new Slots<>();
     /** The ids of the queries taken last, as the clients gave them, in order: those of all that are open among them. */
     private final Set<String> ids = new LinkedHashSet<>();
@@ -116,56 +116,56 @@
     private record Sent(Execution execution, NodeId node, Backend backend, Loop.Deadline deadline) {
         /** Guards rule 1 and a node: nothing more of it goes out, as its query is over or its time to begin is. */
         void takeBack() {
-            if (backend != null && !execution.hasEnded() && backend.takeBack(execution)) {
-                execution.end(Ending.of(Outcome.UNSENT));
+            if (backend != null && !execution.hasEnded() && backend.cancelUnsent(execution)) {
+                execution.end(ExecutionResult.of(Outcome.UNSENT));
             }
         }
     }
 
-    Proxy(Loop loop, Post post, Figures figures) throws IOException {
+    Proxy(Loop loop, ProxyConfig post, Figures figures) throws IOException {
         this.loop = loop;
         this.figures = figures;
-        site = post.site();
+        site = post.settings();
         figures.grades(site.gradeNames());
-        lists = new ListReader(site.machines(), site.zones());
-        NodeList known = post.known().isObject() ? lists.read(post.known()) : new NodeList(0, true, List.of());
+        lists = new ListReader(site.modelNames(), site.zones());
+        NodeList known = post.knownList().isObject() ? lists.read(post.knownList()) : new NodeList(0, true, List.of());
         SplittableRandom random = new SplittableRandom(post.seed()); // its factory would search for all there are
         watch = new ListWatch(loop, post.listService(), lists, known.version(), this::news, this::listFailed,
                 this::againMs, random.split());
-        router = new Router(site.deployment(), random, this, loop.nowMs());
-        nodes = new Nodes(loop, site.deployment().originModel(), connections(site, new Reuse()));
+        router = new Router(site.routerSettings(), random, this, loop.nowMs());
+        nodes = new Nodes(loop, site.routerSettings().originModel(), connections(site, new ReuseStats()));
         nodes.learn(known);
         List<Member> members = startTimes.ofFirst(known, loop.nowMs(), System.currentTimeMillis());
-        tell(() -> router.listGiven(loop.nowMs(), members, true));
+        tell(() -> router.listReplaced(loop.nowMs(), members, true));
         if (isPushed()) {
             watch.followAlways();
         }
     }
 
-    private static Connections connections(Site site, Reuse reuse) {
+    private static ConnectionPolicy connections(Settings site, ReuseStats reuse) {
         // Where two executions may never be out together, giving one up has to end its connection, and so
         // each has one of its own: a neighbour's would be reset with it.
-        boolean together = site.deployment().parallelExecutions();
-        boolean share = together && site.deployment().openPrice() > 0;
-        return new Connections(together ? site.commandsAtOnce() : 1, share, site.idleCloseMs(),
+        boolean together = site.routerSettings().parallelExecutions();
+        boolean share = together && site.routerSettings().connectionPenalty() > 0;
+        return new ConnectionPolicy(together ? site.maxCommandsPerConnection() : 1, share, site.idleCloseMs(),
                 site.connectTimeoutMs(), !together, reuse);
     }
 
     /** The router asks for the list only where it has to; what is pushed there, is watched for here. */
     private boolean isPushed() {
-        return site.deployment().askEveryMs() == 0;
+        return site.routerSettings().askEveryMs() == 0;
     }
 
     /** A new configuration: its settings hold for queries to come, and the list may be at another address. */
-    void reloaded(Post post) {
-        Site before = site;
-        site = post.site();
+    void reloaded(ProxyConfig post) {
+        Settings before = site;
+        site = post.settings();
         figures.grades(site.gradeNames());
-        nodes.limit(site.deployment().originModel(), connections(site, nodes.reuse()));
-        Deployment told = Double.isNaN(sharedBy) ? site.deployment() : site.deployment().sharedBy(sharedBy);
+        nodes.limit(site.routerSettings().originModel(), connections(site, nodes.reuse()));
+        RouterSettings told = Double.isNaN(sharedBy) ? site.routerSettings() : site.routerSettings().withProxyCount(sharedBy);
         tell(() -> router.settingsChanged(loop.nowMs(), told));
-        if (!before.machines().equals(site.machines()) || !before.zones().equals(site.zones())) {
-            lists = new ListReader(site.machines(), site.zones());
+        if (!before.modelNames().equals(site.modelNames()) || !before.zones().equals(site.zones())) {
+            lists = new ListReader(site.modelNames(), site.zones());
             watch.readAnew(lists);
         }
         watch.moveTo(post.listService());
@@ -190,23 +190,23 @@
     }
 
     /** What was learnt of the nodes when it was last told; for any thread. */
-    List<Learnt> learnt() {
+    List<NodeHealth> learnt() {
         return learnt;
     }
 
-    void recall(List<Learnt> known) {
-        List<Learnt> ofProcesses = known.stream().map(one -> one.startedAt(startTimes.startedAtMs(one.node(), one.startedAtMs()))).toList();
-        tell(() -> router.recall(loop.nowMs(), ofProcesses));
+    void recall(List<NodeHealth> known) {
+        List<NodeHealth> ofProcesses = known.stream().map(one -> one.withStartedAt(startTimes.startedAtMs(one.node(), one.startedAtMs()))).toList();
+        tell(() -> router.restoreNodeHealth(loop.nowMs(), ofProcesses));
     }
 
     /** Tells the figures what takes a walk to count. */
     void publish() {
-        learnt = router.learnt().stream().map(one -> one.startedAt(startTimes.bootMs(one.node()))).toList();
+        learnt = router.nodeHealth().stream().map(one -> one.withStartedAt(startTimes.bootMs(one.node()))).toList();
         if (lookout != null) {
             lookout.look(loop.nowMs(), learnt, nodes.readyCaches());
         }
         nodes.publish();
-        figures.list(nodes.count(), router.avoided(loop.nowMs()));
+        figures.list(nodes.count(), router.unavailableCount(loop.nowMs()));
     }
 
     /** Tells it from now on what it is there for. */
@@ -216,13 +216,13 @@
 
     @Override
     public double proxies() {
-        return site.deployment().proxies();
+        return site.routerSettings().proxyCount();
     }
 
     @Override
     public void stands(double proxies, double place) {
         sharedBy = proxies;
-        tell(() -> router.toldOfFleet(proxies, place));
+        tell(() -> router.fleetShareChanged(proxies, place));
     }
 
     @Override
@@ -273,12 +273,12 @@
         nodes.learn(list);
         if (isFirst) { // with what the file knew: all of it is judged together
             List<Member> all = startTimes.ofFirst(nodes.wholeList(), now, System.currentTimeMillis());
-            tell(() -> router.listGiven(loop.nowMs(), all, false));
+            tell(() -> router.listReplaced(loop.nowMs(), all, false));
             return;
         }
         List<Member> members = startTimes.of(list, now);
         if (list.whole()) {
-            tell(() -> router.listGiven(loop.nowMs(), members, false));
+            tell(() -> router.listReplaced(loop.nowMs(), members, false));
         } else {
             tell(() -> router.listChanged(loop.nowMs(), members));
         }
@@ -325,7 +325,7 @@
             ids.remove(ids.iterator().next());
         }
         double left = Math.max(1, waits - waitedMs - LAST_HOP_MS);
-        Taken taken = new Taken(command, owed, named, site.deployment().grades().get(grade), site.deployment().mostExecutions(),
+        Taken taken = new Taken(command, owed, named, site.routerSettings().grades().get(grade), site.routerSettings().mostExecutions(),
                 loop.nowMs() + left);
         figures.taken();
         if (lookout != null) {
@@ -333,7 +333,7 @@
         }
         QueryId id = new QueryId(queries.put(taken));
         taken.forgotten = loop.at(taken.quitAt + FORGOTTEN_MS, () -> forgotten(id));
-        tell(() -> router.query(loop.nowMs(), id, new Asking(grade, key(command.key()), taken.quitAt - loop.nowMs(),
+        tell(() -> router.query(loop.nowMs(), id, new QueryRequest(grade, key(command.key()), taken.quitAt - loop.nowMs(),
                 workMs(command), command.isWrite(), command.fact("r").equals("1"))));
         return id;
     }
@@ -342,14 +342,14 @@
     public void reject(Command command, Owed owed) {
         command.release();
         figures.turnedAway(command.fact("c"), Figures.End.REJECTED);
-        owed.busy(site.deployment().maxRetryAfterMs() > 0 ? TABLE_FULL_MS : 0);
+        owed.busy(site.routerSettings().maxRetryAfterMs() > 0 ? TABLE_FULL_MS : 0);
     }
 
     /** What {@code d} says, in ms, up to the statement timeout; -1 where it is missing or no plain number. */
     private double waits(Command command, int grade) {
         String text = command.fact("d");
         return grade < 0 || !MS.matcher(text).matches() ? -1
-                : Math.min(Double.parseDouble(text), site.deployment().grades().get(grade).timeoutMs());
+                : Math.min(Double.parseDouble(text), site.routerSettings().grades().get(grade).timeoutMs());
     }
 
     /** The client's guess of the work, which it gives in s; 0 where there is none, or none that can be. */
@@ -419,7 +419,7 @@
         taken.out++;
         if (!clientIsHere || taken.answered || backend == null || taken.execs.size() >= taken.mostExecutions) {
             taken.execs.add(new Sent(execution, node, null, () -> { }));
-            execution.end(Ending.of(Outcome.UNSENT));
+            execution.end(ExecutionResult.of(Outcome.UNSENT));
             return;
         }
         Loop.Deadline deadline = loop.at(until, () -> timedOut(execution, backend));
@@ -434,16 +434,16 @@
 
     /** By when a further execution has to have begun whole, where nodes know a repeat for a time only; it may have to wait to be sent. */
     private static double windowEnds(Taken taken) {
-        return taken.rules.repeat() != ServiceGrade.Repeat.DEDUPLICATED ? Double.POSITIVE_INFINITY
+        return taken.rules.semantics() != ServiceGrade.Semantics.DEDUPLICATED ? Double.POSITIVE_INFINITY
                 : taken.execs.stream().filter(s -> s.execution.mayHaveRun()).mapToDouble(s -> s.execution.sentAt).min()
-                        .orElse(Double.POSITIVE_INFINITY) + taken.rules.windowMs() - WAY_MS;
+                        .orElse(Double.POSITIVE_INFINITY) + taken.rules.dedupWindowMs() - WAY_MS;
     }
 
     @Override
     public boolean mayBegin(Execution execution) {
         Taken taken = queries.get(execution.query.value());
         double now = loop.nowMs();
-        return taken != null && !taken.answered && now < execution.waitUntil && taken.owed.isClientHere() && !taken.answered;
+        return taken != null && !taken.answered && now < execution.deadlineMs && taken.owed.isClientHere() && !taken.answered;
     }
 
     @Override
@@ -452,8 +452,8 @@
     }
 
     private void timedOut(Execution execution, Backend backend) {
-        Reached reached = backend.giveUp(execution);
-        execution.end(Ending.of(reached == Reached.WHOLE ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED));
+        WriteProgress reached = backend.stopWaiting(execution);
+        execution.end(ExecutionResult.of(reached == WriteProgress.COMPLETE ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED));
     }
 
     @Override
@@ -461,13 +461,13 @@
         Taken taken = queries.get(id.value());
         if (taken != null && !taken.execs.get(number).execution.hasEnded()) {
             Sent sent = taken.execs.get(number);
-            Reached reached = sent.backend.giveUp(sent.execution);
-            sent.execution.end(Ending.of(reached == Reached.WHOLE ? Outcome.CANCELLED : Outcome.UNSENT));
+            WriteProgress reached = sent.backend.stopWaiting(sent.execution);
+            sent.execution.end(ExecutionResult.of(reached == WriteProgress.COMPLETE ? Outcome.CANCELLED : Outcome.UNSENT));
         }
     }
 
     @Override
-    public void ended(Execution execution, Ending ending) {
+    public void ended(Execution execution, ExecutionResult ending) {
         Taken taken = queries.get(execution.query.value());
         taken.execs.get(execution.number).deadline.callOff();
         double took = loop.nowMs() - execution.sentAt;
@@ -483,7 +483,7 @@
             } else { // it is answered from its first bytes on, and ended when the client has the last
                 answered(taken);
                 Transfer transfer = ending.transfer();
-                transfer.into(taken.owed::more, () -> figures.ended(taken.grade,
+                transfer.connect(taken.owed::more, () -> figures.ended(taken.grade,
                         transfer.isDone() ? Figures.End.COMPLETED : Figures.End.FAILED));
                 taken.owed.begun(transfer);
             }
@@ -546,8 +546,8 @@
     }
 
     @Override
-    public void wake(TimerId timer, double delayMs) {
-        loop.at(loop.nowMs() + delayMs, () -> tell(() -> router.woken(loop.nowMs(), timer)));
+    public void startTimer(TimerId timer, double delayMs) {
+        loop.at(loop.nowMs() + delayMs, () -> tell(() -> router.timerFired(loop.nowMs(), timer)));
     }
 
     @Override
--- a/src/main/java/dappleseam/proxy/Rehearsal.java
+++ b/src/main/java/dappleseam/proxy/Rehearsal.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dappleseam.clients.ClientFront;
 import dappleseam.control.Figures;
-import dappleseam.site.Post;
+import dappleseam.site.ProxyConfig;
 import dappleseam.wire.BufferPool;
 import dappleseam.wire.Link;
 import dappleseam.wire.Loop;
@@ -55,15 +55,15 @@
     private int values;
     private boolean over;
 
-    private Rehearsal(Loop loop, XnioIoThread thread, Post post, Consumer<Boolean> whenOver) {
+    private Rehearsal(Loop loop, XnioIoThread thread, ProxyConfig post, Consumer<Boolean> whenOver) {
         this.loop = loop;
         this.thread = thread;
         this.whenOver = whenOver;
-        facts = "c=" + post.site().gradeNames().get(0) + ",d=1000,k=1";
+        facts = "c=" + post.settings().gradeNames().get(0) + ",d=1000,k=1";
     }
 
     /** Plays it; {@code whenOver} is told whether every query was answered, and most with a value. */
-    static void play(Loop loop, XnioIoThread thread, Post post, Consumer<Boolean> whenOver) {
+    static void play(Loop loop, XnioIoThread thread, ProxyConfig post, Consumer<Boolean> whenOver) {
         Rehearsal rehearsal = new Rehearsal(loop, thread, post, whenOver);
         try {
             rehearsal.begin(post);
@@ -73,7 +73,7 @@
         }
     }
 
-    private void begin(Post post) throws IOException {
+    private void begin(ProxyConfig post) throws IOException {
         ClientFront front = new ClientFront(this, new Proxy(this, withStandIns(post), new Figures()), 2 * AT_ONCE, 2 * AT_ONCE);
         loop.at(loop.nowMs() + LONGEST_MS, this::end);
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
@@ -84,17 +84,17 @@
         }
     }
 
-    private static Post withStandIns(Post post) {
+    private static ProxyConfig withStandIns(ProxyConfig post) {
         ObjectNode known = JsonNodeFactory.instance.objectNode().put("rev", 1).put("all", true);
         ArrayNode targets = known.putArray("targets");
-        int originModel = post.site().deployment().originModel();
+        int originModel = post.settings().routerSettings().originModel();
         targets.addObject().put("uid", "rehearsed-cache").put("state", "ready").put("endpoint", "127.0.0.1:1")
-                .put("model", originModel < 0 && !post.site().machines().isEmpty() ? post.site().machines().get(0) : "");
+                .put("model", originModel < 0 && !post.settings().modelNames().isEmpty() ? post.settings().modelNames().get(0) : "");
         if (originModel >= 0) {
             targets.addObject().put("uid", "rehearsed-origin").put("state", "ready").put("endpoint", "127.0.0.1:2")
-                    .put("model", post.site().machines().get(originModel));
+                    .put("model", post.settings().modelNames().get(originModel));
         }
-        return post.withKnown(known);
+        return post.withKnownList(known);
     }
 
     private void ask(Link client) {
--- a/src/main/java/dappleseam/proxy/Serve.java
+++ b/src/main/java/dappleseam/proxy/Serve.java
@@ -7,10 +7,10 @@
 import dappleseam.control.Staff;
 import dappleseam.list.ListFile;
 import dappleseam.list.NodeList;
-import dappleseam.router.Learnt;
-import dappleseam.site.FaultySettingException;
-import dappleseam.site.Post;
-import dappleseam.site.SiteReader;
+import dappleseam.router.NodeHealth;
+import dappleseam.site.InvalidConfigException;
+import dappleseam.site.ProxyConfig;
+import dappleseam.site.ConfigReader;
 import dappleseam.wire.BufferPool;
 import dappleseam.wire.Link;
 import dappleseam.wire.RespWriter;
@@ -101,7 +101,7 @@
     /** The list last written for a process that takes over; the door's thread's. */
     private NodeList kept;
     private double keepListFrom;
-    private List<Learnt> learntKept = List.of();
+    private List<NodeHealth> learntKept = List.of();
     private double learntKeptAt;
     private final Figures figures = new Figures();
     private Seats seats;
@@ -109,7 +109,7 @@
     private volatile boolean ready;
     private volatile boolean startedUp;
     private KillDelay killDelay;
-    private final SiteReader reader = new SiteReader();
+    private final ConfigReader reader = new ConfigReader();
     private boolean rehearsed;
     private boolean awaitsList;
     private Shutdown shutdown;
@@ -129,15 +129,15 @@
     @Override
     public Integer call() throws Exception {
         BackgroundLog.start();
-        Post post;
+        ProxyConfig post;
         try {
-            post = reader.readPost(config);
+            post = reader.readConfig(config);
             fleet = fleetFile == null ? null : new InFleet(fleetFile, post, leftFile(post, FLEET), () -> proxy == null ? null : proxy.lastList());
-        } catch (FaultySettingException | IOException e) {
+        } catch (InvalidConfigException | IOException e) {
             System.err.println("dappleseam serve: " + e.getMessage());
             return 1;
         }
-        killDelay = new KillDelay(post.site().deployment());
+        killDelay = new KillDelay(post.settings().routerSettings());
         worker = awaitWorker();
         CountDownLatch started = new CountDownLatch(1);
         Signal.handle(new Signal("HUP"), signal -> { // each on a thread of its own; one that comes early waits
@@ -177,13 +177,13 @@
     }
 
     /** Whether it could; where not, the cause is said. */
-    private boolean start(Post post) throws InterruptedException {
+    private boolean start(ProxyConfig post) throws InterruptedException {
         awaitSockets();
         if (post.control() != null && !openDoor(post)) {
             return false;
         }
-        Post known = seats != null && seats.areShared() ? withTakenOver(post) : post;
-        Post told = fleet == null ? known : fleet.withKept(known);
+        ProxyConfig known = seats != null && seats.areShared() ? withTakenOver(post) : post;
+        ProxyConfig told = fleet == null ? known : fleet.withKept(known);
         int buffers = (int) (SHARE_FOR_BUFFERS * post.memoryMb() * (BYTES_PER_MB / BufferPool.SIZE));
         CountDownLatch begun = new CountDownLatch(1);
         Exception[] fault = new Exception[1];
@@ -228,19 +228,19 @@
     }
 
     /** Descriptors for connections where so many processes hold those of one. */
-    private int descriptors(Post post, int processes) {
+    private int descriptors(ProxyConfig post, int processes) {
         int own = OWN_DESCRIPTORS + (post.control() == null ? 0 : Door.DESCRIPTORS + Seats.DESCRIPTORS)
                 + (fleet == null ? 0 : InFleet.DESCRIPTORS);
         return Math.max(processes * LEAST_CONNECTIONS, post.descriptors() - processes * own);
     }
 
     /** What each of them may dial. */
-    private int forPeers(Post post, int processes) {
+    private int forPeers(ProxyConfig post, int processes) {
         return (int) (SHARE_FOR_PEERS / processes * descriptors(post, processes));
     }
 
     /** What any of them may take of clients, who choose between them. */
-    private int forClients(Post post, int processes) {
+    private int forClients(ProxyConfig post, int processes) {
         return (int) ((descriptors(post, processes) - processes * forPeers(post, processes)) * (1 - SHARE_FOR_CLOSED));
     }
 
@@ -248,7 +248,7 @@
      * Waits for the first list: drains that the file does not know yet count as told from the first moment of a process, or were
      * told to the one beside it. Where the list service cannot be reached, a process that is alone listens at once.
      */
-    private void listen(Post post, double untilMs, Exception[] fault, CountDownLatch begun) {
+    private void listen(ProxyConfig post, double untilMs, Exception[] fault, CountDownLatch begun) {
         boolean shared = seats != null && seats.areShared();
         boolean mayCome = !proxy.hasHeardList() && (shared || !proxy.hasListFailed());
         if (mayCome && loop.nowMs() < untilMs) {
@@ -328,13 +328,13 @@
     }
 
     /** Guards rule 3 over an upgrade: what the other process was told of drains holds for this one. */
-    private static Post withTakenOver(Post post) {
+    private static ProxyConfig withTakenOver(ProxyConfig post) {
         try {
             JsonNode list = ListFile.read(leftFile(post, LIST));
-            long version = post.known().path("rev").asLong(-1);
+            long version = post.knownList().path("rev").asLong(-1);
             if (list.path("rev").asLong() >= version) {
                 LOG.log(Level.INFO, "list taken over at version {0}, the file had {1}", list.path("rev").asLong(), version);
-                return post.withKnown(list);
+                return post.withKnownList(list);
             }
         } catch (IOException | RuntimeException e) { // it was worth a try
             LOG.log(Level.INFO, "no list taken over: {0}", e.toString());
@@ -343,9 +343,9 @@
     }
 
     /** Guards the first seconds after a switch: nodes that are ill, and known to be, are still avoided. */
-    private List<Learnt> learntBefore(Post post) {
+    private List<NodeHealth> learntBefore(ProxyConfig post) {
         try {
-            List<Learnt> learnt = seats == null ? List.of() : LearntFile.read(leftFile(post, LEARNT), post.site(), loop.nowMs());
+            List<NodeHealth> learnt = seats == null ? List.of() : LearntFile.read(leftFile(post, LEARNT), post.settings(), loop.nowMs());
             LOG.log(Level.INFO, "learnt before of {0} nodes", learnt.size());
             return learnt;
         } catch (IOException | RuntimeException e) { // it was worth a try
@@ -355,12 +355,12 @@
     }
 
     /** Where processes on one address leave something for each other. */
-    private static Path leftFile(Post post, String what) {
+    private static Path leftFile(ProxyConfig post, String what) {
         return folder().resolve(Seats.VERSION).resolve(Seats.name(post.listen()) + what);
     }
 
     /** On the door's thread. */
-    private void keepList(Post post) {
+    private void keepList(ProxyConfig post) {
         Proxy serving = proxy;
         double now = EventLoop.machineMs();
         NodeList last = serving == null ? kept : serving.lastList();
@@ -378,15 +378,15 @@
     }
 
     /** On the door's thread. */
-    private void keepLearnt(Post post) {
+    private void keepLearnt(ProxyConfig post) {
         Proxy serving = proxy;
         double now = EventLoop.machineMs();
         boolean isNews = serving != null && !(serving.learnt().isEmpty() && learntKept.isEmpty());
         if (isNews && now > learntKeptAt + LEARNT_EVERY_MS && seats.isFirst()) {
             learntKeptAt = now;
-            List<Learnt> last = serving.learnt();
+            List<NodeHealth> last = serving.learnt();
             try {
-                LearntFile.write(leftFile(post, LEARNT), post.site(), now, last);
+                LearntFile.write(leftFile(post, LEARNT), post.settings(), now, last);
                 learntKept = last;
             } catch (IOException | RuntimeException e) {
                 LOG.log(Level.WARNING, "what was learnt is not kept: {0}", e.toString());
@@ -394,7 +394,7 @@
         }
     }
 
-    private boolean openDoor(Post post) throws InterruptedException {
+    private boolean openDoor(ProxyConfig post) throws InterruptedException {
         seats = Seats.take(folder(), post.listen());
         while (true) {
             try {
@@ -410,7 +410,7 @@
         }
     }
 
-    private void listenForOperators(Post post) throws IOException {
+    private void listenForOperators(ProxyConfig post) throws IOException {
         boolean[] shared = {seats.areShared()};
         new Door(post.control(), new Staff() {
             @Override
@@ -453,7 +453,7 @@
     }
 
     /** Guards the limits on descriptors, which hold for two processes on one address together. */
-    private void shareLimits(Post post) {
+    private void shareLimits(ProxyConfig post) {
         if (front == null || seats == null) {
             return;
         }
@@ -499,16 +499,16 @@
     private synchronized void reload() {
         try {
             Runnable fleetAnew = fleet == null ? () -> { } : fleet.readAgain();
-            Post post = reader.readPost(config);
+            ProxyConfig post = reader.readConfig(config);
             fleetAnew.run();
-            killDelay.changed(post.site().deployment(), EventLoop.machineMs());
+            killDelay.changed(post.settings().routerSettings(), EventLoop.machineMs());
             worker.getIoThread().execute(() -> {
                 proxy.reloaded(post);
-                shutdown.killWithin(KillDelay.delayMs(post.site().deployment())); // where SIGTERM has come before
+                shutdown.killWithin(KillDelay.delayMs(post.settings().routerSettings())); // where SIGTERM has come before
             });
             figures.reloaded(true);
             LOG.log(Level.INFO, "configuration read again: the list is at {0}", post.listService());
-        } catch (FaultySettingException | IOException e) {
+        } catch (InvalidConfigException | IOException e) {
             figures.reloaded(false);
             LOG.log(Level.WARNING, "configuration not taken: {0}", e.getMessage());
         }
--- a/src/main/java/dappleseam/query/Command.java
+++ b/src/main/java/dappleseam/query/Command.java
@@ -22,7 +22,7 @@
     }
 
     /** The facts, with {@code d} telling how long this proxy waits. */
-    public String factsWaiting(long waitMs) {
+    public String factsWithTimeout(long waitMs) {
         StringBuilder changed = new StringBuilder();
         for (String pair : facts.split(",")) {
             changed.append(changed.length() == 0 ? "" : ",");
--- a/src/main/java/dappleseam/query/Execution.java
+++ b/src/main/java/dappleseam/query/Execution.java
@@ -6,32 +6,32 @@
 /** One execution on its way; it ends once, and what comes for it later is dropped. */
 public final class Execution {
     /** Who is told of it. */
-    public interface Owner {
+    public interface Listener {
         /** Whether it may still begin, asked where something has come between its decision and its sending. */
         boolean mayBegin(Execution execution);
 
         /** Its last byte has gone to the node. */
         void written(Execution execution);
 
-        void ended(Execution execution, Ending ending);
+        void ended(Execution execution, ExecutionResult ending);
     }
 
     public final QueryId query;
     public final int number;
     public final Command command;
     public final double sentAt;
-    public final double waitUntil;
-    private final Owner owner;
+    public final double deadlineMs;
+    private final Listener owner;
     private boolean ended;
     private boolean neverRan;
     private boolean written;
 
-    public Execution(QueryId query, int number, Command command, double sentAt, double waitUntil, Owner owner) {
+    public Execution(QueryId query, int number, Command command, double sentAt, double waitUntil, Listener owner) {
         this.query = query;
         this.number = number;
         this.command = command;
         this.sentAt = sentAt;
-        this.waitUntil = waitUntil;
+        this.deadlineMs = waitUntil;
         this.owner = owner;
     }
 
@@ -46,7 +46,7 @@
     /** Whether it may still begin; it ends as never sent where it may not. */
     public boolean mayBegin() {
         if (!ended && !owner.mayBegin(this)) {
-            end(Ending.of(Outcome.UNSENT));
+            end(ExecutionResult.of(Outcome.UNSENT));
         }
         return !ended;
     }
@@ -60,7 +60,7 @@
         return !neverRan;
     }
 
-    public void end(Ending ending) {
+    public void end(ExecutionResult ending) {
         if (!ended) {
             ended = true;
             neverRan = ending.outcome().neverRan;
--- a/src/main/java/dappleseam/query/Inflow.java
+++ b/src/main/java/dappleseam/query/LargeValueReceiver.java
@@ -6,11 +6,11 @@
 import java.nio.ByteBuffer;
 
 /** The long values that come on one connection to a node, each handed to whoever waits for it, or passed over. */
-public final class Inflow implements Large, Transfer.Source {
+public final class LargeValueReceiver implements Large, Transfer.Source {
     /** The connection they come on. */
     public interface Connection extends Link.Events {
         /** The execution whose answer begins with a long value; null where none is owed. */
-        Execution begins();
+        Execution answeringExecution();
 
         Link link();
 
@@ -24,22 +24,22 @@
     private boolean paused;
     private long came;
 
-    public Inflow(Loop loop, Connection connection) {
+    public LargeValueReceiver(Loop loop, Connection connection) {
         this.loop = loop;
         this.connection = connection;
     }
 
-    public boolean isUnderWay() {
+    public boolean isReceiving() {
         return transfer != null;
     }
 
     @Override
     public void begins(long length) {
-        Execution execution = connection.begins();
+        Execution execution = connection.answeringExecution();
         if (execution != null && !execution.hasEnded()) {
             transfer = new Transfer(length, loop.pool(), this);
             watch(transfer);
-            execution.end(Ending.begun(transfer));
+            execution.end(ExecutionResult.begun(transfer));
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /** The answer has ended as it should. */
-    public void whole() {
+    public void complete() {
         Transfer passed = transfer;
         transfer = null;
         if (passed != null) {
@@ -93,7 +93,7 @@
     }
 
     /** The connection is of no further use. */
-    public void broken() {
+    public void fail() {
         Transfer cut = transfer;
         transfer = null;
         if (cut != null) {
--- a/src/main/java/dappleseam/query/Reuse.java
+++ b/src/main/java/dappleseam/query/ReuseStats.java
@@ -4,7 +4,7 @@
  * What became of connections used again, by how long they had been idle. Guards queries against a network or nodes
  * that forget idle connections without a word, long before the time after which they are said to close them.
  */
-public final class Reuse {
+public final class ReuseStats {
     /** Bounds of the shortest time told apart, in ms; each next is twice as long. */
     private static final double SHORTEST_MS = 25;
     private static final int CLASSES = 12;
@@ -29,23 +29,23 @@
     }
 
     /** Whether a connection that has been idle for so long is likely to carry another command. */
-    public boolean isLikely(double idleMs) {
+    public boolean mayReuse(double idleMs) {
         int c = classOf(idleMs);
         return all[c] < LEAST || broken[c] <= BROKEN_SHARE * all[c] || ++passedOver % TRIED == 0;
     }
 
     /** An answer was spoilt or never came, or a connection broke under a command. */
-    public void troubled(double nowMs) {
+    public void recordFailure(double nowMs) {
         troubledAt = nowMs;
     }
 
     /** Whether commands may share a connection without one's trouble being the others'. */
-    public boolean isCalm(double nowMs) {
+    public boolean isSharingSafe(double nowMs) {
         return nowMs - troubledAt > TROUBLED_MS;
     }
 
     /** One was used again after so long, and broke before an answer, or did not. */
-    public void told(double idleMs, boolean broke) {
+    public void recordReuse(double idleMs, boolean broke) {
         int c = classOf(idleMs);
         all[c] = all[c] * KEPT + 1;
         broken[c] = broken[c] * KEPT + (broke ? 1 : 0);
--- a/src/main/java/dappleseam/query/Transfer.java
+++ b/src/main/java/dappleseam/query/Transfer.java
@@ -55,7 +55,7 @@
     }
 
     /** {@code whenOver} is told once: the client has all of it, or never will. */
-    public void into(Taker client, Runnable whenTold) {
+    public void connect(Taker client, Runnable whenTold) {
         taker = client;
         whenOver = whenTold;
     }
@@ -97,7 +97,7 @@
     // the client's side
 
     /** Moves what is held, up to so many bytes. */
-    public void takeTo(Chain out, long most) {
+    public void moveTo(Chain out, long most) {
         out.takePart(held, most);
         if (paused && held.size() <= FEW && state == State.UNDER_WAY) {
             paused = false;
@@ -110,7 +110,7 @@
         return state == State.WHOLE && held.size() == 0;
     }
 
-    public boolean isBroken() {
+    public boolean isFailed() {
         return state == State.BROKEN;
     }
 
--- a/src/main/java/dappleseam/router/Host.java
+++ b/src/main/java/dappleseam/router/Host.java
@@ -19,8 +19,8 @@
     /** Asks for changes of the list from now on; what was missed comes first. */
     void followList();
 
-    /** Calls {@link Router#woken} after the delay. */
-    void wake(TimerId timer, double delayMs);
+    /** Calls {@link Router#timerFired} after the delay. */
+    void startTimer(TimerId timer, double delayMs);
 
     void log(String text);
 }
--- a/src/main/java/dappleseam/router/Member.java
+++ b/src/main/java/dappleseam/router/Member.java
@@ -1,7 +1,7 @@
 package dappleseam.router;
 
 /** What the list says of one node; {@code startedAtMs} is 0 where it started long ago. */
-public record Member(NodeId node, State state, int model, int cell, int zone, double scale,
+public record Member(NodeId node, State state, int model, int cell, int zone, double weight,
                      double startedAtMs) {
     public enum State { READY, DRAINING, GONE }
 
@@ -9,7 +9,7 @@
     @Override
     public boolean equals(Object other) {
         return other instanceof Member that && node.equals(that.node) && state == that.state && model == that.model && cell == that.cell
-                && zone == that.zone && Double.compare(scale, that.scale) == 0 && Double.compare(startedAtMs, that.startedAtMs) == 0;
+                && zone == that.zone && Double.compare(weight, that.weight) == 0 && Double.compare(startedAtMs, that.startedAtMs) == 0;
     }
 
     @Override
@@ -18,7 +18,7 @@
     }
 
     /** The same with another time of its start. */
-    public Member startedAt(double atMs) {
-        return new Member(node, state, model, cell, zone, scale, atMs);
+    public Member withStartedAt(double atMs) {
+        return new Member(node, state, model, cell, zone, weight, atMs);
     }
 }
--- a/src/main/java/dappleseam/router/Node.java
+++ b/src/main/java/dappleseam/router/Node.java
@@ -67,29 +67,29 @@
         zone = m.zone();
         cell = m.cell();
         scale = newScale;
-        if (scaleMoves && m.scale() > 0) {
-            idleScale = Math.max(idleScale, m.scale());
-            held = idleScale / m.scale() - 1;
+        if (scaleMoves && m.weight() > 0) {
+            idleScale = Math.max(idleScale, m.weight());
+            held = idleScale / m.weight() - 1;
         }
         return moves;
     }
 
     /** What may be told to a router that comes after this one; null where nothing was learnt. */
-    Learnt learnt() {
+    NodeHealth learnt() {
         boolean nothing = asideUntil == 0 && busyUntil == 0 && idleScale == 0;
-        return nothing ? null : new Learnt(id, startedAt, asideUntil, busyUntil, idleScale, shed);
+        return nothing ? null : new NodeHealth(id, startedAt, asideUntil, busyUntil, idleScale, shed);
     }
 
     /** Times to come are bounded by what this router itself would set; a node that is avoided comes back by trials. */
-    void recall(Learnt known, double untilMost, double busyMost, int trials) {
+    void recall(NodeHealth known, double untilMost, double busyMost, int trials) {
         if (known.startedAtMs() != startedAt) {
             return; // of the process before this one
         }
-        asideUntil = Math.min(known.asideUntilMs(), untilMost);
+        asideUntil = Math.min(known.ejectedUntilMs(), untilMost);
         trialsLeft = asideUntil > 0 ? trials : 0;
         busyUntil = Math.min(known.busyUntilMs(), busyMost);
-        idleScale = Math.max(idleScale, known.idleScale());
-        shed = known.shed();
+        idleScale = Math.max(idleScale, known.idleWeight());
+        shed = known.shedShare();
     }
 
     boolean isReady() {
--- a/src/main/java/dappleseam/router/Query.java
+++ b/src/main/java/dappleseam/router/Query.java
@@ -7,9 +7,9 @@
 final class Query {
     final QueryId id;
     /** What the deployment allowed when the query was taken. */
-    final Deployment site;
+    final RouterSettings site;
     final ServiceGrade grade;
-    final Asking asking;
+    final QueryRequest asking;
     final List<Execution> execs = new ArrayList<>(3);
     long hash;
     RecentKeys.Asked asked;
@@ -29,7 +29,7 @@
     /** The last walk of the ring met a cache whose limit was reached. */
     boolean crowded;
 
-    Query(QueryId id, Deployment site, ServiceGrade grade, Asking asking) {
+    Query(QueryId id, RouterSettings site, ServiceGrade grade, QueryRequest asking) {
         this.id = id;
         this.site = site;
         this.grade = grade;
--- a/src/main/java/dappleseam/router/Router.java
+++ b/src/main/java/dappleseam/router/Router.java
@@ -2,7 +2,7 @@
 
 import dappleseam.router.Query.Execution;
 import dappleseam.router.RecentKeys.Asked;
-import dappleseam.router.ServiceGrade.Repeat;
+import dappleseam.router.ServiceGrade.Semantics;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
@@ -15,7 +15,7 @@
 /**
  * Every decision of one proxy. Call one method for each thing that happens, with the clock in ms; it acts
  * through the {@link Host} before it returns. One thread; nothing is shared between routers. What a
- * deployment allows is in {@link Deployment}; docs/design.md says why it decides as it does.
+ * deployment allows is in {@link RouterSettings}; docs/design.md says why it decides as it does.
  */
 public final class Router {
     /** Owner and fallbacks looked at, in caches: the two successors of the design. */
@@ -124,7 +124,7 @@
 
     private static final Comparator<Node> BY_ID = Comparator.comparingLong(n -> n.id.value());
 
-    private Deployment site;
+    private RouterSettings site;
     private final RandomGenerator random;
     private final Host host;
     private double highestImportance;
@@ -164,7 +164,7 @@
     /** Where this proxy stands among all, from 0 to 1; spreads hot keys. */
     private double place;
 
-    public Router(Deployment site, RandomGenerator random, Host host, double nowMs) {
+    public Router(RouterSettings site, RandomGenerator random, Host host, double nowMs) {
         this.site = site;
         this.random = random;
         this.host = host;
@@ -176,7 +176,7 @@
     }
 
     /** Queries that are open keep the grade and the rules they were taken under. */
-    public void settingsChanged(double nowMs, Deployment newSite) {
+    public void settingsChanged(double nowMs, RouterSettings newSite) {
         now = nowMs;
         site = newSite;
         longestTry = new double[site.grades().size()];
@@ -187,16 +187,16 @@
     }
 
     /** The whole over this proxy's share, under which limits were learnt, and its place, NaN for the same. */
-    public void toldOfFleet(double proxies, double newPlace) {
+    public void fleetShareChanged(double proxies, double newPlace) {
         place = Double.isNaN(newPlace) ? place : newPlace;
-        double by = site.proxies() / proxies;
-        site = site.sharedBy(proxies);
+        double by = site.proxyCount() / proxies;
+        site = site.withProxyCount(proxies);
         nodes.values().forEach(n -> n.limit.size *= by);
         List.of(fleetLimit, fetchLimit).forEach(limit -> limit.size *= by);
         fleetLimit.least = Math.max(1, FLEET_LEAST / proxies * caches.size());
     }
 
-    public void listGiven(double nowMs, List<Member> members, boolean remembered) {
+    public void listReplaced(double nowMs, List<Member> members, boolean remembered) {
         boolean before = followed;
         nodes.values().forEach(n -> n.state = Member.State.GONE);
         changed.addAll(nodes.values());
@@ -235,10 +235,10 @@
 
     private void learn(Member m) {
         boolean isOrigin = m.model() == site.originModel();
-        double first = Math.max(LIMIT_FIRST_LEAST, LIMIT_FIRST / site.proxies());
+        double first = Math.max(LIMIT_FIRST_LEAST, LIMIT_FIRST / site.proxyCount());
         Node n = nodes.computeIfAbsent(m.node(), id -> new Node(id, isOrigin, new Tally(BUCKETS, BUCKET_MS),
                 new Limit(first, isOrigin ? SCARCE_LEAST : LIMIT_LEAST), new Share(MEMORY)));
-        if (n.learn(m, site.scaleIsStable() && m.scale() > 0 ? m.scale() : 1, site.scaleMoves())) {
+        if (n.learn(m, site.scaleIsStable() && m.weight() > 0 ? m.weight() : 1, site.scaleMoves())) {
             changed.add(n);
         }
         if (n.state == Member.State.GONE) {
@@ -264,10 +264,10 @@
         ringScale = caches.stream().mapToDouble(n -> n.scale).sum();
         scaleNear = caches.stream().filter(n -> n.zone == site.zone()).mapToDouble(n -> n.scale).sum();
         if (isFirst) {
-            fleetLimit.size = Math.max(LIMIT_FIRST_LEAST, FLEET_FIRST / site.proxies() * caches.size());
+            fleetLimit.size = Math.max(LIMIT_FIRST_LEAST, FLEET_FIRST / site.proxyCount() * caches.size());
             fetchLimit.size = FETCH_FIRST * fleetLimit.size;
         }
-        fleetLimit.least = Math.max(1, FLEET_LEAST / site.proxies() * caches.size());
+        fleetLimit.least = Math.max(1, FLEET_LEAST / site.proxyCount() * caches.size());
     }
 
     /** Does ahead what the first query would wait for: the ring of a large fleet takes a tenth of a second. */
@@ -277,7 +277,7 @@
         }
     }
 
-    public void query(double nowMs, QueryId id, Asking asking) {
+    public void query(double nowMs, QueryId id, QueryRequest asking) {
         now = nowMs;
         prepare();
         Query q = new Query(id, site, site.grades().get(asking.grade()), asking);
@@ -287,7 +287,7 @@
         double slowMs = SLOW_ANSWER * q.grade.sloMs() + asking.workMs();
         q.impatient = Math.min(asking.leftMs(), q.grade.sloMs()) < slowMs;
         // Past its SLO time an answer that earns nothing is given up, and its node freed.
-        boolean toTheEnd = q.grade.tardyShare() > 0 || q.grade.repeat() == Repeat.NON_IDEMPOTENT;
+        boolean toTheEnd = q.grade.tardyShare() > 0 || q.grade.semantics() == Semantics.NON_IDEMPOTENT;
         double before = askedBefore(q.grade, asking);
         double sloLeft = q.grade.sloMs() - 2 * site.tickMs() - LAST_HOP_MS - before;
         q.usefulUntil = toTheEnd ? q.quitAt : Math.min(q.quitAt, now + sloLeft);
@@ -312,7 +312,7 @@
     }
 
     /** For how many ms a client that asks once more has asked at least: its last try ends with its time. */
-    private double askedBefore(ServiceGrade grade, Asking asking) {
+    private double askedBefore(ServiceGrade grade, QueryRequest asking) {
         longestTry[asking.grade()] = Math.max(longestTry[asking.grade()], asking.leftMs());
         boolean isLast = asking.again() && asking.leftMs() < longestTry[asking.grade()] - SAME_MS;
         return isLast ? Math.max(0, grade.timeoutMs() - asking.leftMs()) : 0;
@@ -335,7 +335,7 @@
         }
     }
 
-    public void woken(double nowMs, TimerId timer) {
+    public void timerFired(double nowMs, TimerId timer) {
         now = nowMs;
         timers.fire(timer);
     }
@@ -479,9 +479,9 @@
     /** Whether a further execution there keeps the grade's promise about repeats. */
     private boolean mayGoTo(Query q, Node n) {
         Execution first = q.firstThatMayHaveRun();
-        return first == null || q.grade.repeat() == Repeat.IDEMPOTENT
-                || q.grade.repeat() == Repeat.DEDUPLICATED
-                && now < first.sentAt + q.grade.windowMs() - 2 * q.site.tickMs() && switch (q.grade.group()) {
+        return first == null || q.grade.semantics() == Semantics.IDEMPOTENT
+                || q.grade.semantics() == Semantics.DEDUPLICATED
+                && now < first.sentAt + q.grade.dedupWindowMs() - 2 * q.site.tickMs() && switch (q.grade.group()) {
                     case ALL -> true;
                     case ZONE -> n.zone == first.node.zone;
                     case CELL -> n.cell == first.node.cell;
@@ -491,7 +491,7 @@
     private void send(Query q, Node n) {
         double left = q.usefulUntil - now;
         double timeout = q.usefulUntil < q.quitAt ? left : 0;
-        boolean repeatable = q.grade.repeat() == Repeat.IDEMPOTENT && q.execsLeft() > 1
+        boolean repeatable = q.grade.semantics() == Semantics.IDEMPOTENT && q.execsLeft() > 1
                 && caches.size() > 1 && !q.grade.stream();
         if (repeatable && !n.isOrigin && !q.site.parallelExecutions()) {
             // Guards against a silent cache: leaves a successor time to answer within the SLO time.
@@ -579,7 +579,7 @@
     private void closeUnlessUsed(Node n) {
         // About one query is served by a cache in the time that one takes, which prices an open connection.
         double worthMs = hold * HOLD_FIRST * 100 * usualTook * site.handshakePrice();
-        double price = Math.max(site.openPrice(), FULL_PRICE * (1 - hold));
+        double price = Math.max(site.connectionPenalty(), FULL_PRICE * (1 - hold));
         if (n.open && n.out == 0 && n.share.at(turn) * turn * worthMs < (now - bornAt) * price) {
             n.open = false;
             host.closeIdle(n.id);
@@ -598,7 +598,7 @@
             toOrigin(q);
             return;
         }
-        boolean repeatable = q.firstThatMayHaveRun() == null || q.grade.repeat() != Repeat.NON_IDEMPOTENT;
+        boolean repeatable = q.firstThatMayHaveRun() == null || q.grade.semantics() != Semantics.NON_IDEMPOTENT;
         boolean timeLeft = q.usefulUntil - now > TOO_LATE * q.grade.sloMs();
         if (q.out > 0 || !repeatable || !timeLeft || q.execsLeft() == 0 || extras < 1
                 || outcome == Outcome.UNSENT) {
@@ -743,19 +743,19 @@
     }
 
     /** What a router that takes over may know of the listed nodes. */
-    public List<Learnt> learnt() {
+    public List<NodeHealth> nodeHealth() {
         return nodes.values().stream().map(Node::learnt).filter(one -> one != null).toList();
     }
 
     /** Guards the first seconds after a switch; a node not listed, or started since, begins afresh. */
-    public void recall(double nowMs, List<Learnt> known) {
+    public void restoreNodeHealth(double nowMs, List<NodeHealth> known) {
         double asideMost = nowMs + ASIDE_MS + ASIDE_RANDOM_MS;
         known.stream().filter(k -> nodes.containsKey(k.node()))
                 .forEach(k -> nodes.get(k.node()).recall(k, asideMost, nowMs + BUSY_MOST_MS, TRIAL_GOOD));
     }
 
     /** How many of the listed nodes are avoided now. */
-    public int avoided(double nowMs) {
+    public int unavailableCount(double nowMs) {
         return (int) nodes.values().stream().filter(n -> !n.isReady() || n.asideUntil > nowMs).count();
     }
 
@@ -764,7 +764,7 @@
         if (q.out > 0) {
             return;
         }
-        if (q.grade.repeat() == Repeat.IDEMPOTENT || q.firstThatMayHaveRun() == null) {
+        if (q.grade.semantics() == Semantics.IDEMPOTENT || q.firstThatMayHaveRun() == null) {
             double comeBack = COME_BACK * (1 + random.nextDouble()) * q.grade.sloMs();
             host.reject(q.id, Math.min(q.site.maxRetryAfterMs(), comeBack));
         } else {
--- a/src/main/java/dappleseam/router/Deployment.java
+++ b/src/main/java/dappleseam/router/RouterSettings.java
@@ -7,9 +7,9 @@
  * nodes fetch by themselves; {@code askEveryMs} is 0 where the list is pushed; a cold node falls that is sent {@code fallMultiple} times what it can take; the prices are points
  * of service for a hundred connections held open at each cache, and for a new one with each query.
  */
-public record Deployment(
+public record RouterSettings(
         List<ServiceGrade> grades,
-        double proxies,
+        double proxyCount,
         int originModel,
         boolean scaleIsStable,
         boolean scaleMoves,
@@ -24,11 +24,11 @@
         double coldFrom,
         double warmAfterMs,
         double fallMultiple,
-        double openPrice,
+        double connectionPenalty,
         double handshakePrice) {
     /** The same where this proxy may take that share of the whole: 1 over {@code proxies}. */
-    public Deployment sharedBy(double proxies) {
-        return new Deployment(grades, proxies, originModel, scaleIsStable, scaleMoves, zone, crossPrice, tickMs, mostExecutions, parallelExecutions, mayCancel,
-                maxRetryAfterMs, askEveryMs, coldFrom, warmAfterMs, fallMultiple, openPrice, handshakePrice);
+    public RouterSettings withProxyCount(double proxies) {
+        return new RouterSettings(grades, proxies, originModel, scaleIsStable, scaleMoves, zone, crossPrice, tickMs, mostExecutions, parallelExecutions, mayCancel,
+                maxRetryAfterMs, askEveryMs, coldFrom, warmAfterMs, fallMultiple, connectionPenalty, handshakePrice);
     }
 }
--- a/src/main/java/dappleseam/router/Timers.java
+++ b/src/main/java/dappleseam/router/Timers.java
@@ -15,7 +15,7 @@
 
     void after(double delayMs, Runnable action) {
         pending.put(++last, action);
-        host.wake(new TimerId(last), delayMs);
+        host.startTimer(new TimerId(last), delayMs);
     }
 
     /** Does what the timer was set for; nothing where it is not known. */
--- a/src/main/java/dappleseam/servers/CacheNode.java
+++ b/src/main/java/dappleseam/servers/CacheNode.java
@@ -2,11 +2,11 @@
 
 import dappleseam.query.Backend;
 import dappleseam.query.Command;
-import dappleseam.query.Connections;
-import dappleseam.query.Ending;
+import dappleseam.query.ConnectionPolicy;
+import dappleseam.query.ExecutionResult;
 import dappleseam.query.Execution;
-import dappleseam.query.Inflow;
-import dappleseam.query.Reached;
+import dappleseam.query.LargeValueReceiver;
+import dappleseam.query.WriteProgress;
 import dappleseam.query.Slots;
 import dappleseam.router.Outcome;
 import dappleseam.wire.Chain;
@@ -36,11 +36,11 @@
 
     private final Loop loop;
     private final InetSocketAddress endpoint;
-    private Connections limits;
+    private ConnectionPolicy limits;
     private final Slots<Connection> open = new Slots<>();
     private boolean retired;
 
-    public CacheNode(Loop loop, InetSocketAddress endpoint, Connections limits) {
+    public CacheNode(Loop loop, InetSocketAddress endpoint, ConnectionPolicy limits) {
         this.loop = loop;
         this.endpoint = endpoint;
         this.limits = limits;
@@ -54,7 +54,7 @@
                 best = c;
             }
         }
-        boolean shared = limits.share() && limits.reuse().isCalm(loop.nowMs());
+        boolean shared = limits.preferSharing() && limits.reuseStats().isSharingSafe(loop.nowMs());
         if (best == null || best.load() > 0 && !shared && loop.mayDial()) {
             best = new Connection();
             best.waiting.add(execution);
@@ -65,10 +65,10 @@
     }
 
     @Override
-    public Reached giveUp(Execution execution) {
+    public WriteProgress stopWaiting(Execution execution) {
         for (Connection c : open.all()) {
             if (c.takeBack(execution)) {
-                return Reached.NOT_WHOLE;
+                return WriteProgress.INCOMPLETE;
             }
             for (Sent sent : c.sent) {
                 if (sent.execution == execution) {
@@ -76,11 +76,11 @@
                 }
             }
         }
-        return Reached.NOT_WHOLE;
+        return WriteProgress.INCOMPLETE;
     }
 
     @Override
-    public boolean takeBack(Execution execution) {
+    public boolean cancelUnsent(Execution execution) {
         for (Connection c : open.all()) {
             if (c.takeBack(execution)) {
                 return true;
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void limit(Connections newLimits) {
+    public void setPolicy(ConnectionPolicy newLimits) {
         limits = newLimits;
     }
 
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void endWaiting() {
+    public void failWaiting() {
         for (Connection c : open.all()) {
             c.endUnbegun("the node drains or is gone");
             c.endWaiting("the node drains or is gone");
@@ -115,7 +115,7 @@
     public void retire() {
         retired = true;
         closeIdle();
-        endWaiting();
+        failWaiting();
     }
 
     /**
@@ -129,14 +129,14 @@
     /** A command that was put out, from one byte of the connection to another. */
     private record Sent(Execution execution, long beginsAt, long endsAt, double at) {}
 
-    private final class Connection implements Inflow.Connection {
+    private final class Connection implements LargeValueReceiver.Connection {
         /** Not written yet, as the connection is not up. */
         final ArrayDeque<Execution> waiting = new ArrayDeque<>();
         /** Written and not answered, in order. */
         final ArrayDeque<Sent> sent = new ArrayDeque<>();
         /** Put out, and not known yet to be written whole, in order. */
         private final ArrayDeque<Sent> unwritten = new ArrayDeque<>();
-        private final Inflow inflow = new Inflow(loop, this);
+        private final LargeValueReceiver inflow = new LargeValueReceiver(loop, this);
         private final RespReader reader = new RespReader(loop.pool(), Large.LONGEST, inflow);
         private final int slot = open.put(this);
         private Link link;
@@ -161,9 +161,9 @@
          */
         boolean hasRoom() {
             boolean mayBeCopied = load() == 0 && link != null && loop.nowMs() - answeredAt < COPY_MS
-                    && !limits.reuse().isCalm(loop.nowMs());
+                    && !limits.reuseStats().isSharingSafe(loop.nowMs());
             boolean isWritten = link == null || link.out().size() == 0; // what is behind a command that stands could be taken back no more
-            return load() < limits.commandsAtOnce() && !mayBeCopied && isWritten
+            return load() < limits.maxCommandsPerConnection() && !mayBeCopied && isWritten
                     && (sent.isEmpty() || !sent.peekFirst().execution.hasEnded());
         }
 
@@ -173,7 +173,7 @@
                 return true;
             }
             double idle = loop.nowMs() - idleSince;
-            if (!link.isQuiet() || !limits.reuse().isLikely(idle)) {
+            if (!link.isQuiet() || !limits.reuseStats().mayReuse(idle)) {
                 close();
                 return false;
             }
@@ -214,7 +214,7 @@
             }
             long beginsAt = link.queued();
             try {
-                write(e.command, Math.max(1, Math.round(e.waitUntil - loop.nowMs())), link.out());
+                write(e.command, Math.max(1, Math.round(e.deadlineMs - loop.nowMs())), link.out());
             } catch (RuntimeException fault) { // half a command must not be followed by another
                 sent.add(new Sent(e, beginsAt, Long.MAX_VALUE, loop.nowMs()));
                 ended("fault: " + fault);
@@ -242,7 +242,7 @@
             RespWriter.bulk(to, command.isWrite() ? "C.SET" : "C.GET");
             RespWriter.bulk(to, command.key());
             RespWriter.bulk(to, command.id());
-            RespWriter.bulk(to, command.factsWaiting(waitMs));
+            RespWriter.bulk(to, command.factsWithTimeout(waitMs));
             if (command.isWrite()) {
                 RespWriter.bulk(to, command.value());
             }
@@ -269,24 +269,24 @@
         }
 
         /** The neighbours keep the connection; alone on it, the execution is ended with it where asked. */
-        Reached giveUp(Sent given) {
-            if (limits.closeToGiveUp() && sent.size() == 1) {
-                Reached reached = link.written() >= given.endsAt ? Reached.WHOLE : Reached.NOT_WHOLE;
+        WriteProgress giveUp(Sent given) {
+            if (limits.closeToCancel() && sent.size() == 1) {
+                WriteProgress reached = link.written() >= given.endsAt ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
                 sent.clear();
                 close();
                 return reached;
             }
             if (sent.peek() == given && answeredAt <= given.at) {
                 // Guards the next ones against an answer that never comes: all behind it on the connection are lost.
-                limits.reuse().troubled(loop.nowMs());
+                limits.reuseStats().recordFailure(loop.nowMs());
             }
             closing.callOff();
             closing = loop.at(loop.nowMs() + STUCK_MS, this::closeIfForgotten);
-            return Reached.WHOLE; // what is not written yet goes out still
+            return WriteProgress.COMPLETE; // what is not written yet goes out still
         }
 
         private void closeIfForgotten() {
-            if (!inflow.isUnderWay() && sent.stream().allMatch(s -> s.execution.hasEnded())) {
+            if (!inflow.isReceiving() && sent.stream().allMatch(s -> s.execution.hasEnded())) {
                 close();
             }
         }
@@ -311,9 +311,9 @@
         }
 
         @Override
-        public Execution begins() {
+        public Execution answeringExecution() {
             // Guards the next commands against a client that reads slowly: they would wait behind this value.
-            limits.reuse().troubled(loop.nowMs());
+            limits.reuseStats().recordFailure(loop.nowMs());
             beginsAnswer = isOwed();
             return beginsAnswer ? sent.peek().execution : null;
         }
@@ -335,7 +335,7 @@
         }
 
         private void answered(RespMessage message) {
-            Ending ending = beginsAnswer || isOwed() ? ending(message) : null;
+            ExecutionResult ending = beginsAnswer || isOwed() ? ending(message) : null;
             if (ending == null) { // more than was asked for, or no answer a node gives: what follows is as doubtful
                 message.release();
                 spoilt("not an answer");
@@ -345,7 +345,7 @@
             answeredAt = loop.nowMs();
             beginsAnswer = false;
             Execution done = sent.poll().execution;
-            inflow.whole();
+            inflow.complete();
             if (message.firstWasLong()) {
                 ending.release();
             } else {
@@ -355,15 +355,15 @@
         }
 
         /** Null for what is RESP and yet no answer to a command. */
-        private static Ending ending(RespMessage message) {
+        private static ExecutionResult ending(RespMessage message) {
             if (message.sign == '*' && message.bulks.size() == PARTS) {
-                return message.bulk(0) == null ? Ending.of(Outcome.MISS) : Ending.completed(message.takeBulk(0));
+                return message.bulk(0) == null ? ExecutionResult.of(Outcome.MISS) : ExecutionResult.completed(message.takeBulk(0));
             }
             if (!message.isError()) {
                 return null;
             }
-            return message.line.equals("BUSY") ? Ending.of(Outcome.FULL)
-                    : message.line.startsWith("ERR ") ? Ending.erred(message.line) : null;
+            return message.line.equals("BUSY") ? ExecutionResult.of(Outcome.FULL)
+                    : message.line.startsWith("ERR ") ? ExecutionResult.erred(message.line) : null;
         }
 
         /** Retires a connection that carries nothing, now or before the node would close it. */
@@ -376,13 +376,13 @@
             if (retired) {
                 close();
             } else {
-                closing = loop.at(loop.nowMs() + limits.retireMs(), this::closeIfForgotten);
+                closing = loop.at(loop.nowMs() + limits.idleTimeoutMs(), this::closeIfForgotten);
             }
         }
 
         private void toldOfReuse(boolean broke) {
             if (idleMs >= 0) {
-                limits.reuse().told(idleMs, broke);
+                limits.reuseStats().recordReuse(idleMs, broke);
                 idleMs = -1;
             }
         }
@@ -390,19 +390,19 @@
         @Override
         public void ended(String cause) {
             if (!sent.isEmpty()) {
-                limits.reuse().troubled(loop.nowMs());
+                limits.reuseStats().recordFailure(loop.nowMs());
                 toldOfReuse(true);
             }
             close();
-            broken(whole -> Ending.broken(whole ? Reached.WHOLE : Reached.NOT_WHOLE, cause));
+            broken(whole -> ExecutionResult.connectionFailed(whole ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE, cause));
             endWaiting(cause);
         }
 
         /** The node lives, and what was written whole may have run; what follows on the connection is as doubtful. */
         private void spoilt(String cause) {
-            limits.reuse().troubled(loop.nowMs());
+            limits.reuseStats().recordFailure(loop.nowMs());
             close();
-            broken(whole -> whole ? Ending.erred(cause) : Ending.broken(Reached.NOT_WHOLE, cause));
+            broken(whole -> whole ? ExecutionResult.erred(cause) : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
             endWaiting(cause);
         }
 
@@ -412,11 +412,11 @@
             reader.release();
             open.free(slot);
             link.close();
-            inflow.broken();
+            inflow.fail();
         }
 
         /** Ends what is out, by whether it was written whole. */
-        private void broken(Function<Boolean, Ending> ending) {
+        private void broken(Function<Boolean, ExecutionResult> ending) {
             while (!sent.isEmpty()) {
                 Sent s = sent.poll();
                 s.execution.end(ending.apply(link.written() >= s.endsAt));
@@ -427,13 +427,13 @@
         void endUnbegun(String cause) {
             Sent newest = sent.peekLast();
             if (newest != null && link.written() <= newest.beginsAt && takeBack(newest.execution)) {
-                newest.execution.end(Ending.broken(Reached.NOT_WHOLE, cause));
+                newest.execution.end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
             }
         }
 
         void endWaiting(String cause) {
             while (!waiting.isEmpty()) {
-                waiting.poll().end(Ending.broken(Reached.NOT_WHOLE, cause));
+                waiting.poll().end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
             }
         }
     }
--- a/src/main/java/dappleseam/site/SiteReader.java
+++ b/src/main/java/dappleseam/site/ConfigReader.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import dappleseam.router.Deployment;
+import dappleseam.router.RouterSettings;
 import dappleseam.router.ServiceGrade;
 import dappleseam.wire.Address;
 import dappleseam.wire.Json;
@@ -16,8 +16,8 @@
 import java.util.List;
 
 /** The one place where what is given at start is read, checked and given defaults. */
-public final class SiteReader {
-    private static final Logger LOG = System.getLogger(SiteReader.class.getName());
+public final class ConfigReader {
+    private static final Logger LOG = System.getLogger(ConfigReader.class.getName());
     /** What {@code weightSource} may say of the list's scales; the last two are its absence. */
     private static final List<String> SCALES = List.of("nominal", "rough", "live", "off", "");
     private static final double MS_PER_S = 1000;
@@ -35,9 +35,9 @@
     private JsonNode inForce;
 
     /** What a proxy is told, from its file; a file read again may lack nothing that the one before it had. */
-    public synchronized Post readPost(Path file) throws IOException {
+    public synchronized ProxyConfig readConfig(Path file) throws IOException {
         JsonNode root = parse(Files.readAllBytes(file), file.getFileName().toString());
-        Post post = post(root);
+        ProxyConfig post = post(root);
         if (inForce != null) {
             needAll(inForce, root, "");
         }
@@ -55,23 +55,23 @@
         });
     }
 
-    private static Post post(JsonNode root) {
+    private static ProxyConfig post(JsonNode root) {
         int descriptors = limit(root, "sockets", DESCRIPTORS, LEAST_DESCRIPTORS);
         int memoryMb = limit(root, "memory_mb", MEMORY_MB, LEAST_MEMORY_MB);
-        return new Post(root.path("name").asText("proxy"), address(root, "listen"), control(root),
+        return new ProxyConfig(root.path("name").asText("proxy"), address(root, "listen"), control(root),
                 address(root, "discovery"), seed(root), descriptors, memoryMb, root.path("known"), site(need(root, "", "settings"), "settings."));
     }
 
     private static int limit(JsonNode root, String name, int byDefault, int least) {
         int limit = (int) number(root.path("limits"), "limits.", name, byDefault);
         if (limit < least) {
-            throw new FaultySettingException("limits." + name, "is under " + least);
+            throw new InvalidConfigException("limits." + name, "is under " + least);
         }
         return limit;
     }
 
     /** The settings alone, from their JSON text. */
-    public Site readSite(byte[] json) {
+    public Settings readSettings(byte[] json) {
         return site(parse(json, "settings"), "");
     }
 
@@ -79,17 +79,17 @@
         try {
             JsonNode root = Json.read(json);
             if (!root.isObject()) {
-                throw new FaultySettingException(what, "is no JSON object");
+                throw new InvalidConfigException(what, "is no JSON object");
             }
             return root;
         } catch (JsonProcessingException e) {
-            throw new FaultySettingException(what, "is not JSON: " + e.getOriginalMessage());
+            throw new InvalidConfigException(what, "is not JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new FaultySettingException(what, "cannot be read: " + e.getMessage());
+            throw new InvalidConfigException(what, "cannot be read: " + e.getMessage());
         }
     }
 
-    private static Site site(JsonNode root, String at) {
+    private static Settings site(JsonNode root, String at) {
         JsonNode ceilings = need(root, at, "ceilings");
         JsonNode rules = need(root, at, "rules");
         JsonNode penalties = root.path("penalties");
@@ -102,12 +102,12 @@
             grades.add(grade(grade, inGrade));
             String name = need(grade, inGrade, "name").asText();
             if (name.isEmpty() || names.contains(name)) {
-                throw new FaultySettingException(inGrade + "name", name.isEmpty() ? "is empty" : "is used twice: " + name);
+                throw new InvalidConfigException(inGrade + "name", name.isEmpty() ? "is empty" : "is used twice: " + name);
             }
             names.add(name);
         }
         if (grades.isEmpty()) {
-            throw new FaultySettingException(at + "serviceGrades", "is empty");
+            throw new InvalidConfigException(at + "serviceGrades", "is empty");
         }
         boolean retryAfter = ceilings.path("retryAfter").asBoolean();
         boolean onRequest = root.path("membershipMode").asText().equals("on_request");
@@ -115,7 +115,7 @@
         if (!SCALES.contains(scale)) {
             LOG.log(Level.WARNING, "{0}weightSource: {1} is not known, so all nodes count alike", at, scale);
         }
-        Deployment deployment = new Deployment(
+        RouterSettings deployment = new RouterSettings(
                 List.copyOf(grades),
                 Math.max(1, root.path("balancers").asInt(1)),
                 originModel(extra, root.path("flavors").size(), at + "extra."),
@@ -134,7 +134,7 @@
                 fallMultiple(rules, at + "rules."),
                 number(penalties, at + "penalties.", "connection", 0),
                 number(penalties, at + "penalties.", "handshake", 0));
-        return new Site(deployment, List.copyOf(names), names(root.path("flavors")), names(root.path("dcs")),
+        return new Settings(deployment, List.copyOf(names), names(root.path("flavors")), names(root.path("dcs")),
                 Math.max(1, (int) number(ceilings, inCeilings, "streamsPerConn", 1)),
                 MS_PER_S * number(ceilings, inCeilings, "idleCloseS", 60),
                 MS_PER_S * number(ceilings, inCeilings, "connectTimeoutS", 1),
@@ -148,7 +148,7 @@
         }
         double kind = number(extra, at, "originKind");
         if (kind != Math.rint(kind) || kind >= flavors) {
-            throw new FaultySettingException(at + "originKind", "names none of the flavors");
+            throw new InvalidConfigException(at + "originKind", "names none of the flavors");
         }
         return (int) kind;
     }
@@ -156,7 +156,7 @@
     private static double share(JsonNode node, String at, String name) {
         double share = number(node, at, name);
         if (share > 1) {
-            throw new FaultySettingException(at + name, "is over 1");
+            throw new InvalidConfigException(at + name, "is over 1");
         }
         return share;
     }
@@ -171,7 +171,7 @@
     private static int zone(JsonNode root, String at) {
         double zone = number(root, at, "zone", -1);
         if (zone != Math.rint(zone)) {
-            throw new FaultySettingException(at + "zone", "is no whole number");
+            throw new InvalidConfigException(at + "zone", "is no whole number");
         }
         return (int) zone;
     }
@@ -179,10 +179,10 @@
     private static ServiceGrade grade(JsonNode grade, String at) {
         return new ServiceGrade(
                 switch (need(grade, at, "semantics").asText()) {
-                    case "read_like" -> ServiceGrade.Repeat.IDEMPOTENT;
-                    case "idempotency_key" -> ServiceGrade.Repeat.DEDUPLICATED;
-                    case "non_idempotent" -> ServiceGrade.Repeat.NON_IDEMPOTENT;
-                    default -> throw new FaultySettingException(at + "semantics", "is none of read_like, idempotency_key"
+                    case "read_like" -> ServiceGrade.Semantics.IDEMPOTENT;
+                    case "idempotency_key" -> ServiceGrade.Semantics.DEDUPLICATED;
+                    case "non_idempotent" -> ServiceGrade.Semantics.NON_IDEMPOTENT;
+                    default -> throw new InvalidConfigException(at + "semantics", "is none of read_like, idempotency_key"
                             + " and non_idempotent");
                 },
                 switch (grade.path("group").asText()) {
@@ -207,7 +207,7 @@
     private static JsonNode need(JsonNode node, String at, String name) {
         JsonNode found = node.get(name);
         if (found == null || found.isNull()) {
-            throw new FaultySettingException(at + name, "is missing");
+            throw new InvalidConfigException(at + name, "is missing");
         }
         return found;
     }
@@ -215,7 +215,7 @@
     private static double number(JsonNode node, String at, String name) {
         JsonNode found = need(node, at, name);
         if (!found.isNumber() || found.asDouble() < 0) {
-            throw new FaultySettingException(at + name, "is not a number from 0");
+            throw new InvalidConfigException(at + name, "is not a number from 0");
         }
         return found.asDouble();
     }
@@ -223,7 +223,7 @@
     private static double positive(JsonNode node, String at, String name) {
         double number = number(node, at, name);
         if (number <= 0) {
-            throw new FaultySettingException(at + name, "is not over 0");
+            throw new InvalidConfigException(at + name, "is not over 0");
         }
         return number;
     }
@@ -240,7 +240,7 @@
         try {
             return Address.parse(text);
         } catch (IllegalArgumentException e) {
-            throw new FaultySettingException(name, "is " + e.getMessage());
+            throw new InvalidConfigException(name, "is " + e.getMessage());
         }
     }
 
@@ -258,7 +258,7 @@
         try {
             return Long.parseUnsignedLong(digits, 16);
         } catch (NumberFormatException e) {
-            throw new FaultySettingException("seed", "is not 16 hexadecimal digits: " + digits);
+            throw new InvalidConfigException("seed", "is not 16 hexadecimal digits: " + digits);
         }
     }
 }
--- a/src/main/java/dappleseam/site/FleetFileReader.java
+++ b/src/main/java/dappleseam/site/FleetConfigReader.java
@@ -21,7 +21,7 @@
 import java.util.Set;
 
 /** Reads and checks the operator's file that {@code serve --fleet} names; a fault is told by its key. */
-public final class FleetFileReader {
+public final class FleetConfigReader {
     private static final Set<String> KEYS = Set.of("fleet", "name", "bind", "advertise", "seeds", "period_ms", "counted", "most",
             "forget_s", "record", "leases", "signals", "shares", "turns", "subsets");
     private static final Set<String> LEASE_KEYS = Set.of("voters", "number", "lease_ms", "drift", "voter_file", "list_store");
@@ -29,7 +29,7 @@
     private static final double MS_PER_S = 1000;
     private static final String NAME_FORM = "is not 1 to 48 letters, digits, dots, dashes and underscores";
 
-    private FleetFileReader() {}
+    private FleetConfigReader() {}
 
     /** {@code name} and {@code counted} are the deployment's own, for where the file says nothing. */
     public static Identity read(Path file, String name, int counted) throws IOException {
@@ -37,37 +37,37 @@
         try {
             text = Files.readAllBytes(file);
         } catch (IOException e) {
-            throw new FaultySettingException("--fleet", "cannot be read: " + file);
+            throw new InvalidConfigException("--fleet", "cannot be read: " + file);
         }
         JsonNode root;
         try {
             root = Json.read(text);
         } catch (JsonProcessingException e) {
-            throw new FaultySettingException(file.getFileName().toString(), "is not JSON: " + e.getOriginalMessage());
+            throw new InvalidConfigException(file.getFileName().toString(), "is not JSON: " + e.getOriginalMessage());
         }
         if (!root.isObject()) {
-            throw new FaultySettingException(file.getFileName().toString(), "is no JSON object");
+            throw new InvalidConfigException(file.getFileName().toString(), "is no JSON object");
         }
         root.fieldNames().forEachRemaining(key -> {
             if (!KEYS.contains(key)) {
-                throw new FaultySettingException(key, "is not known");
+                throw new InvalidConfigException(key, "is not known");
             }
         });
         InetSocketAddress bind = address("bind", text(root, "bind", null));
         InetSocketAddress advertise = root.has("advertise") ? address("advertise", text(root, "advertise", null)) : bind;
         if (advertise.getAddress().isAnyLocalAddress()) {
-            throw new FaultySettingException(root.has("advertise") ? "advertise" : "bind", "is no address that others can send to; set advertise");
+            throw new InvalidConfigException(root.has("advertise") ? "advertise" : "bind", "is no address that others can send to; set advertise");
         }
         List<InetSocketAddress> seeds = new ArrayList<>();
         JsonNode listed = root.path("seeds");
         if (!listed.isMissingNode() && !listed.isArray()) {
-            throw new FaultySettingException("seeds", "is no list");
+            throw new InvalidConfigException("seeds", "is no list");
         }
         for (JsonNode seed : listed) {
             seeds.add(address("seeds[" + seeds.size() + "]", seed.asText()));
         }
         if (seeds.size() > MOST_SEEDS) {
-            throw new FaultySettingException("seeds", "are over " + MOST_SEEDS);
+            throw new InvalidConfigException("seeds", "are over " + MOST_SEEDS);
         }
         Terms terms = new Terms(number(root, "period_ms", Terms.PERIOD_MS, 20, 60_000), (int) number(root, "counted", counted, 1, 20_000),
                 (int) number(root, "most", Terms.MOST, 2, 20_000), MS_PER_S * number(root, "forget_s", Terms.FORGET_MS / MS_PER_S, 10, 86_400),
@@ -82,11 +82,11 @@
             return null;
         }
         if (!leases.isObject()) {
-            throw new FaultySettingException("leases", "is no JSON object");
+            throw new InvalidConfigException("leases", "is no JSON object");
         }
         leases.fieldNames().forEachRemaining(key -> {
             if (!LEASE_KEYS.contains(key)) {
-                throw new FaultySettingException("leases." + key, "is not known");
+                throw new InvalidConfigException("leases." + key, "is not known");
             }
         });
         List<MemberName> voters = new ArrayList<>();
@@ -94,14 +94,14 @@
             try {
                 voters.add(new MemberName(voter.asText()));
             } catch (IllegalArgumentException e) {
-                throw new FaultySettingException("leases.voters[" + voters.size() + "]", NAME_FORM);
+                throw new InvalidConfigException("leases.voters[" + voters.size() + "]", NAME_FORM);
             }
         }
         if (voters.size() != 3 && voters.size() != 5) {
-            throw new FaultySettingException("leases.voters", "are neither three nor five");
+            throw new InvalidConfigException("leases.voters", "are neither three nor five");
         }
         if (voters.stream().distinct().count() < voters.size()) {
-            throw new FaultySettingException("leases.voters", "names one twice");
+            throw new InvalidConfigException("leases.voters", "names one twice");
         }
         return new LeaseTerms(voters, (int) number(leases, "leases.", "number", 1, 0, 1_000_000),
                 number(leases, "leases.", "lease_ms", LeaseTerms.LEASE_MS, 500, 600_000), number(leases, "leases.", "drift", LeaseTerms.DRIFT, 0, 0.1));
@@ -116,10 +116,10 @@
             try {
                 URI uri = new URI(store);
                 if (!"http".equals(uri.getScheme()) || uri.getHost() == null || uri.getUserInfo() != null || uri.getQuery() != null) {
-                    throw new FaultySettingException("leases.list_store", "is no address of the form http://host:port/path: " + store);
+                    throw new InvalidConfigException("leases.list_store", "is no address of the form http://host:port/path: " + store);
                 }
             } catch (URISyntaxException e) {
-                throw new FaultySettingException("leases.list_store", "is no address: " + e.getMessage());
+                throw new InvalidConfigException("leases.list_store", "is no address: " + e.getMessage());
             }
         }
         return store;
@@ -127,7 +127,7 @@
 
     private static boolean flag(JsonNode root, String key) {
         if (root.has(key) && !root.get(key).isBoolean()) {
-            throw new FaultySettingException(key, "is neither true nor false");
+            throw new InvalidConfigException(key, "is neither true nor false");
         }
         return root.path(key).asBoolean(false);
     }
@@ -146,10 +146,10 @@
             return byDefault;
         }
         if (found.isMissingNode()) {
-            throw new FaultySettingException(at + key, "is missing");
+            throw new InvalidConfigException(at + key, "is missing");
         }
         if (!found.isTextual() || found.asText().isEmpty()) {
-            throw new FaultySettingException(at + key, "is no text");
+            throw new InvalidConfigException(at + key, "is no text");
         }
         return found.asText();
     }
@@ -158,7 +158,7 @@
         try {
             return new MemberName(text(root, key, byDefault));
         } catch (IllegalArgumentException e) {
-            throw new FaultySettingException(key, NAME_FORM);
+            throw new InvalidConfigException(key, NAME_FORM);
         }
     }
 
@@ -167,10 +167,10 @@
         try {
             address = Address.parse(text);
         } catch (IllegalArgumentException e) {
-            throw new FaultySettingException(key, "is " + e.getMessage());
+            throw new InvalidConfigException(key, "is " + e.getMessage());
         }
         if (address.getPort() == 0 || !(address.getAddress() instanceof Inet4Address)) {
-            throw new FaultySettingException(key, "is no IPv4 address with a port: " + text);
+            throw new InvalidConfigException(key, "is no IPv4 address with a port: " + text);
         }
         return address;
     }
@@ -185,7 +185,7 @@
             return byDefault;
         }
         if (!found.isNumber() || found.asDouble() < least || found.asDouble() > most) {
-            throw new FaultySettingException(at + key, "is no number from " + plain(least) + " to " + plain(most));
+            throw new InvalidConfigException(at + key, "is no number from " + plain(least) + " to " + plain(most));
         }
         return found.asDouble();
     }
--- a/src/main/java/dappleseam/site/FaultySettingException.java
+++ b/src/main/java/dappleseam/site/InvalidConfigException.java
@@ -1,10 +1,10 @@
 package dappleseam.site;
 
 /** Something read at start is missing or makes no sense; the message names the key. */
-public final class FaultySettingException extends RuntimeException {
+public final class InvalidConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    FaultySettingException(String key, String fault) {
+    InvalidConfigException(String key, String fault) {
         super(key + ": " + fault);
     }
 }
--- a/src/test/java/dappleseam/proxy/FleetLookoutTest.java
+++ b/src/test/java/dappleseam/proxy/FleetLookoutTest.java
@@ -7,7 +7,7 @@
 import dappleseam.fleet.share.Said;
 import dappleseam.fleet.share.Seen;
 import dappleseam.fleet.share.Word;
-import dappleseam.router.Learnt;
+import dappleseam.router.NodeHealth;
 import dappleseam.router.NodeId;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,7 @@
     private static final NodeId ONE = new NodeId(1);
     private static final Map<NodeId, Double> CACHES = Map.of(ONE, 5.0, new NodeId(2), 5.0, new NodeId(3), 5.0);
 
-    private final List<Learnt> orders = new ArrayList<>();
+    private final List<NodeHealth> orders = new ArrayList<>();
     private double now = 10_000;
     private double proxies = 10;
     private double place = Double.NaN;
@@ -47,7 +47,7 @@
         return lookout.seen().stream().filter(s -> s.node().equals(ONE)).findFirst().orElseThrow();
     }
 
-    private void look(Map<NodeId, Double> caches, Learnt... learnt) {
+    private void look(Map<NodeId, Double> caches, NodeHealth... learnt) {
         lookout.look(now, List.of(learnt), caches);
     }
 
@@ -128,10 +128,10 @@
     void whatItDoesByHearsayIsNoSightOfItsOwn() {
         look(CACHES);
         lookout.say(List.of(new Said(ONE, 5, Word.FAILS, 2, 0, 0)));
-        assertThat(orders).hasSize(1).allMatch(o -> o.asideUntilMs() > now);
+        assertThat(orders).hasSize(1).allMatch(o -> o.ejectedUntilMs() > now);
         look(CACHES, orders.get(0));
         assertThat(one().fails()).isFalse();
-        look(CACHES, new Learnt(ONE, 5, 14_321, 0, 0, 0));
+        look(CACHES, new NodeHealth(ONE, 5, 14_321, 0, 0, 0));
         assertThat(one().fails()).as("its own trial failed").isTrue();
     }
 
--- a/src/test/java/dappleseam/proxy/LearntFileTest.java
+++ b/src/test/java/dappleseam/proxy/LearntFileTest.java
@@ -4,10 +4,10 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import dappleseam.list.SealedFile;
-import dappleseam.router.Learnt;
+import dappleseam.router.NodeHealth;
 import dappleseam.router.NodeId;
-import dappleseam.site.Site;
-import dappleseam.site.SiteReader;
+import dappleseam.site.Settings;
+import dappleseam.site.ConfigReader;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class LearntFileTest {
-    private static final List<Learnt> LEARNT = List.of(new Learnt(new NodeId(-5), 77, 9000, 0, 2.5, 0.25));
+    private static final List<NodeHealth> LEARNT = List.of(new NodeHealth(new NodeId(-5), 77, 9000, 0, 2.5, 0.25));
 
     @TempDir
     Path folder;
 
-    private static Site site(String machines) {
-        return new SiteReader().readSite(("""
+    private static Settings site(String machines) {
+        return new ConfigReader().readSettings(("""
                 {"flavors":[%s],"dcs":["a","b"],"ceilings":{"mostExecutions":2},"rules":{"coldFrom":0.2,"warmAfterS":10},
                  "serviceGrades":[{"name":"read","semantics":"read_like","sloTimeS":0.5,"statementTimeoutS":1}]}"""
                 .formatted(machines)).getBytes(StandardCharsets.UTF_8));
@@ -62,6 +62,6 @@
         SealedFile.write(file, "dappleseam-learnt-2",
                 json -> json.writeRaw("{\"deployment\":\"m;a,b\",\"at\":5000,\"nodes\":[" + nodes + "]}"));
         assertThat(LearntFile.read(file, site("\"m\""), 5000))
-                .containsExactly(new Learnt(new NodeId(10), 1, 2, 3, 4, 0.5));
+                .containsExactly(new NodeHealth(new NodeId(10), 1, 2, 3, 4, 0.5));
     }
 }
--- a/src/test/java/dappleseam/query/CommandTest.java
+++ b/src/test/java/dappleseam/query/CommandTest.java
@@ -9,7 +9,7 @@
     @Test
     void onlyTheWaitIsChanged() {
         Command command = new Command("k", "id", "c=put,d=480,k=d=5,id=7", null);
-        assertThat(command.factsWaiting(99)).isEqualTo("c=put,d=99,k=d=5,id=7");
+        assertThat(command.factsWithTimeout(99)).isEqualTo("c=put,d=99,k=d=5,id=7");
         assertThat(command.fact("d")).isEqualTo("480");
         assertThat(command.fact("r")).isEmpty();
     }
--- a/src/test/java/dappleseam/router/ColdNodeTest.java
+++ b/src/test/java/dappleseam/router/ColdNodeTest.java
@@ -63,12 +63,12 @@
                 sum += 1 / Math.pow(i + 4, skew);
                 upTo[i] = sum;
             }
-            Deployment site = new Deployment(List.of(OneProxy.READ), proxies, OneProxy.ORIGIN_MODEL, true, false, 0, 0, 1, 4, true, true, 1000,
+            RouterSettings site = new RouterSettings(List.of(OneProxy.READ), proxies, OneProxy.ORIGIN_MODEL, true, false, 0, 0, 1, 4, true, true, 1000,
                     10_000, coldFrom, WARM_AFTER_MS, toldMultiple, 0.08, 0.08);
             for (int i = 0; i < proxies; i++) {
                 int own = i;
                 routers.add(new Router(site, random.split(), new Seat(own), 0));
-                routers.get(i).listGiven(0, list(0), false);
+                routers.get(i).listReplaced(0, list(0), false);
             }
             // Uneven: some get several times the mean.
             double[] share = random.doubles(proxies).map(x -> 0.3 + 3 * x * x * x).toArray();
@@ -97,7 +97,7 @@
                 int key = Arrays.binarySearch(upTo, x);
                 key = key < 0 ? -key - 1 : key;
                 keyOf.add(key);
-                routers.get(proxy).query(now, new QueryId(++queries), new Asking(0, new Key(Hash.mix(key + 1)), 2000, 0, false, false));
+                routers.get(proxy).query(now, new QueryId(++queries), new QueryRequest(0, new Key(Hash.mix(key + 1)), 2000, 0, false, false));
                 arrive(proxy, rate);
             });
         }
@@ -111,7 +111,7 @@
         void play() {
             at(STARTS_AT, () -> {
                 heldCold.clear();
-                routers.forEach(r -> r.listGiven(now, list(STARTS_AT), false));
+                routers.forEach(r -> r.listReplaced(now, list(STARTS_AT), false));
             });
             while (!due.isEmpty() && due.peek().at < ENDS_AT) {
                 Due next = due.poll();
@@ -169,8 +169,8 @@
             public void followList() {}
 
             @Override
-            public void wake(TimerId timer, double delayMs) {
-                at(now + delayMs, () -> routers.get(own).woken(now, timer));
+            public void startTimer(TimerId timer, double delayMs) {
+                at(now + delayMs, () -> routers.get(own).timerFired(now, timer));
             }
 
             @Override
--- a/src/test/java/dappleseam/router/GrowthTest.java
+++ b/src/test/java/dappleseam/router/GrowthTest.java
@@ -31,13 +31,13 @@
         for (int i = 1; i <= CACHES; i++) {
             all.add(cache(i, Member.State.READY));
         }
-        proxy.router.listGiven(1000, all, false);
-        proxy.router.query(1000, new QueryId(0), new Asking(0, new Key(5), 1000, 0, false, false));
+        proxy.router.listReplaced(1000, all, false);
+        proxy.router.query(1000, new QueryId(0), new QueryRequest(0, new Key(5), 1000, 0, false, false));
         double before = cpuMs();
         for (int i = 1; i <= CHANGES; i++) {
             double now = 1000 + i;
             proxy.router.listChanged(now, List.of(cache(i, Member.State.DRAINING), cache(CACHES + i, Member.State.READY)));
-            proxy.router.query(now, new QueryId(i), new Asking(0, new Key(i), 1000, 0, false, false));
+            proxy.router.query(now, new QueryId(i), new QueryRequest(0, new Key(i), 1000, 0, false, false));
         }
         assertThat((cpuMs() - before) / CHANGES).isLessThan(MOST_MS);
     }
--- a/src/test/java/dappleseam/router/OneProxy.java
+++ b/src/test/java/dappleseam/router/OneProxy.java
@@ -6,7 +6,7 @@
 
 /** A router with a host that writes down what it is told to do, and a small deployment around it. */
 final class OneProxy implements Host {
-    static final ServiceGrade READ = grade(ServiceGrade.Repeat.IDEMPOTENT, ServiceGrade.Group.ALL);
+    static final ServiceGrade READ = grade(ServiceGrade.Semantics.IDEMPOTENT, ServiceGrade.Group.ALL);
     static final int ORIGIN_MODEL = 9;
     static final NodeId ORIGIN = new NodeId(99);
 
@@ -16,42 +16,42 @@
     final List<Double> delays = new ArrayList<>();
     final Router router;
 
-    OneProxy(Deployment site) {
+    OneProxy(RouterSettings site) {
         router = new Router(site, RandomGeneratorFactory.of("L64X128MixRandom").create(7), this, 1000);
     }
 
-    static ServiceGrade grade(ServiceGrade.Repeat repeat, ServiceGrade.Group group) {
+    static ServiceGrade grade(ServiceGrade.Semantics repeat, ServiceGrade.Group group) {
         return new ServiceGrade(repeat, group, 2000, 600, 2000, 1, 0, false);
     }
 
     /** Two proxies, three executions, caches that fetch for themselves, a pushed list. */
-    static Deployment through(ServiceGrade grade) {
+    static RouterSettings through(ServiceGrade grade) {
         return site(grade, -1, false, 0);
     }
 
-    static Deployment aside(ServiceGrade grade) {
+    static RouterSettings aside(ServiceGrade grade) {
         return site(grade, ORIGIN_MODEL, false, 0);
     }
 
-    static Deployment parallel() {
+    static RouterSettings parallel() {
         return site(READ, -1, true, 0);
     }
 
-    static Deployment asideInParallel() {
+    static RouterSettings asideInParallel() {
         return site(READ, ORIGIN_MODEL, true, 0);
     }
 
-    static Deployment onRequest() {
+    static RouterSettings onRequest() {
         return site(READ, -1, false, 8000);
     }
 
     /** A list whose scales move with load, at location 1 of two. */
-    static Deployment live(double crossPrice) {
+    static RouterSettings live(double crossPrice) {
         return live(crossPrice, -1);
     }
 
-    static Deployment live(double crossPrice, int originModel) {
-        return new Deployment(List.of(READ), 2, originModel, false, true, 1, crossPrice, 1, 3, false, true, 1000, 0,
+    static RouterSettings live(double crossPrice, int originModel) {
+        return new RouterSettings(List.of(READ), 2, originModel, false, true, 1, crossPrice, 1, 3, false, true, 1000, 0,
                 0.2, 10000, 3, 0, 0);
     }
 
@@ -59,9 +59,9 @@
         return new Member(new NodeId(node), Member.State.READY, 0, 0, zone, scale, 0);
     }
 
-    private static Deployment site(ServiceGrade grade, int originModel, boolean parallel,
+    private static RouterSettings site(ServiceGrade grade, int originModel, boolean parallel,
                                    double askEvery) {
-        return new Deployment(List.of(grade), 2, originModel, true, false, 0, 0, 1, 3, parallel, true, 1000,
+        return new RouterSettings(List.of(grade), 2, originModel, true, false, 0, 0, 1, 3, parallel, true, 1000,
                 askEvery, 0.2, 10000, 3, 0.05, 0.05);
     }
 
@@ -81,16 +81,16 @@
         for (int i = 1; i <= count; i++) {
             members.add(ready(i));
         }
-        router.listGiven(1000, members, false);
+        router.listReplaced(1000, members, false);
         return this;
     }
 
     void ask(double at, int id, long key) {
-        router.query(at, new QueryId(id), new Asking(0, new Key(key), 2000, 0, false, false));
+        router.query(at, new QueryId(id), new QueryRequest(0, new Key(key), 2000, 0, false, false));
     }
 
     void write(double at, int id, long key) {
-        router.query(at, new QueryId(id), new Asking(0, new Key(key), 2000, 0, true, false));
+        router.query(at, new QueryId(id), new QueryRequest(0, new Key(key), 2000, 0, true, false));
     }
 
     void ended(double at, int id, int execution, Outcome outcome, double took) {
@@ -133,7 +133,7 @@
     }
 
     @Override
-    public void wake(TimerId timer, double delayMs) {
+    public void startTimer(TimerId timer, double delayMs) {
         timers.add(timer);
         delays.add(delayMs);
     }
--- a/src/test/java/dappleseam/router/RouterTest.java
+++ b/src/test/java/dappleseam/router/RouterTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dappleseam.router.ServiceGrade.Group;
-import dappleseam.router.ServiceGrade.Repeat;
+import dappleseam.router.ServiceGrade.Semantics;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -21,7 +21,7 @@
         NodeId[] owners = new NodeId[200];
         for (int key = 1; key <= owners.length; key++) {
             OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
-            p.router.listGiven(1000, List.of(members), false);
+            p.router.listReplaced(1000, List.of(members), false);
             p.ask(1000, 1, key);
             owners[key - 1] = p.last();
         }
@@ -71,7 +71,7 @@
     @ParameterizedTest
     @EnumSource(value = Outcome.class, names = {"ERRED", "RESET", "TIMED_OUT", "CANCELLED"})
     void aNonIdempotentQueryThatMayHaveRunIsAborted(Outcome outcome) {
-        OneProxy p = new OneProxy(OneProxy.through(grade(Repeat.NON_IDEMPOTENT, Group.ALL))).listed(3);
+        OneProxy p = new OneProxy(OneProxy.through(grade(Semantics.NON_IDEMPOTENT, Group.ALL))).listed(3);
         p.ask(1000, 1, 42);
         p.ended(1010, 1, 0, outcome, 10);
         assertThat(p.done).containsExactly("execute 1", "abort 1");
@@ -79,7 +79,7 @@
 
     @Test
     void aNonIdempotentQueryThatNeverRanGoesOn() {
-        OneProxy p = new OneProxy(OneProxy.through(grade(Repeat.NON_IDEMPOTENT, Group.ALL))).listed(3);
+        OneProxy p = new OneProxy(OneProxy.through(grade(Semantics.NON_IDEMPOTENT, Group.ALL))).listed(3);
         p.ask(1000, 1, 42);
         p.ended(1010, 1, 0, Outcome.FULL, 10);
         assertThat(p.done).containsExactly("execute 1", "execute 1");
@@ -87,7 +87,7 @@
 
     @Test
     void aDeduplicatedQueryThatMayHaveRunStaysInItsZone() {
-        OneProxy p = new OneProxy(OneProxy.through(grade(Repeat.DEDUPLICATED, Group.ZONE))).listed(6);
+        OneProxy p = new OneProxy(OneProxy.through(grade(Semantics.DEDUPLICATED, Group.ZONE))).listed(6);
         p.ask(1000, 1, 42);
         p.ended(1010, 1, 0, Outcome.RESET, 10);
         assertThat(p.sentTo).hasSize(2);
@@ -96,7 +96,7 @@
 
     @Test
     void aDeduplicatedQueryIsNotRepeatedPastItsWindow() {
-        ServiceGrade brief = new ServiceGrade(Repeat.DEDUPLICATED, Group.ALL, 300, 600, 2000, 1, 0.5, false);
+        ServiceGrade brief = new ServiceGrade(Semantics.DEDUPLICATED, Group.ALL, 300, 600, 2000, 1, 0.5, false);
         OneProxy p = new OneProxy(OneProxy.through(brief)).listed(3);
         p.ask(1000, 1, 42);
         p.ended(1310, 1, 0, Outcome.RESET, 310);
@@ -116,7 +116,7 @@
     @Test
     void aColdCacheGetsAShareOfItsKeys() {
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
-        p.router.listGiven(50000, List.of(OneProxy.ready(1),
+        p.router.listReplaced(50000, List.of(OneProxy.ready(1),
                 OneProxy.member(2, Member.State.READY, 50000)), false);
         for (int i = 1; i <= 200; i++) {
             p.ask(50000 + i, i, i);
@@ -129,7 +129,7 @@
     @Test
     void aHotKeyDoesNotPushAColdCacheOver() {
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
-        p.router.listGiven(50000, List.of(OneProxy.ready(1), OneProxy.ready(3),
+        p.router.listReplaced(50000, List.of(OneProxy.ready(1), OneProxy.ready(3),
                 OneProxy.member(2, Member.State.READY, 50000)), false);
         for (int key = 1; key <= 100; key++) {
             for (int i = 0; i < 30; i++) {
@@ -169,7 +169,7 @@
     @Test
     void anUnreachableOriginIsAnsweredAtOnce() {
         OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ));
-        p.router.listGiven(1000, List.of(OneProxy.ready(1)), false);
+        p.router.listReplaced(1000, List.of(OneProxy.ready(1)), false);
         p.ask(1000, 1, 42);
         p.ended(1001, 1, 0, Outcome.MISS, 1);
         assertThat(p.done).containsExactly("execute 1", "reject 1");
@@ -224,7 +224,7 @@
     @ParameterizedTest
     @EnumSource(value = Outcome.class, names = {"RESET", "CONNECT_FAILED"})
     void brokenConnectionsDoNotCutTheOriginsLimit(Outcome broken) {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.grade(Repeat.DEDUPLICATED, Group.ALL))).listed(4);
+        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.grade(Semantics.DEDUPLICATED, Group.ALL))).listed(4);
         for (int i = 0; i < 40; i++) { // one broken connection in four
             p.write(1000 + 10 * i, i, i);
             p.ended(1001 + 10 * i, i, 0, i % 4 == 0 ? broken : Outcome.COMPLETED, 1);
@@ -256,13 +256,13 @@
     /** litoral churn+long: four in ten of its answers lost, the origin's limit fell to nothing and stayed there. */
     @Test
     void anOriginThatMostlyAnswersInTimeKeepsItsLimit() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.grade(Repeat.NON_IDEMPOTENT, Group.ALL))).listed(4);
+        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.grade(Semantics.NON_IDEMPOTENT, Group.ALL))).listed(4);
         for (int i = 0; i < 90; i++) {
             p.write(1000 + 20 * i, i, i);
             boolean lost = i % 7 < 3;
             p.ended(1010 + 20 * i, i, 0, lost ? Outcome.TIMED_OUT : Outcome.COMPLETED, lost ? 1990 : 10);
             double at = 1010 + 20 * i;
-            List.copyOf(p.timers).forEach(timer -> p.router.woken(at, timer)); // what is lost gives its place back
+            List.copyOf(p.timers).forEach(timer -> p.router.timerFired(at, timer)); // what is lost gives its place back
         }
         p.done.clear();
         IntStream.range(100, 102).forEach(i -> p.write(5000, i, i));
@@ -314,7 +314,7 @@
     void aSilentCacheGetsASecondCopyElsewhere() {
         OneProxy p = new OneProxy(OneProxy.asideInParallel()).listed(4);
         p.ask(1000, 1, 42);
-        p.router.woken(1360, p.timers.get(0));
+        p.router.timerFired(1360, p.timers.get(0));
         assertThat(new HashSet<>(p.sentTo)).hasSize(2);
     }
 
@@ -332,10 +332,10 @@
     /** Guards open queries against new settings: executions that were allowed stay allowed, and those to come are fewer. */
     @Test
     void openQueriesKeepTheExecutionsTheyWereTakenWith() {
-        Deployment site = OneProxy.through(OneProxy.READ);
+        RouterSettings site = OneProxy.through(OneProxy.READ);
         OneProxy p = new OneProxy(site).listed(5);
         p.ask(1000, 1, 42);
-        p.router.settingsChanged(1001, new Deployment(site.grades(), 2, -1, true, false, 0, 0, 1, 1, false, true, 1000, 0,
+        p.router.settingsChanged(1001, new RouterSettings(site.grades(), 2, -1, true, false, 0, 0, 1, 1, false, true, 1000, 0,
                 0.2, 10000, 3, 0.05, 0.05));
         p.ask(1002, 2, 43);
         p.ended(1005, 1, 0, Outcome.ERRED, 5);
@@ -355,7 +355,7 @@
             p.ask(1000, 1, 42);
             p.ended(1010, 1, 0, Outcome.MISS, 10);
             int sent = p.sentTo.size();
-            p.router.woken(1370, p.timers.get(p.timers.size() - 1));
+            p.router.timerFired(1370, p.timers.get(p.timers.size() - 1));
             assertThat(p.sentTo.subList(sent, p.sentTo.size())).hasSize(usual < 100 ? 1 : 0)
                     .allMatch(OneProxy.ORIGIN::equals);
         }
@@ -367,13 +367,13 @@
         for (boolean write : new boolean[] {true, false}) {
             OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(4);
             for (int i = 0; i < 60; i++) {
-                p.router.query(1000 + 100 * i, new QueryId(i), new Asking(0, new Key(i + 1), 60, 0, write, false));
+                p.router.query(1000 + 100 * i, new QueryId(i), new QueryRequest(0, new Key(i + 1), 60, 0, write, false));
                 p.ended(1050 + 100 * i, i, 0, Outcome.TIMED_OUT, 50);
-                p.router.woken(1099 + 100 * i, p.timers.get(p.timers.size() - 1)); // its place is free again
+                p.router.timerFired(1099 + 100 * i, p.timers.get(p.timers.size() - 1)); // its place is free again
             }
             p.done.clear();
             for (int i = 100; i < 110; i++) {
-                p.router.query(9000, new QueryId(i), new Asking(0, new Key(i), 2000, 0, write, false));
+                p.router.query(9000, new QueryId(i), new QueryRequest(0, new Key(i), 2000, 0, write, false));
             }
             assertThat(p.done).filteredOn(done -> done.startsWith("execute")).hasSize(10);
         }
@@ -383,7 +383,7 @@
     void theCopyThatLosesIsCalledOff() {
         OneProxy p = new OneProxy(OneProxy.asideInParallel()).listed(4);
         p.ask(1000, 1, 42);
-        p.router.woken(1240, p.timers.get(0));
+        p.router.timerFired(1240, p.timers.get(0));
         p.ended(1300, 1, 1, Outcome.COMPLETED, 60);
         assertThat(p.done).endsWith("cancel 1/0");
     }
@@ -391,9 +391,9 @@
     @Test
     void aFailedCallToTheListIsRepeated() {
         OneProxy p = new OneProxy(OneProxy.onRequest());
-        p.router.woken(1500, p.timers.get(0));
+        p.router.timerFired(1500, p.timers.get(0));
         p.router.listFailed(1600);
-        p.router.woken(3200, p.timers.get(2));
+        p.router.timerFired(3200, p.timers.get(2));
         assertThat(p.done).containsExactly("follow", "follow");
     }
 
@@ -402,7 +402,7 @@
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
         p.ended(1000, 77, 0, Outcome.COMPLETED, 1);
         p.router.clientLeft(1000, new QueryId(78));
-        p.router.woken(1000, new TimerId(79));
+        p.router.timerFired(1000, new TimerId(79));
         assertThat(p.done).isEmpty();
     }
 
@@ -438,7 +438,7 @@
         int sent = 0;
         for (int proxy = 0; proxy < 200; proxy++) {
             OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
-            p.router.listGiven(50000, List.of(OneProxy.ready(1), OneProxy.ready(3),
+            p.router.listReplaced(50000, List.of(OneProxy.ready(1), OneProxy.ready(3),
                     OneProxy.member(2, Member.State.READY, 50000)), false);
             for (int i = 1; i <= 20; i++) {
                 p.ask(50000 + i, i, 1000L * proxy + i);
@@ -475,7 +475,7 @@
         NodeId[] owners = owners(OneProxy.ready(1), OneProxy.ready(2), OneProxy.ready(3));
         int[] keys = IntStream.rangeClosed(1, 200).filter(k -> owners[k - 1].equals(owners[0])).toArray();
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
-        p.router.listGiven(1000, List.of(OneProxy.ready(1), OneProxy.ready(2), OneProxy.ready(3)), false);
+        p.router.listReplaced(1000, List.of(OneProxy.ready(1), OneProxy.ready(2), OneProxy.ready(3)), false);
         for (int i = 0; i < 200; i++) {
             if (!owners[i].equals(owners[0])) {
                 p.ask(1000, 1000 + i, i + 1);
@@ -494,7 +494,7 @@
     @Test
     void aKeyJustMissedIsNotAskedForAgainWhileTheOriginHasNoRoom() {
         OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ));
-        p.router.listGiven(1000, List.of(OneProxy.ready(1)), false);
+        p.router.listReplaced(1000, List.of(OneProxy.ready(1)), false);
         p.ask(1000, 1, 42);
         p.ended(1001, 1, 0, Outcome.MISS, 1);
         p.ask(1002, 2, 42);
@@ -603,9 +603,9 @@
     @Test
     void aLastTryPastItsSloTimeIsAnsweredAtOnce() {
         OneProxy p = new OneProxy(OneProxy.live(0)).listed(5);
-        p.router.query(1000, new QueryId(1), new Asking(0, new Key(1), 1200, 0, false, false));
-        p.router.query(1100, new QueryId(2), new Asking(0, new Key(1), 1200, 0, false, true));
-        p.router.query(1900, new QueryId(3), new Asking(0, new Key(1), 1100, 0, false, true));
+        p.router.query(1000, new QueryId(1), new QueryRequest(0, new Key(1), 1200, 0, false, false));
+        p.router.query(1100, new QueryId(2), new QueryRequest(0, new Key(1), 1200, 0, false, true));
+        p.router.query(1900, new QueryId(3), new QueryRequest(0, new Key(1), 1100, 0, false, true));
         assertThat(p.done).containsExactly("execute 1", "execute 2", "reject 3");
     }
 
@@ -614,7 +614,7 @@
     void thereAreNoCopiesWhereCachesFetch() {
         OneProxy p = new OneProxy(OneProxy.parallel()).listed(4);
         p.ask(1000, 1, 42);
-        List.copyOf(p.timers).forEach(timer -> p.router.woken(1360, timer));
+        List.copyOf(p.timers).forEach(timer -> p.router.timerFired(1360, timer));
         assertThat(p.done).containsExactly("execute 1");
     }
 
@@ -638,15 +638,15 @@
     @Test
     void aRouterThatTakesOverAvoidsWhatIsIllAndNothingElse() {
         OneProxy old = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
-        for (int id = 1; old.router.learnt().isEmpty(); id++) {
+        for (int id = 1; old.router.nodeHealth().isEmpty(); id++) {
             old.ask(1000, id, 42);
             old.ended(1000, id, 0, Outcome.CONNECT_FAILED, 0);
         }
-        List<Learnt> learnt = old.router.learnt();
+        List<NodeHealth> learnt = old.router.nodeHealth();
         long ill = learnt.get(0).node().value();
         for (boolean told : new boolean[] {true, false}) {
             OneProxy fresh = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
-            fresh.router.recall(1200, told ? learnt : List.of());
+            fresh.router.restoreNodeHealth(1200, told ? learnt : List.of());
             for (int key = 0; key < 40; key++) {
                 fresh.ask(1300, key, key);
                 fresh.ended(1301, key, 0, Outcome.COMPLETED, 1);
@@ -655,16 +655,16 @@
         }
         OneProxy restarted = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
         restarted.router.listChanged(1200, List.of(OneProxy.member(ill, Member.State.READY, 1100)));
-        restarted.router.recall(1200, learnt);
-        assertThat(restarted.router.avoided(1300)).isZero();
+        restarted.router.restoreNodeHealth(1200, learnt);
+        assertThat(restarted.router.unavailableCount(1300)).isZero();
     }
 
     /** Guards against a file that is wrong: what it says of a node holds for seconds at most, and the list wins. */
     @Test
     void whatIsRecalledIsBoundedAndNeverOverrulesTheList() {
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
-        p.router.recall(1000, List.of(new Learnt(new NodeId(1), 0, 1e15, 1e15, 0, 0),
-                new Learnt(new NodeId(2), 0, 1e15, 0, 0, 0), new Learnt(new NodeId(77), 0, 0, 0, 0, 0)));
+        p.router.restoreNodeHealth(1000, List.of(new NodeHealth(new NodeId(1), 0, 1e15, 1e15, 0, 0),
+                new NodeHealth(new NodeId(2), 0, 1e15, 0, 0, 0), new NodeHealth(new NodeId(77), 0, 0, 0, 0, 0)));
         p.router.listChanged(1001, List.of(OneProxy.member(3, Member.State.DRAINING, 0),
                 OneProxy.member(99, Member.State.DRAINING, 0)));
         p.ask(1002, 1, 42);
@@ -723,7 +723,7 @@
     private static double inFlightAtMost(double times) {
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(5);
         p.ask(1000, 0, 0);
-        p.router.toldOfFleet(2 / times, Double.NaN);
+        p.router.fleetShareChanged(2 / times, Double.NaN);
         for (int i = 1; i < 1000; i++) {
             p.ask(1000, i, i);
         }
--- a/src/test/java/dappleseam/site/FleetFileReaderTest.java
+++ b/src/test/java/dappleseam/site/FleetFileReaderTest.java
@@ -18,12 +18,12 @@
     Path folder;
 
     private Identity read(String text) throws Exception {
-        return FleetFileReader.read(Files.writeString(folder.resolve("fleet.json"), text), "n1", 7);
+        return FleetConfigReader.read(Files.writeString(folder.resolve("fleet.json"), text), "n1", 7);
     }
 
     @Test
     void theExampleIsSoundAndLeavesDefaults() throws Exception {
-        Identity read = FleetFileReader.read(SHIPPED, "n1", 7);
+        Identity read = FleetConfigReader.read(SHIPPED, "n1", 7);
         assertThat(read.name().text()).isEqualTo("n1");
         assertThat(read.terms().counted()).isEqualTo(7);
         assertThat(read.advertise()).isEqualTo(read.bind());
@@ -42,7 +42,7 @@
     void aFaultNamesItsKey(String sound, String faulty, String message) throws Exception {
         String shipped = Files.readString(SHIPPED);
         assertThat(shipped).contains(sound);
-        assertThatThrownBy(() -> read(shipped.replace(sound, faulty))).isInstanceOf(FaultySettingException.class).hasMessageStartingWith(message);
+        assertThatThrownBy(() -> read(shipped.replace(sound, faulty))).isInstanceOf(InvalidConfigException.class).hasMessageStartingWith(message);
     }
 
     @ParameterizedTest
@@ -60,13 +60,13 @@
         if (message.isEmpty()) {
             assertThat(read(text).leases().majority()).isEqualTo(2);
         } else {
-            assertThatThrownBy(() -> read(text)).isInstanceOf(FaultySettingException.class).hasMessageStartingWith(message);
+            assertThatThrownBy(() -> read(text)).isInstanceOf(InvalidConfigException.class).hasMessageStartingWith(message);
         }
     }
 
     @Test
     void aFileThatIsNotThereIsSaidSo() {
-        assertThatThrownBy(() -> FleetFileReader.read(folder.resolve("none"), "n1", 1)).isInstanceOf(FaultySettingException.class)
+        assertThatThrownBy(() -> FleetConfigReader.read(folder.resolve("none"), "n1", 1)).isInstanceOf(InvalidConfigException.class)
                 .hasMessageStartingWith("--fleet: cannot be read");
     }
 }
--- a/src/test/java/dappleseam/site/SiteReaderTest.java
+++ b/src/test/java/dappleseam/site/SiteReaderTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import dappleseam.router.Deployment;
+import dappleseam.router.RouterSettings;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -14,18 +14,18 @@
             {"ceilings":{"mostExecutions":2},"rules":{"coldFrom":0.2,"warmAfterS":10},
              "serviceGrades":[{"name":"read","semantics":"read_like","sloTimeS":0.5,"statementTimeoutS":1}]}""";
 
-    private static Site read(String json) {
-        return new SiteReader().readSite(json.getBytes(StandardCharsets.UTF_8));
+    private static Settings read(String json) {
+        return new ConfigReader().readSettings(json.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void whatIsMissingHasDefaults() {
-        Site site = read(SITE);
+        Settings site = read(SITE);
         assertThat(site.gradeNames()).containsExactly("read");
-        assertThat(site.commandsAtOnce()).isEqualTo(1);
-        assertThat(site.deployment().parallelExecutions()).isFalse();
-        assertThat(site.deployment().originModel()).isEqualTo(-1);
-        assertThat(site.deployment().grades().get(0).sloMs()).isEqualTo(500);
+        assertThat(site.maxCommandsPerConnection()).isEqualTo(1);
+        assertThat(site.routerSettings().parallelExecutions()).isFalse();
+        assertThat(site.routerSettings().originModel()).isEqualTo(-1);
+        assertThat(site.routerSettings().grades().get(0).sloMs()).isEqualTo(500);
     }
 
     @ParameterizedTest
@@ -49,28 +49,28 @@
     void aFaultNamesItsKey(String sound, String faulty, String message) {
         assertThat(SITE).contains(sound);
         assertThatThrownBy(() -> read(SITE.replace(sound, faulty)))
-                .isInstanceOf(FaultySettingException.class).hasMessage(message);
+                .isInstanceOf(InvalidConfigException.class).hasMessage(message);
     }
 
     /** A cold cache that never falls, as 0 says, gets all of its due, as one for which nothing is told. */
     @Test
     void noMultipleIsNoLimit() {
-        assertThat(read(SITE).deployment().fallMultiple()).isEqualTo(3);
-        assertThat(read(SITE.replace("\"coldFrom\":0.2", "\"coldFrom\":0.2,\"fallMultiple\":2")).deployment().fallMultiple()).isEqualTo(2);
-        assertThat(read(SITE.replace("\"coldFrom\":0.2", "\"coldFrom\":0.2,\"fallMultiple\":0")).deployment().fallMultiple()).isInfinite();
+        assertThat(read(SITE).routerSettings().fallMultiple()).isEqualTo(3);
+        assertThat(read(SITE.replace("\"coldFrom\":0.2", "\"coldFrom\":0.2,\"fallMultiple\":2")).routerSettings().fallMultiple()).isEqualTo(2);
+        assertThat(read(SITE.replace("\"coldFrom\":0.2", "\"coldFrom\":0.2,\"fallMultiple\":0")).routerSettings().fallMultiple()).isInfinite();
     }
 
     /** The move: what the module newly reads, and that its absence or an unknown word leaves all as it was. */
     @Test
     void scalesThatMoveTheOwnZoneAndThePriceOfCrossingAreRead() {
-        Deployment told = read(SITE.replace("\"rules\"", "\"weightSource\":\"live\",\"zone\":1,\"penalties\":"
-                + "{\"crossZone\":0.12},\"rules\"")).deployment();
+        RouterSettings told = read(SITE.replace("\"rules\"", "\"weightSource\":\"live\",\"zone\":1,\"penalties\":"
+                + "{\"crossZone\":0.12},\"rules\"")).routerSettings();
         assertThat(told.scaleMoves()).isTrue();
         assertThat(told.scaleIsStable()).isFalse();
         assertThat(told.zone()).isEqualTo(1);
         assertThat(told.crossPrice()).isEqualTo(0.12);
         for (String other : new String[] {"", "\"weightSource\":\"lunar\","}) {
-            Deployment untold = read(SITE.replace("\"rules\"", other + "\"rules\"")).deployment();
+            RouterSettings untold = read(SITE.replace("\"rules\"", other + "\"rules\"")).routerSettings();
             assertThat(untold.scaleMoves()).isFalse();
             assertThat(untold.scaleIsStable()).isFalse();
             assertThat(untold.zone()).isEqualTo(-1);
