--- a/src/main/java/dappleseam/fleet/lastlist/KeepList.java
+++ b/src/main/java/dappleseam/fleet/lastlist/LastListTask.java
@@ -8,7 +8,7 @@
 import java.util.function.Supplier;
 
 /** One proxy writes the list as it last had it, so that one which starts while the list service is down has it. */
-public final class KeepList implements FleetTask {
+public final class LastListTask implements FleetTask {
     private static final LeaseName LEASE = new LeaseName("last-list");
     private static final double EVERY_MS = 1000;
     /** Time in ms that a write may take. */
@@ -24,7 +24,7 @@
     private long writes;
 
     /** {@code last}: the list as this proxy last had it, or null; for any thread. */
-    public KeepList(Supplier<NodeList> last, ListStore store) {
+    public LastListTask(Supplier<NodeList> last, ListStore store) {
         this.last = last;
         this.store = store;
     }
--- a/src/main/java/dappleseam/fleet/lastlist/ListStore.java
+++ b/src/main/java/dappleseam/fleet/lastlist/ListStore.java
@@ -10,7 +10,7 @@
 /** Where the fleet's last known list is kept: a resource that refuses older tokens than it has seen. */
 public interface ListStore {
     /** What is there. {@code number}: of that token's writes; {@code writtenMs}: by the writer's wall clock; {@code list}: in the list service's form. */
-    record Stored(Token token, long number, double writtenMs, JsonNode list) {
+    record Stored(Token token, long number, double writtenAtMs, JsonNode list) {
         /** Whether a write by that token and number comes after this one: guards against one that was long on its way. */
         public boolean isBefore(Token other, long itsNumber) {
             return token.isBelow(other) || token.equals(other) && number < itsNumber;
--- a/src/main/java/dappleseam/fleet/membership/Notice.java
+++ b/src/main/java/dappleseam/fleet/membership/MemberEntry.java
@@ -4,13 +4,13 @@
 
 /**
  * What is said of a member. Notices of one name are ordered by life, incarnation and state, and each view keeps the greatest, so that
- * views which heard the same agree, in whatever order it came. {@code incarnation}: 0 to {@link #LAST}; only the process itself
+ * views which heard the same agree, in whatever order it came. {@code incarnation}: 0 to {@link #MAX_INCARNATION}; only the process itself
  * raises it. {@code accuser}: who suspects it, as a hash; 0 otherwise. Sources: SWIM (Das, Gupta, Motivala 2002).
  */
-public record Notice(MemberName name, InetSocketAddress address, Life life, int incarnation, State state, int accuser)
-        implements Comparable<Notice> {
+public record MemberEntry(MemberName name, InetSocketAddress address, Generation generation, int incarnation, State state, int accuser)
+        implements Comparable<MemberEntry> {
     /** Last incarnation of a life; a process that has to go beyond begins another. */
-    public static final int LAST = 1 << 30;
+    public static final int MAX_INCARNATION = 1 << 30;
     /** Bytes that a notice takes beside its name, at most: address 7 and 3, life 9 and 9, incarnation 5, state 1, accuser 5, frame 3. */
     private static final int FRAME_BYTES = 42;
     private static final int CHECK_PRIME = 0x9E3779B1;
@@ -28,7 +28,7 @@
         LEFT;
 
         /** Alive as far as anyone could prove. */
-        public boolean isPresent() {
+        public boolean isLive() {
             return this == ALIVE || this == SUSPECT;
         }
 
@@ -38,8 +38,8 @@
         }
     }
 
-    public Notice {
-        if (incarnation < 0 || incarnation > LAST) {
+    public MemberEntry {
+        if (incarnation < 0 || incarnation > MAX_INCARNATION) {
             throw new IllegalArgumentException("no incarnation");
         }
         if (address.getPort() == 0 || address.isUnresolved() || address.getAddress().getAddress().length != 4) {
@@ -47,13 +47,13 @@
         }
     }
 
-    public Notice with(State now, int by) {
-        return new Notice(name, address, life, incarnation, now, by);
+    public MemberEntry withState(State now, int by) {
+        return new MemberEntry(name, address, generation, incarnation, now, by);
     }
 
     @Override
-    public int compareTo(Notice other) {
-        int byLife = life.compareTo(other.life);
+    public int compareTo(MemberEntry other) {
+        int byLife = generation.compareTo(other.generation);
         if (byLife != 0) {
             return byLife;
         }
@@ -62,7 +62,7 @@
     }
 
     /** At most so many bytes in a datagram. */
-    public int bytes() {
+    public int maxEncodedBytes() {
         return FRAME_BYTES + name.text().length();
     }
 
@@ -72,8 +72,8 @@
             return 0;
         }
         int sum = name.hashCode();
-        sum = mix(sum, Long.hashCode(life.start()));
-        sum = mix(sum, Long.hashCode(life.nonce()));
+        sum = mix(sum, Long.hashCode(generation.start()));
+        sum = mix(sum, Long.hashCode(generation.nonce()));
         sum = mix(sum, incarnation);
         return mix(sum, state == State.FAILED ? 1 : 0);
     }
--- a/src/main/java/dappleseam/fleet/membership/Membership.java
+++ b/src/main/java/dappleseam/fleet/membership/Membership.java
@@ -1,6 +1,6 @@
 package dappleseam.fleet.membership;
 
-import dappleseam.fleet.membership.Notice.State;
+import dappleseam.fleet.membership.MemberEntry.State;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -23,11 +23,11 @@
  * docs/fleet-design.md adds to them. Free of I/O, one method per thing that can happen; times are ms of a clock that is never set.
  * Not for several threads.
  */
-public final class Membership implements Correspondent {
+public final class Membership implements MembershipProtocol {
     /** Bytes of news in one datagram: 1,400 less two notices and the frame. */
-    public static final int NEWS_BYTES = 1100;
+    public static final int MAX_UPDATE_BYTES = 1100;
     /** Parts of a view that are compared by their sums. */
-    public static final int PARTS = 128;
+    public static final int DIGEST_BUCKETS = 128;
     /** Datagrams that answer one comparison at most. */
     private static final int MOST_PARTS_SENT = 8;
     /** Share of a period after which others are asked to probe, too; after which they say that it was in vain; after which it is judged. */
@@ -39,7 +39,7 @@
     /** Share of a period by which a wake-up that comes late is a stall of this process's own. */
     private static final double STALL_SHARE = 0.2;
     /** Periods after a stall in which a process accuses nobody. */
-    public static final double DOUBT_PERIODS = 2;
+    public static final double STALL_GRACE_PERIODS = 2;
     /** Periods after a stall in which it counts as slow. */
     private static final double SLOW_PERIODS = 5;
     /** Worst state of one's own health, which multiplies periods and time-outs (Lifeguard); from which one counts as slow. */
@@ -88,18 +88,18 @@
     /** Members told directly that one leaves. */
     private static final int FAREWELLS = 8;
 
-    private final FleetHost host;
+    private final MembershipHost host;
     private final RandomGenerator random;
-    private Terms terms;
-    private Notice self;
+    private MembershipConfig terms;
+    private MemberEntry self;
     private List<InetSocketAddress> seeds = List.of();
     private final Map<MemberName, Peer> peers = new LinkedHashMap<>();
-    private final List<Peer> present = new ArrayList<>();
+    private final List<Peer> liveMembers = new ArrayList<>();
     private final List<Peer> failed = new ArrayList<>();
     private final ArrayDeque<Peer> gone = new ArrayDeque<>();
     private int nextProbed;
-    private final int[] sums = new int[PARTS];
-    private final Rumours<MemberName, Notice> rumours = new Rumours<>(Notice::bytes, notice -> false);
+    private final int[] sums = new int[DIGEST_BUCKETS];
+    private final Rumours<MemberName, MemberEntry> rumours = new Rumours<>(MemberEntry::maxEncodedBytes, notice -> false);
     private boolean telling;
     private final PriorityQueue<Due> dues = new PriorityQueue<>();
     private long duesMade;
@@ -109,7 +109,7 @@
     private double wokenAt = Double.NaN;
     private double doubtUntil = Double.NEGATIVE_INFINITY;
     private double slowUntil = Double.NEGATIVE_INFINITY;
-    private int health;
+    private int healthScore;
     private long numbers;
     private Probe probe;
     private final Map<Long, Errand> errands = new HashMap<>();
@@ -122,23 +122,23 @@
     private int looks;
     private double heardAt;
     private boolean heardAny;
-    private double counted;
+    private double fleetSize;
     /** The most members that were counted at once, this one among them: those of the file's number beyond it were never heard of, and may come at any time. */
     private int mostKnown = 1;
     private double fallsFrom;
-    private Standing standing;
+    private MembershipStatus status;
     private final Set<Long> outranked = new HashSet<>();
     private long twinAsked;
     private double twinAskedAt = Double.NEGATIVE_INFINITY;
-    private Notice twin;
+    private MemberEntry duplicate;
     private double twinSeenAt = Double.NEGATIVE_INFINITY;
     private boolean hasLeft;
-    private long turnedAway;
+    private long droppedForCapacity;
 
     /** Another member. */
     private static final class Peer {
-        Notice notice;
-        /** Place in {@link #present} or {@link #failed}; -1 for neither. */
+        MemberEntry notice;
+        /** Place in {@link #liveMembers} or {@link #failed}; -1 for neither. */
         int place = -1;
         Suspicion suspicion;
         double sinceMs;
@@ -147,7 +147,7 @@
         double refusedAt;
         double lookedAt = Double.NEGATIVE_INFINITY;
 
-        Peer(Notice notice) {
+        Peer(MemberEntry notice) {
             this.notice = notice;
         }
     }
@@ -201,15 +201,15 @@
     }
 
     /** {@code self}: a life just begun, incarnation 0, alive. {@link #begin} starts it. */
-    public Membership(Terms terms, Notice self, FleetHost host, RandomGenerator random, double nowMs) {
+    public Membership(MembershipConfig terms, MemberEntry self, MembershipHost host, RandomGenerator random, double nowMs) {
         this.terms = terms;
         this.self = self;
         this.host = host;
         this.random = random;
         now = nowMs;
         heardAt = now;
-        counted = terms.counted();
-        standing = new Standing(Standing.Kind.STARTING, nowMs, List.of());
+        fleetSize = terms.initialFleetSize();
+        status = new MembershipStatus(MembershipStatus.Kind.STARTING, nowMs, List.of());
         sums[part(self.name())] ^= self.sum();
     }
 
@@ -223,9 +223,9 @@
     }
 
     /** For a simulation that begins in the middle of a fleet's life: all of these are known, and nothing of it is news. */
-    public void remember(double nowMs, List<Notice> known) {
+    public void preload(double nowMs, List<MemberEntry> known) {
         enter(nowMs);
-        for (Notice notice : known) {
+        for (MemberEntry notice : known) {
             if (!notice.name().equals(self.name())) {
                 change(peers.computeIfAbsent(notice.name(), name -> new Peer(null)), notice);
             }
@@ -236,11 +236,11 @@
     }
 
     /** Terms as they are now, for periods to come. */
-    public void termsChanged(double nowMs, Terms other, List<InetSocketAddress> known) {
+    public void configChanged(double nowMs, MembershipConfig other, List<InetSocketAddress> known) {
         enter(nowMs);
         terms = other;
         seeds = List.copyOf(known);
-        counted = Math.max(counted, actual());
+        fleetSize = Math.max(fleetSize, actual());
         leave();
     }
 
@@ -253,8 +253,8 @@
         leave();
     }
 
-    /** Nobody listens where {@link FleetHost#call} went. */
-    public void refused(double nowMs, InetSocketAddress peer) {
+    /** Nobody listens where {@link MembershipHost#pingConnected} went. */
+    public void connectionRefused(double nowMs, InetSocketAddress peer) {
         enter(nowMs);
         if (retry != null && retry.peer.notice.address().equals(peer)) {
             refusedBy(retry.peer);
@@ -263,24 +263,24 @@
     }
 
     /** An operator knows that it has ended for good. False where no such member is counted. */
-    public boolean endedByWord(double nowMs, MemberName name) {
+    public boolean markEnded(double nowMs, MemberName name) {
         enter(nowMs);
         Peer peer = peers.get(name);
         boolean known = peer != null && peer.notice.state() == State.FAILED;
         if (known) {
-            change(peer, peer.notice.with(State.ENDED, 0));
+            change(peer, peer.notice.withState(State.ENDED, 0));
         }
         leave();
         return known;
     }
 
     /** This process is about to end, and its place with it. Nothing is sent after this. */
-    public void leaving(double nowMs) {
+    public void announceLeave(double nowMs) {
         enter(nowMs);
         if (!hasLeft) {
-            say(new Notice(self.name(), self.address(), self.life(), Math.min(Notice.LAST, self.incarnation() + 1), State.LEFT, 0));
+            say(new MemberEntry(self.name(), self.address(), self.generation(), Math.min(MemberEntry.MAX_INCARNATION, self.incarnation() + 1), State.LEFT, 0));
             for (Peer peer : some(FAREWELLS, null)) {
-                host.tell(peer.notice.address(), self, List.of());
+                host.gossip(peer.notice.address(), self, List.of());
             }
             hasLeft = true;
             dues.clear();
@@ -290,18 +290,18 @@
     // What other members send.
 
     /** Takes what came from another member just now. */
-    public Correspondent heard(double nowMs) {
+    public MembershipProtocol receiver(double nowMs) {
         enter(nowMs);
         return this;
     }
 
     @Override
-    public void ping(InetSocketAddress from, Notice sender, long number, MemberName target, List<Notice> news) {
+    public void ping(InetSocketAddress from, MemberEntry sender, long number, MemberName target, List<MemberEntry> news) {
         if (!hear(from, sender, news)) {
             return;
         }
         if (target != null && !target.equals(self.name())) { // another's address once: that it is not here is worth knowing
-            host.tell(from, self, List.of());
+            host.gossip(from, self, List.of());
         } else {
             host.ack(from, self, number, null, news(sender));
         }
@@ -309,7 +309,7 @@
     }
 
     @Override
-    public void ack(InetSocketAddress from, Notice sender, long number, Notice about, List<Notice> news) {
+    public void ack(InetSocketAddress from, MemberEntry sender, long number, MemberEntry about, List<MemberEntry> news) {
         if (!hear(from, sender, news)) {
             return;
         }
@@ -339,7 +339,7 @@
     }
 
     @Override
-    public void nack(InetSocketAddress from, Notice sender, long number) {
+    public void nack(InetSocketAddress from, MemberEntry sender, long number) {
         if (hear(from, sender, List.of())) {
             if (probe != null && probe.number == number) {
                 probe.nacks.add(sender.name());
@@ -349,7 +349,7 @@
     }
 
     @Override
-    public void ask(InetSocketAddress from, Notice sender, long number, Notice target, List<Notice> news) {
+    public void pingRequest(InetSocketAddress from, MemberEntry sender, long number, MemberEntry target, List<MemberEntry> news) {
         if (!hear(from, sender, news)) {
             return;
         }
@@ -369,8 +369,8 @@
     }
 
     @Override
-    public void sums(InetSocketAddress from, Notice sender, boolean answer, int[] theirs) {
-        if (theirs.length != PARTS || !hear(from, sender, List.of())) {
+    public void digests(InetSocketAddress from, MemberEntry sender, boolean answer, int[] theirs) {
+        if (theirs.length != DIGEST_BUCKETS || !hear(from, sender, List.of())) {
             return;
         }
         boolean agrees = Arrays.equals(theirs, sums);
@@ -394,7 +394,7 @@
     }
 
     @Override
-    public void tell(InetSocketAddress from, Notice sender, List<Notice> news) {
+    public void gossip(InetSocketAddress from, MemberEntry sender, List<MemberEntry> news) {
         if (hear(from, sender, news)) {
             if (retry != null && retry.peer.notice.address().equals(from) && !sender.name().equals(retry.peer.notice.name())) {
                 refusedBy(retry.peer); // another member has its address now
@@ -404,8 +404,8 @@
     }
 
     /** What is in any datagram. False where it is to be passed over. */
-    private boolean hear(InetSocketAddress from, Notice sender, List<Notice> news) {
-        if (hasLeft || sender.life().equals(self.life())) { // guards against datagrams that come back to their sender
+    private boolean hear(InetSocketAddress from, MemberEntry sender, List<MemberEntry> news) {
+        if (hasLeft || sender.generation().equals(self.generation())) { // guards against datagrams that come back to their sender
             return false;
         }
         if (isTwin(sender)) {
@@ -417,8 +417,8 @@
         learn(sender);
         news.forEach(this::learn);
         Peer peer = peers.get(sender.name());
-        if (peer != null && !peer.notice.state().isPresent() && peer.notice.life().equals(sender.life())
-                && sender.state().isPresent()) {
+        if (peer != null && !peer.notice.state().isLive() && peer.notice.generation().equals(sender.generation())
+                && sender.state().isLive()) {
             look(peer); // it lives, and hears that it has to say so
         }
         return true;
@@ -431,13 +431,13 @@
         double late = dues.isEmpty() ? 0 : nowMs - lost - dues.peek().at;
         if (late > STALL_SHARE * terms.periodMs() && terms.localHealth()) {
             lost += late;
-            doubtUntil = nowMs - lost + DOUBT_PERIODS * terms.periodMs();
+            doubtUntil = nowMs - lost + STALL_GRACE_PERIODS * terms.periodMs();
             slowUntil = nowMs - lost + SLOW_PERIODS * terms.periodMs();
             worse();
             if (probe != null) {
                 probe.tellsNothing = true;
             }
-            host.stoodStill(late);
+            host.stalled(late);
         }
         now = Math.max(now, nowMs - lost);
     }
@@ -457,15 +457,15 @@
     }
 
     private void worse() {
-        health = terms.localHealth() ? Math.min(WORST_HEALTH, health + 1) : 0;
+        healthScore = terms.localHealth() ? Math.min(WORST_HEALTH, healthScore + 1) : 0;
     }
 
     private void better() {
-        health = Math.max(0, health - 1);
+        healthScore = Math.max(0, healthScore - 1);
     }
 
     private double everyMs() {
-        return terms.periodMs() * (1 + health);
+        return terms.periodMs() * (1 + healthScore);
     }
 
     private void period() {
@@ -480,21 +480,21 @@
         if (periods % RETRY_PERIODS == 0) {
             retryOne();
         }
-        if (present.isEmpty() && failed.isEmpty() || periods % SEED_PERIODS == 0) {
+        if (liveMembers.isEmpty() && failed.isEmpty() || periods % SEED_PERIODS == 0) {
             trySeed();
         }
-        if (--compareIn <= 0 && !present.isEmpty()) {
+        if (--compareIn <= 0 && !liveMembers.isEmpty()) {
             compareIn = caughtUp ? COMPARE_PERIODS / 2 + random.nextInt(COMPARE_PERIODS) : 1 + random.nextInt(CATCH_UP_PERIODS);
-            compare(present.get(random.nextInt(present.size())).notice.address(), false);
+            compare(liveMembers.get(random.nextInt(liveMembers.size())).notice.address(), false);
         }
-        while (!gone.isEmpty() && gone.peek().sinceMs + terms.forgetMs() <= now) {
+        while (!gone.isEmpty() && gone.peek().sinceMs + terms.forgetAfterMs() <= now) {
             Peer peer = gone.poll();
-            if (!peer.notice.state().isCounted() && peer.sinceMs + terms.forgetMs() <= now) {
+            if (!peer.notice.state().isCounted() && peer.sinceMs + terms.forgetAfterMs() <= now) {
                 peers.remove(peer.notice.name());
             }
         }
-        if (counted > actual() && now >= fallsFrom) {
-            counted = Math.max(actual(), counted - Math.max(1, FALL_SHARE * counted));
+        if (fleetSize > actual() && now >= fallsFrom) {
+            fleetSize = Math.max(actual(), fleetSize - Math.max(1, FALL_SHARE * fleetSize));
         }
         stand();
     }
@@ -502,16 +502,16 @@
     // Probing.
 
     private void probeNext(double every) {
-        if (present.isEmpty()) {
+        if (liveMembers.isEmpty()) {
             return;
         }
-        if (nextProbed >= present.size()) {
+        if (nextProbed >= liveMembers.size()) {
             nextProbed = 0;
-            for (int i = present.size() - 1; i > 0; i--) {
+            for (int i = liveMembers.size() - 1; i > 0; i--) {
                 swap(i, random.nextInt(i + 1));
             }
         }
-        Probe begun = new Probe(++numbers, present.get(nextProbed++));
+        Probe begun = new Probe(++numbers, liveMembers.get(nextProbed++));
         probe = begun;
         host.ping(begun.peer.notice.address(), self, begun.number, begun.peer.notice.name(), news(begun.peer.notice));
         due(ASK_SHARE * every, "ask", () -> askOthers(begun));
@@ -529,7 +529,7 @@
         host.ping(open.peer.notice.address(), self, open.number, open.peer.notice.name(), news(open.peer.notice));
         for (Peer helper : helpers(open.peer)) {
             open.asked.add(helper);
-            host.ask(helper.notice.address(), self, open.number, open.peer.notice, news(helper.notice));
+            host.pingRequest(helper.notice.address(), self, open.number, open.peer.notice, news(helper.notice));
         }
     }
 
@@ -549,7 +549,7 @@
         if (doubtful) {
             worse(); // those that were asked did not even say no: it may be this one's own ear
         }
-        if (over.peer.notice.state().isPresent() && !(terms.localHealth() && now < doubtUntil)) {
+        if (over.peer.notice.state().isLive() && !(terms.localHealth() && now < doubtUntil)) {
             suspect(over.peer, self.name().hashCode());
             if (over.peer.suspicion != null) {
                 over.peer.suspicion.blamedSelf |= doubtful;
@@ -562,14 +562,14 @@
             peer.suspicion = new Suspicion(now);
             peer.suspicion.accusers.add(accuser);
             if (peer.notice.state() == State.ALIVE) {
-                change(peer, peer.notice.with(State.SUSPECT, accuser));
+                change(peer, peer.notice.withState(State.SUSPECT, accuser));
             } else {
                 spread(peer.notice);
             }
         } else if (peer.suspicion.accusers.size() > ACCUSERS || !peer.suspicion.accusers.add(accuser)) {
             return;
         } else {
-            spread(peer.notice.with(State.SUSPECT, accuser));
+            spread(peer.notice.withState(State.SUSPECT, accuser));
             if (peer.suspicion.blamedSelf) { // another found the same: it was not this one's ear
                 peer.suspicion.blamedSelf = false;
                 better();
@@ -581,15 +581,15 @@
     private void watch(Peer peer, Suspicion suspicion) {
         due(Math.max(0, suspicion.beganAt + suspicionMs(suspicion) - now), "suspicion", () -> {
             if (peer.suspicion == suspicion && now + GRAIN_MS >= suspicion.beganAt + suspicionMs(suspicion)) {
-                change(peer, peer.notice.with(State.FAILED, 0));
+                change(peer, peer.notice.withState(State.FAILED, 0));
             }
         });
     }
 
     /** Lifeguard's: the longer, the fewer have accused it. */
     private double suspicionMs(Suspicion suspicion) {
-        double least = SUSPICION_PERIODS * Math.log10(Math.max(10, present.size() + 1)) * terms.periodMs();
-        int wanted = Math.min(ACCUSERS, present.size() - 2);
+        double least = SUSPICION_PERIODS * Math.log10(Math.max(10, liveMembers.size() + 1)) * terms.periodMs();
+        int wanted = Math.min(ACCUSERS, liveMembers.size() - 2);
         if (!terms.localHealth() || wanted < 1 || suspicion.foundFailed) {
             return least;
         }
@@ -619,8 +619,8 @@
         if (retry != null) {
             retry.left--;
             retry.number = ++numbers;
-            Notice target = retry.peer.notice;
-            host.call(target.address(), self, retry.number, target.name(), news(target));
+            MemberEntry target = retry.peer.notice;
+            host.pingConnected(target.address(), self, retry.number, target.name(), news(target));
         }
     }
 
@@ -632,7 +632,7 @@
             peer.refusedAt = now;
         }
         if (++peer.refusals >= REFUSALS && now >= peer.refusedAt + REFUSED_PERIODS * terms.periodMs()) {
-            change(peer, peer.notice.with(State.ENDED, 0));
+            change(peer, peer.notice.withState(State.ENDED, 0));
         } else if (retry != null) {
             retry.left = Math.max(retry.left, 1); // it is worth asking on
         }
@@ -649,21 +649,21 @@
 
     /** Whether somebody else found it silent, too. */
     private boolean missedByOthers(Peer peer) {
-        return !peer.notice.state().isPresent() || peer.suspicion != null && peer.suspicion.accusers.stream().anyMatch(a -> a != 0 && a != self.name().hashCode());
+        return !peer.notice.state().isLive() || peer.suspicion != null && peer.suspicion.accusers.stream().anyMatch(a -> a != 0 && a != self.name().hashCode());
     }
 
     /** Whom to ask to probe in one's stead: by chance, of those that nobody suspects as long as there are. Guards against the silence of many that died at once, which is taken for one's own. */
     private List<Peer> helpers(Peer but) {
-        List<Peer> drawn = some(HELPER_DRAWS * terms.helpers(), but);
+        List<Peer> drawn = some(HELPER_DRAWS * terms.indirectProbes(), but);
         drawn.sort(Comparator.comparing(peer -> peer.suspicion != null));
-        return drawn.subList(0, Math.min(terms.helpers(), drawn.size()));
+        return drawn.subList(0, Math.min(terms.indirectProbes(), drawn.size()));
     }
 
     /** So many present members by chance, without that one. */
     private List<Peer> some(int count, Peer but) {
         List<Peer> chosen = new ArrayList<>(count);
-        for (int tries = 0; tries < 3 * count && chosen.size() < count && !present.isEmpty(); tries++) {
-            Peer one = present.get(random.nextInt(present.size()));
+        for (int tries = 0; tries < 3 * count && chosen.size() < count && !liveMembers.isEmpty(); tries++) {
+            Peer one = liveMembers.get(random.nextInt(liveMembers.size()));
             if (one != but && !chosen.contains(one)) {
                 chosen.add(one);
             }
@@ -673,7 +673,7 @@
 
     // What is known of others.
 
-    private void learn(Notice n) {
+    private void learn(MemberEntry n) {
         if (n.name().equals(self.name())) {
             learnOfSelf(n);
             return;
@@ -683,13 +683,13 @@
             if (!n.state().isCounted()) {
                 return; // nothing to guard against: it is not known here
             }
-            if (peers.size() >= terms.most()) {
-                turnedAway++;
+            if (peers.size() >= terms.maxMembers()) {
+                droppedForCapacity++;
                 return;
             }
             peer = new Peer(null);
             peers.put(n.name(), peer);
-            change(peer, n.state() == State.SUSPECT ? n.with(State.ALIVE, 0) : n);
+            change(peer, n.state() == State.SUSPECT ? n.withState(State.ALIVE, 0) : n);
             if (n.state() == State.SUSPECT) {
                 suspect(peer, n.accuser());
             }
@@ -697,7 +697,7 @@
         }
         int order = n.compareTo(peer.notice);
         if (order < 0) {
-            if (n.state().isPresent() && !peer.notice.state().isPresent()) {
+            if (n.state().isLive() && !peer.notice.state().isLive()) {
                 spread(peer.notice); // guards against old news that would raise the dead
             }
         } else if (order == 0) {
@@ -709,23 +709,23 @@
         }
     }
 
-    private void learnNew(Peer peer, Notice n) {
-        boolean sameProcess = n.life().equals(peer.notice.life());
+    private void learnNew(Peer peer, MemberEntry n) {
+        boolean sameProcess = n.generation().equals(peer.notice.generation());
         switch (n.state()) {
             case SUSPECT -> {
                 if (!sameProcess || n.incarnation() > peer.notice.incarnation()) {
-                    change(peer, n.with(State.ALIVE, 0));
+                    change(peer, n.withState(State.ALIVE, 0));
                 }
                 suspect(peer, n.accuser());
             }
             case FAILED -> {
-                if (!peer.notice.state().isPresent()) {
+                if (!peer.notice.state().isLive()) {
                     change(peer, n);
                     return;
                 }
                 // Not believed at a stroke: guards good neighbours in a split that heals.
                 if (!sameProcess || n.incarnation() > peer.notice.incarnation()) {
-                    change(peer, n.with(State.ALIVE, 0));
+                    change(peer, n.withState(State.ALIVE, 0));
                 }
                 if (peer.suspicion == null) {
                     suspect(peer, 0);
@@ -741,8 +741,8 @@
     }
 
     /** Every change of a peer's notice passes here. */
-    private void change(Peer peer, Notice to) {
-        Notice before = peer.notice;
+    private void change(Peer peer, MemberEntry to) {
+        MemberEntry before = peer.notice;
         int part = part(to.name());
         if (before != null) {
             sums[part] ^= before.sum();
@@ -752,34 +752,34 @@
         if (to.state() != State.SUSPECT) {
             peer.suspicion = null;
         }
-        if (before == null || before.state() != to.state() || !before.life().equals(to.life())) {
+        if (before == null || before.state() != to.state() || !before.generation().equals(to.generation())) {
             peer.sinceMs = now;
             peer.viaOthers = 0;
             peer.refusals = 0;
         }
-        boolean wasPresent = before != null && before.state().isPresent();
+        boolean wasPresent = before != null && before.state().isLive();
         boolean wasFailed = before != null && before.state() == State.FAILED;
-        if (wasPresent && !to.state().isPresent()) {
-            takeOut(present, peer);
+        if (wasPresent && !to.state().isLive()) {
+            takeOut(liveMembers, peer);
         } else if (wasFailed && to.state() != State.FAILED) {
             takeOut(failed, peer);
         }
-        if (!wasPresent && to.state().isPresent()) {
-            putIn(present, peer);
-            swap(peer.place, random.nextInt(present.size()));
+        if (!wasPresent && to.state().isLive()) {
+            putIn(liveMembers, peer);
+            swap(peer.place, random.nextInt(liveMembers.size()));
         } else if (!wasFailed && to.state() == State.FAILED) {
             putIn(failed, peer);
         }
         if (!to.state().isCounted()) {
             gone.add(peer);
-            if (counted <= actual() + 1) { // guards the count against the end of a twin, which is not the member's
+            if (fleetSize <= actual() + 1) { // guards the count against the end of a twin, which is not the member's
                 fallsFrom = now + FALL_AFTER_PERIODS * terms.periodMs();
             }
         }
         mostKnown = Math.max(mostKnown, known());
-        counted = Math.max(counted, actual());
+        fleetSize = Math.max(fleetSize, actual());
         spread(to);
-        host.seen(before, to);
+        host.memberChanged(before, to);
     }
 
     private static void putIn(List<Peer> list, Peer peer) {
@@ -797,14 +797,14 @@
     }
 
     private void swap(int one, int other) {
-        Collections.swap(present, one, other);
-        present.get(one).place = one;
-        present.get(other).place = other;
+        Collections.swap(liveMembers, one, other);
+        liveMembers.get(one).place = one;
+        liveMembers.get(other).place = other;
     }
 
     // Rumours and views.
 
-    private void spread(Notice notice) {
+    private void spread(MemberEntry notice) {
         rumours.put(notice.name(), notice);
         if (!telling) {
             telling = true;
@@ -816,33 +816,33 @@
         telling = !rumours.isEmpty();
         if (telling) {
             for (Peer peer : some(TOLD_AT_ONCE, null)) {
-                host.tell(peer.notice.address(), self, news(peer.notice));
+                host.gossip(peer.notice.address(), self, news(peer.notice));
             }
             due(TELL_SHARE * terms.periodMs(), "tell", this::tellSome);
         }
     }
 
     /** What has been told least, and before it what the one who gets it has to know of itself. */
-    private List<Notice> news(Notice to) {
-        List<Notice> news = new ArrayList<>();
-        int room = NEWS_BYTES;
+    private List<MemberEntry> news(MemberEntry to) {
+        List<MemberEntry> news = new ArrayList<>();
+        int room = MAX_UPDATE_BYTES;
         Peer known = to == null ? null : peers.get(to.name());
         if (known != null && (known.notice.state() != State.ALIVE && terms.localHealth() || known.notice.compareTo(to) > 0
                 || known.notice.state() == State.FAILED)) {
             news.add(known.notice);
-            room -= known.notice.bytes();
+            room -= known.notice.maxEncodedBytes();
         }
-        news.addAll(rumours.tell(room, present.size()));
+        news.addAll(rumours.tell(room, liveMembers.size()));
         return news;
     }
 
     private void compare(InetSocketAddress with, boolean answer) {
-        host.sums(with, self, answer, sums.clone());
+        host.digests(with, self, answer, sums.clone());
     }
 
     /** From a part by chance on, so that views too different for one exchange agree after a few. */
     private void sendParts(InetSocketAddress to, int[] theirs) {
-        List<List<Notice>> parts = new ArrayList<>(Collections.nCopies(PARTS, null));
+        List<List<MemberEntry>> parts = new ArrayList<>(Collections.nCopies(DIGEST_BUCKETS, null));
         peers.values().forEach(peer -> {
             int part = part(peer.notice.name());
             if (theirs[part] != sums[part]) {
@@ -852,82 +852,82 @@
                 parts.get(part).add(peer.notice);
             }
         });
-        List<Notice> news = new ArrayList<>();
-        int room = NEWS_BYTES;
+        List<MemberEntry> news = new ArrayList<>();
+        int room = MAX_UPDATE_BYTES;
         int sent = 0;
-        int first = random.nextInt(PARTS);
-        for (int i = 0; i < PARTS; i++) {
-            List<Notice> part = parts.get((first + i) % PARTS);
-            for (Notice notice : part == null ? List.<Notice>of() : part) {
-                if (notice.bytes() > room) {
-                    host.tell(to, self, news);
+        int first = random.nextInt(DIGEST_BUCKETS);
+        for (int i = 0; i < DIGEST_BUCKETS; i++) {
+            List<MemberEntry> part = parts.get((first + i) % DIGEST_BUCKETS);
+            for (MemberEntry notice : part == null ? List.<MemberEntry>of() : part) {
+                if (notice.maxEncodedBytes() > room) {
+                    host.gossip(to, self, news);
                     if (++sent >= MOST_PARTS_SENT) {
                         return;
                     }
                     news = new ArrayList<>();
-                    room = NEWS_BYTES;
+                    room = MAX_UPDATE_BYTES;
                 }
                 news.add(notice);
-                room -= notice.bytes();
+                room -= notice.maxEncodedBytes();
             }
         }
-        host.tell(to, self, news);
+        host.gossip(to, self, news);
     }
 
     private static int part(MemberName name) {
         int hash = name.hashCode();
-        return (hash ^ (hash >>> 15)) & (PARTS - 1);
+        return (hash ^ (hash >>> 15)) & (DIGEST_BUCKETS - 1);
     }
 
     // Who this process is.
 
-    private void say(Notice now) {
+    private void say(MemberEntry now) {
         sums[part(self.name())] ^= self.sum() ^ now.sum();
         self = now;
         spread(self);
     }
 
-    private void learnOfSelf(Notice n) {
-        if (n.life().equals(self.life())) {
+    private void learnOfSelf(MemberEntry n) {
+        if (n.generation().equals(self.generation())) {
             if (n.compareTo(self) > 0) {
                 worse();
-                if (n.incarnation() == Notice.LAST) {
+                if (n.incarnation() == MemberEntry.MAX_INCARNATION) {
                     begin(n);
                 } else {
-                    say(new Notice(self.name(), self.address(), self.life(), n.incarnation() + 1, State.ALIVE, 0));
+                    say(new MemberEntry(self.name(), self.address(), self.generation(), n.incarnation() + 1, State.ALIVE, 0));
                 }
             }
-        } else if (n.life().nonce() == self.life().nonce()) {
-            if (n.life().compareTo(self.life()) < 0) {
+        } else if (n.generation().nonce() == self.generation().nonce()) {
+            if (n.generation().compareTo(self.generation()) < 0) {
                 spread(self); // a life of this process's own that it has left behind
             } else {
                 begin(n);
             }
-        } else if (n.life().compareTo(self.life()) < 0) {
+        } else if (n.generation().compareTo(self.generation()) < 0) {
             if (n.state().isCounted()) {
                 spread(self); // old news of the process before this one
             }
-        } else if (!n.state().isCounted() || !n.state().isPresent() && twin() == null) {
+        } else if (!n.state().isCounted() || !n.state().isLive() && duplicate() == null) {
             begin(n); // whoever that was is over
-        } else if (outranked.size() < MOST_LIVES && outranked.add(n.life().nonce())) {
+        } else if (outranked.size() < MOST_LIVES && outranked.add(n.generation().nonce())) {
             begin(n); // the process before this one had a clock that was ahead
-            if (n.state().isPresent()) {
+            if (n.state().isLive()) {
                 askTwin(n.address());
             }
-        } else if (n.state().isPresent()) {
+        } else if (n.state().isLive()) {
             askTwin(n.address()); // it went above this one again, so it lives
         }
     }
 
     /** A life above that one's. */
-    private void begin(Notice above) {
-        if (above.life().start() < Life.LATEST) {
-            say(new Notice(self.name(), self.address(), new Life(above.life().start() + 1, self.life().nonce()), 0, State.ALIVE, 0));
+    private void begin(MemberEntry above) {
+        if (above.generation().start() < Generation.MAX_START) {
+            say(new MemberEntry(self.name(), self.address(), new Generation(above.generation().start() + 1, self.generation().nonce()), 0, State.ALIVE, 0));
         }
     }
 
-    private boolean isTwin(Notice other) {
-        return other.name().equals(self.name()) && other.life().nonce() != self.life().nonce();
+    private boolean isTwin(MemberEntry other) {
+        return other.name().equals(self.name()) && other.generation().nonce() != self.generation().nonce();
     }
 
     private void askTwin(InetSocketAddress at) {
@@ -938,11 +938,11 @@
         }
     }
 
-    private void twinProved(Notice other) {
-        if (twin() == null) {
+    private void twinProved(MemberEntry other) {
+        if (duplicate() == null) {
             host.log("fleet: another process goes by this one's name " + self.name() + ", at " + other.address());
         }
-        twin = other;
+        duplicate = other;
         twinSeenAt = now;
     }
 
@@ -950,100 +950,100 @@
 
     /** What the counted fleet may fall to: silence lowers it for nobody, neither of those that failed nor of those that were never heard of. */
     private int actual() {
-        return known() + Math.max(0, terms.counted() - mostKnown);
+        return known() + Math.max(0, terms.initialFleetSize() - mostKnown);
     }
 
     private int known() {
-        return present.size() + failed.size() + 1;
+        return liveMembers.size() + failed.size() + 1;
     }
 
     private void stand() {
         List<MemberName> missing = new ArrayList<>();
         failed.stream().limit(MOST_MISSING).forEach(peer -> missing.add(peer.notice.name()));
-        present.stream().filter(peer -> peer.viaOthers >= VIA_OTHERS).limit(MOST_MISSING - missing.size())
+        liveMembers.stream().filter(peer -> peer.viaOthers >= VIA_OTHERS).limit(MOST_MISSING - missing.size())
                 .forEach(peer -> missing.add(peer.notice.name()));
-        Standing.Kind kind;
+        MembershipStatus.Kind kind;
         if (now < slowUntil) {
-            kind = Standing.Kind.SLOW;
+            kind = MembershipStatus.Kind.SLOW;
         } else if (!heardAny) {
-            kind = Standing.Kind.STARTING;
-        } else if (now > heardAt + ALONE_PERIODS * terms.periodMs() && present.size() + failed.size() > 0) {
-            kind = Standing.Kind.ALONE;
-        } else if (health >= SLOW_HEALTH) {
-            kind = Standing.Kind.SLOW;
+            kind = MembershipStatus.Kind.STARTING;
+        } else if (now > heardAt + ALONE_PERIODS * terms.periodMs() && liveMembers.size() + failed.size() > 0) {
+            kind = MembershipStatus.Kind.ALONE;
+        } else if (healthScore >= SLOW_HEALTH) {
+            kind = MembershipStatus.Kind.SLOW;
         } else {
-            kind = missing.isEmpty() ? Standing.Kind.WITH_ALL : Standing.Kind.CUT_OFF;
+            kind = missing.isEmpty() ? MembershipStatus.Kind.WITH_ALL : MembershipStatus.Kind.CUT_OFF;
         }
-        if (kind != standing.kind() || !missing.equals(standing.missing())) {
-            boolean same = kind == standing.kind();
-            standing = new Standing(kind, same ? standing.sinceMs() : now + lost, List.copyOf(missing));
-            host.stands(standing);
+        if (kind != status.kind() || !missing.equals(status.missing())) {
+            boolean same = kind == status.kind();
+            status = new MembershipStatus(kind, same ? status.sinceMs() : now + lost, List.copyOf(missing));
+            host.statusChanged(status);
             if (!same) {
-                host.log(String.format(Locale.ROOT, "fleet: stands %s, %d alive, counted %d, missing %s", kind, present.size() + 1,
-                        counted(), missing));
+                host.log(String.format(Locale.ROOT, "fleet: stands %s, %d alive, counted %d, missing %s", kind, liveMembers.size() + 1,
+                        fleetSize(), missing));
             }
         }
     }
 
     // What can be read of it.
 
-    public Notice self() {
+    public MemberEntry self() {
         return self;
     }
 
-    public Standing standing() {
-        return standing;
+    public MembershipStatus status() {
+        return status;
     }
 
     /** What limits may be divided by: at least 1. */
-    public int counted() {
-        return (int) Math.ceil(counted);
+    public int fleetSize() {
+        return (int) Math.ceil(fleetSize);
     }
 
     /** Own health: 0 is good, 8 the worst. */
-    public int health() {
-        return health;
+    public int healthScore() {
+        return healthScore;
     }
 
     /** Another process that goes by this one's name; null for none lately. */
-    public Notice twin() {
-        return now < twinSeenAt + TWIN_LASTS_PERIODS * terms.periodMs() ? twin : null;
+    public MemberEntry duplicate() {
+        return now < twinSeenAt + TWIN_LASTS_PERIODS * terms.periodMs() ? duplicate : null;
     }
 
     /** News of members for whom there was no room. */
-    public long turnedAway() {
-        return turnedAway;
+    public long droppedForCapacity() {
+        return droppedForCapacity;
     }
 
     /** What is known of that member, or null. */
-    public Notice of(MemberName name) {
+    public MemberEntry lookup(MemberName name) {
         Peer peer = peers.get(name);
         return name.equals(self.name()) ? self : peer == null ? null : peer.notice;
     }
 
-    public int alive() {
-        return present.size() + 1;
+    public int liveCount() {
+        return liveMembers.size() + 1;
     }
 
     /** The whole view, this process first. */
-    public List<Notice> view() {
-        List<Notice> view = new ArrayList<>(peers.size() + 1);
+    public List<MemberEntry> view() {
+        List<MemberEntry> view = new ArrayList<>(peers.size() + 1);
         view.add(self);
         peers.values().forEach(peer -> view.add(peer.notice));
         return view;
     }
 
     /** Of the view, those that are alive as far as anyone could prove, this process among them unless it has left. */
-    public List<Notice> present() {
-        return view().stream().filter(notice -> notice.state().isPresent()).toList();
+    public List<MemberEntry> liveMembers() {
+        return view().stream().filter(notice -> notice.state().isLive()).toList();
     }
 
     /** All that decides what it does next but chance, times from now on: for a checker that has to tell states apart. */
-    public String state() {
+    public String fingerprint() {
         StringBuilder text = new StringBuilder(256);
-        text.append(self).append(health).append(' ').append(caughtUp ? -1 : agreed).append(heardAny).append(' ').append(compareIn).append(' ')
-                .append(periods % (RETRY_PERIODS * SEED_PERIODS)).append(' ').append(nextProbed).append(' ').append(Math.ceil(counted)).append(' ').append(mostKnown).append(' ').append(Math.round(Math.max(0, fallsFrom - now)));
-        for (Peer peer : present) {
+        text.append(self).append(healthScore).append(' ').append(caughtUp ? -1 : agreed).append(heardAny).append(' ').append(compareIn).append(' ')
+                .append(periods % (RETRY_PERIODS * SEED_PERIODS)).append(' ').append(nextProbed).append(' ').append(Math.ceil(fleetSize)).append(' ').append(mostKnown).append(' ').append(Math.round(Math.max(0, fallsFrom - now)));
+        for (Peer peer : liveMembers) {
             text.append('\n').append(peer.notice).append(peer.viaOthers);
             if (peer.suspicion != null) {
                 text.append(peer.suspicion.accusers).append(peer.suspicion.foundFailed).append(Math.round(now - peer.suspicion.beganAt));
--- a/src/main/java/dappleseam/fleet/peers/Envelope.java
+++ b/src/main/java/dappleseam/fleet/peers/Envelope.java
@@ -8,15 +8,15 @@
 import dappleseam.fleet.lease.Answers;
 import dappleseam.fleet.lease.LeaseName;
 import dappleseam.fleet.lease.Token;
-import dappleseam.fleet.membership.Life;
+import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
-import dappleseam.fleet.membership.Notice;
+import dappleseam.fleet.membership.MemberEntry;
 import dappleseam.fleet.peers.Letter.Kind;
 import dappleseam.fleet.peers.Unreadable.Why;
-import dappleseam.fleet.share.Bulletin;
-import dappleseam.fleet.share.Sight;
-import dappleseam.fleet.share.Traffic;
+import dappleseam.fleet.share.Announcement;
+import dappleseam.fleet.share.NodeObservation;
+import dappleseam.fleet.share.AnnouncedTraffic;
 import dappleseam.router.NodeId;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -54,7 +54,7 @@
     private static final Ballot.Op[] OPS = Ballot.Op.values();
     private static final Answers.Refusal[] REFUSALS = Answers.Refusal.values();
     private static final Kind[] KINDS = Kind.values();
-    private static final Notice.State[] STATES = Notice.State.values();
+    private static final MemberEntry.State[] STATES = MemberEntry.State.values();
 
     private final CBORFactory format = CBORFactory.builder().streamReadConstraints(StreamReadConstraints.builder()
             .maxNestingDepth(NESTING).maxStringLength(LONGEST_NAME).maxNumberLength(20).maxDocumentLength(LONGEST).build()).build();
@@ -86,7 +86,7 @@
                 write(cbor, letter.about());
             }
             cbor.writeStartArray(null, letter.news().size());
-            for (Notice notice : letter.news()) {
+            for (MemberEntry notice : letter.news()) {
                 write(cbor, notice);
             }
             cbor.writeEndArray();
@@ -105,7 +105,7 @@
             }
             if (letter.bulletins() != null) { // older programs drop these letters, and understand all others
                 cbor.writeStartArray(null, letter.bulletins().size());
-                for (Bulletin bulletin : letter.bulletins()) {
+                for (Announcement bulletin : letter.bulletins()) {
                     write(cbor, bulletin);
                 }
                 cbor.writeEndArray();
@@ -157,48 +157,48 @@
         return new Ballot(op, set, lease, ballot, other, holder, left, count, known, why);
     }
 
-    private static void write(CBORGenerator cbor, Bulletin bulletin) throws IOException {
-        cbor.writeStartArray(null, BULLETIN_FIELDS + SIGHT_FIELDS * bulletin.sights().size());
-        cbor.writeString(bulletin.who().text());
-        cbor.writeNumber(bulletin.life().start());
-        cbor.writeNumber(bulletin.life().nonce());
+    private static void write(CBORGenerator cbor, Announcement bulletin) throws IOException {
+        cbor.writeStartArray(null, BULLETIN_FIELDS + SIGHT_FIELDS * bulletin.observations().size());
+        cbor.writeString(bulletin.member().text());
+        cbor.writeNumber(bulletin.generation().start());
+        cbor.writeNumber(bulletin.generation().nonce());
         cbor.writeNumber(bulletin.number());
         cbor.writeNumber(bulletin.location());
-        cbor.writeNumber(bulletin.traffic().before());
-        cbor.writeNumber(bulletin.traffic().now());
+        cbor.writeNumber(bulletin.traffic().previous());
+        cbor.writeNumber(bulletin.traffic().current());
         cbor.writeNumber(Math.min(bulletin.traffic().ageMs(), LONGEST_LEFT_MS));
-        for (Sight sight : bulletin.sights()) {
+        for (NodeObservation sight : bulletin.observations()) {
             cbor.writeNumber(sight.node().value());
             cbor.writeNumber(sight.startedAtMs());
-            cbor.writeBoolean(sight.fails());
+            cbor.writeBoolean(sight.failing());
             cbor.writeNumber(Math.min(sight.ageMs(), LONGEST_LEFT_MS));
         }
         cbor.writeEndArray();
     }
 
     /** Its array has been begun. */
-    private static Bulletin bulletin(JsonParser cbor) throws IOException {
+    private static Announcement bulletin(JsonParser cbor) throws IOException {
         need(cbor.nextToken() == JsonToken.VALUE_STRING);
         MemberName who = new MemberName(cbor.getText());
-        Life life = new Life(whole(cbor, 0, Life.LATEST), whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
+        Generation life = new Generation(whole(cbor, 0, Generation.MAX_START), whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
         long number = whole(cbor, 0, Long.MAX_VALUE);
-        int location = (int) whole(cbor, Bulletin.NOWHERE, Bulletin.LAST_LOCATION);
-        Traffic traffic = new Traffic((int) whole(cbor, 0, Traffic.MOST), (int) whole(cbor, 0, Traffic.MOST), whole(cbor, 0, LONGEST_LEFT_MS));
-        List<Sight> sights = new ArrayList<>();
+        int location = (int) whole(cbor, Announcement.NO_LOCATION, Announcement.MAX_LOCATION);
+        AnnouncedTraffic traffic = new AnnouncedTraffic((int) whole(cbor, 0, AnnouncedTraffic.MAX_PER_S), (int) whole(cbor, 0, AnnouncedTraffic.MAX_PER_S), whole(cbor, 0, LONGEST_LEFT_MS));
+        List<NodeObservation> sights = new ArrayList<>();
         while (cbor.nextToken() == JsonToken.VALUE_NUMBER_INT) {
-            need(sights.size() < Bulletin.MOST_SIGHTS);
+            need(sights.size() < Announcement.MAX_OBSERVATIONS);
             NodeId node = new NodeId(cbor.getLongValue());
-            long startedAt = whole(cbor, 0, Sight.LATEST);
+            long startedAt = whole(cbor, 0, NodeObservation.MAX_START);
             boolean fails = cbor.nextToken() == JsonToken.VALUE_TRUE;
             need(fails || cbor.currentToken() == JsonToken.VALUE_FALSE);
-            sights.add(new Sight(node, startedAt, fails, whole(cbor, 0, LONGEST_LEFT_MS)));
+            sights.add(new NodeObservation(node, startedAt, fails, whole(cbor, 0, LONGEST_LEFT_MS)));
         }
         need(cbor.currentToken() == JsonToken.END_ARRAY);
-        return new Bulletin(who, life, number, location, traffic, sights);
+        return new Announcement(who, life, number, location, traffic, sights);
     }
 
-    private static List<Bulletin> bulletins(JsonParser cbor) throws IOException {
-        List<Bulletin> bulletins = new ArrayList<>();
+    private static List<Announcement> bulletins(JsonParser cbor) throws IOException {
+        List<Announcement> bulletins = new ArrayList<>();
         need(cbor.nextToken() == JsonToken.START_ARRAY);
         while (cbor.nextToken() == JsonToken.START_ARRAY) {
             need(bulletins.size() < MOST_BULLETINS);
@@ -212,14 +212,14 @@
         return new Token(whole(cbor, 0, Token.LAST), whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
     }
 
-    private static void write(CBORGenerator cbor, Notice notice) throws IOException {
+    private static void write(CBORGenerator cbor, MemberEntry notice) throws IOException {
         cbor.writeStartArray(null, 7);
         cbor.writeString(notice.name().text());
         byte[] address = ByteBuffer.allocate(ADDRESS_BYTES).put(notice.address().getAddress().getAddress())
                 .putShort((short) notice.address().getPort()).array();
         cbor.writeBinary(address);
-        cbor.writeNumber(notice.life().start());
-        cbor.writeNumber(notice.life().nonce());
+        cbor.writeNumber(notice.generation().start());
+        cbor.writeNumber(notice.generation().nonce());
         cbor.writeNumber(notice.incarnation());
         cbor.writeNumber(notice.state().ordinal());
         cbor.writeNumber(notice.accuser());
@@ -250,11 +250,11 @@
             }
             Kind kind = KINDS[(int) whole(cbor, 0, KINDS.length - 1)];
             need(cbor.nextToken() == JsonToken.START_ARRAY);
-            Notice self = notice(cbor);
+            MemberEntry self = notice(cbor);
             long number = whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE);
             MemberName target = cbor.nextToken() == JsonToken.VALUE_NULL ? null : name(cbor);
-            Notice about = cbor.nextToken() == JsonToken.VALUE_NULL ? null : notice(cbor);
-            List<Notice> news = new ArrayList<>();
+            MemberEntry about = cbor.nextToken() == JsonToken.VALUE_NULL ? null : notice(cbor);
+            List<MemberEntry> news = new ArrayList<>();
             need(cbor.nextToken() == JsonToken.START_ARRAY);
             while (cbor.nextToken() == JsonToken.START_ARRAY) {
                 need(news.size() < MOST_NOTICES);
@@ -265,7 +265,7 @@
             need(answer || cbor.currentToken() == JsonToken.VALUE_FALSE);
             int[] sums = cbor.nextToken() == JsonToken.VALUE_NULL ? null : sums(cbor);
             Ballot ballot = cbor.nextToken() == JsonToken.VALUE_NULL ? null : ballot(cbor);
-            List<Bulletin> bulletins = kind == Kind.BULLETINS ? bulletins(cbor) : null;
+            List<Announcement> bulletins = kind == Kind.BULLETINS ? bulletins(cbor) : null;
             need(cbor.nextToken() == JsonToken.END_ARRAY && cbor.nextToken() == null);
             need((kind == Kind.BALLOT) == (ballot != null) && (kind == Kind.SUMS) == (sums != null) && (kind != Kind.ASK || about != null));
             return new Letter(kind, self, number, target, about, news, answer, sums, ballot, bulletins);
@@ -297,14 +297,14 @@
     private static int[] sums(JsonParser cbor) throws IOException {
         need(cbor.currentToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
         byte[] bytes = cbor.getBinaryValue();
-        need(bytes.length == Integer.BYTES * Membership.PARTS);
-        int[] sums = new int[Membership.PARTS];
+        need(bytes.length == Integer.BYTES * Membership.DIGEST_BUCKETS);
+        int[] sums = new int[Membership.DIGEST_BUCKETS];
         ByteBuffer.wrap(bytes).asIntBuffer().get(sums);
         return sums;
     }
 
     /** Its array has been begun. */
-    private static Notice notice(JsonParser cbor) throws IOException {
+    private static MemberEntry notice(JsonParser cbor) throws IOException {
         need(cbor.currentToken() == JsonToken.START_ARRAY);
         cbor.nextToken();
         MemberName name = name(cbor);
@@ -315,11 +315,11 @@
         byte[] host = new byte[ADDRESS_BYTES - Short.BYTES];
         parts.get(host);
         InetSocketAddress at = new InetSocketAddress(InetAddress.getByAddress(host), Short.toUnsignedInt(parts.getShort()));
-        Life life = new Life(whole(cbor, 0, Life.LATEST), whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
-        int incarnation = (int) whole(cbor, 0, Notice.LAST);
-        Notice.State state = STATES[(int) whole(cbor, 0, STATES.length - 1)];
+        Generation life = new Generation(whole(cbor, 0, Generation.MAX_START), whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
+        int incarnation = (int) whole(cbor, 0, MemberEntry.MAX_INCARNATION);
+        MemberEntry.State state = STATES[(int) whole(cbor, 0, STATES.length - 1)];
         int accuser = (int) whole(cbor, Integer.MIN_VALUE, Integer.MAX_VALUE);
         need(cbor.nextToken() == JsonToken.END_ARRAY);
-        return new Notice(name, at, life, incarnation, state, accuser);
+        return new MemberEntry(name, at, life, incarnation, state, accuser);
     }
 }
--- a/src/main/java/dappleseam/fleet/peers/FleetText.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetText.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Standing;
-import dappleseam.fleet.share.Said;
-import dappleseam.fleet.share.Word;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MembershipStatus;
+import dappleseam.fleet.share.PeerVerdict;
+import dappleseam.fleet.share.VerdictKind;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.net.InetSocketAddress;
@@ -26,11 +26,11 @@
             return text.toString();
         }
         text.append("# TYPE app_fleet_members gauge\n");
-        for (Notice.State state : Notice.State.values()) {
+        for (MemberEntry.State state : MemberEntry.State.values()) {
             text.append("app_fleet_members{state=\"").append(lower(state)).append("\"} ").append(shot.in(state)).append('\n');
         }
         text.append("# TYPE app_fleet_standing gauge\n");
-        for (Standing.Kind kind : Standing.Kind.values()) {
+        for (MembershipStatus.Kind kind : MembershipStatus.Kind.values()) {
             text.append("app_fleet_standing{kind=\"").append(lower(kind)).append("\"} ")
                     .append(kind == shot.standing().kind() ? 1 : 0).append('\n');
         }
@@ -58,8 +58,8 @@
         shot.leases().forEach(l -> text.append("app_fleet_lease_held{lease=\"").append(l.lease()).append("\"} 1\n"));
         if (shot.said() != null) {
             text.append("# TYPE app_fleet_words gauge\n");
-            for (Word word : new Word[] {Word.HINT, Word.FAILS}) {
-                text.append("app_fleet_words{kind=\"").append(lower(word)).append("\"} ").append(shot.said().stream().filter(s -> s.word() == word).count()).append('\n');
+            for (VerdictKind word : new VerdictKind[] {VerdictKind.HINT, VerdictKind.FAILS}) {
+                text.append("app_fleet_words{kind=\"").append(lower(word)).append("\"} ").append(shot.said().stream().filter(s -> s.kind() == word).count()).append('\n');
             }
         }
         line(text, "fleet_busy_ms_total", "counter", Math.round(shot.busyMs()));
@@ -115,24 +115,24 @@
                 json.writeEndArray();
                 if (shot.said() != null) {
                     json.writeArrayFieldStart("words");
-                    for (Said said : shot.said()) {
+                    for (PeerVerdict said : shot.said()) {
                         json.writeStartObject();
                         json.writeStringField("node", Long.toHexString(said.node().value()));
-                        json.writeStringField("word", lower(said.word()));
-                        json.writeNumberField("fails", said.fails());
-                        json.writeNumberField("works", said.works());
-                        json.writeNumberField("turn", said.turn());
+                        json.writeStringField("word", lower(said.kind()));
+                        json.writeNumberField("fails", said.failingVotes());
+                        json.writeNumberField("works", said.workingVotes());
+                        json.writeNumberField("turn", said.retryRank());
                         json.writeEndObject();
                     }
                     json.writeEndArray();
                 }
                 json.writeArrayFieldStart("members");
-                for (Notice notice : shot.view()) {
+                for (MemberEntry notice : shot.view()) {
                     json.writeStartObject();
                     json.writeStringField("name", notice.name().text());
                     json.writeStringField("state", lower(notice.state()));
                     json.writeStringField("address", text(notice.address()));
-                    json.writeNumberField("start", notice.life().start());
+                    json.writeNumberField("start", notice.generation().start());
                     json.writeNumberField("incarnation", notice.incarnation());
                     json.writeEndObject();
                 }
--- a/src/main/java/dappleseam/fleet/peers/Identity.java
+++ b/src/main/java/dappleseam/fleet/peers/Identity.java
@@ -2,8 +2,8 @@
 
 import dappleseam.fleet.lease.LeaseTerms;
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.membership.Terms;
-import dappleseam.fleet.share.Choices;
+import dappleseam.fleet.membership.MembershipConfig;
+import dappleseam.fleet.share.FleetFeatures;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.List;
@@ -16,4 +16,4 @@
  * members tell each other, and decide by it.
  */
 public record Identity(String fleet, MemberName name, InetSocketAddress bind, InetSocketAddress advertise, List<InetSocketAddress> seeds,
-                       Terms terms, Path record, LeaseTerms leases, Path voterFile, String listStore, Choices choices) {}
+                       MembershipConfig terms, Path record, LeaseTerms leases, Path voterFile, String listStore, FleetFeatures choices) {}
--- a/src/main/java/dappleseam/fleet/peers/LeaseDesk.java
+++ b/src/main/java/dappleseam/fleet/peers/LeaseDesk.java
@@ -11,7 +11,7 @@
 import dappleseam.fleet.lease.VoterDisk;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
-import dappleseam.fleet.membership.Notice;
+import dappleseam.fleet.membership.MemberEntry;
 import dappleseam.fleet.peers.Ballot.Op;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -132,7 +132,7 @@
         this.out = out;
         this.onThread = onThread;
         now = nowMs;
-        long nonce = membership.self().life().nonce();
+        long nonce = membership.self().generation().nonce();
         MemberName name = membership.self().name();
         candidate = new Candidate(nonce, terms, this, random);
         voter = terms.voters().contains(name) ? new VoterSeat(name, nonce, terms, disk, this::answered, onThread) : null;
@@ -192,9 +192,9 @@
 
     private void look() {
         lookAt = now + LOOK_MS;
-        present = membership.present().stream().map(Notice::name).toList();
+        present = membership.liveMembers().stream().map(MemberEntry::name).toList();
         if (voter != null) {
-            voter.look(membership.twin() != null);
+            voter.look(membership.duplicate() != null);
         }
         for (Runner runner : runners.values()) {
             double acting = runner.actingSince;
--- a/src/main/java/dappleseam/fleet/peers/PeerSocket.java
+++ b/src/main/java/dappleseam/fleet/peers/PeerSocket.java
@@ -1,11 +1,11 @@
 package dappleseam.fleet.peers;
 
 import dappleseam.fleet.lease.FleetTask;
-import dappleseam.fleet.membership.Life;
+import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Standing;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MembershipStatus;
 import dappleseam.router.NodeId;
 import java.io.IOException;
 import java.lang.System.Logger;
@@ -90,7 +90,7 @@
     private double busyMs;
     private int countedBefore;
     private double shareBefore;
-    private Notice twinBefore;
+    private MemberEntry twinBefore;
     private Set<NodeId> failingBefore = Set.of();
     private Set<NodeId> convictedBefore = Set.of();
     private Thread thread;
@@ -130,7 +130,7 @@
         identity = now;
         post(() -> {
             if (membership != null) {
-                membership.termsChanged(nowMs(), now.terms(), now.seeds());
+                membership.configChanged(nowMs(), now.terms(), now.seeds());
             }
             if (signals != null) {
                 signals.choose(now.choices());
@@ -142,7 +142,7 @@
     public void endedByWord(MemberName name) {
         post(() -> {
             if (membership != null) {
-                boolean known = membership.endedByWord(nowMs(), name);
+                boolean known = membership.markEnded(nowMs(), name);
                 LOG.log(Level.INFO, known ? "fleet: {0} has ended, an operator says" : "fleet: {0} is not one that has failed", name);
             }
         });
@@ -224,7 +224,7 @@
         double now = nowMs();
         // Its own start and clock, not the seed alone: two processes that were given one seed must differ.
         SplittableRandom random = new SplittableRandom(seed ^ System.nanoTime() ^ ProcessHandle.current().pid() << 40);
-        Notice self = new Notice(identity.name(), identity.advertise(), new Life(startMs, random.nextLong()), 0, Notice.State.ALIVE, 0);
+        MemberEntry self = new MemberEntry(identity.name(), identity.advertise(), new Generation(startMs, random.nextLong()), 0, MemberEntry.State.ALIVE, 0);
         membership = new Membership(identity.terms(), self, this, random, now);
         views.began(now, self);
         Set<InetSocketAddress> known = new LinkedHashSet<>(identity.seeds());
@@ -242,7 +242,7 @@
                     this::sendBallot, this::post, views, random.split(), now);
         }
         if (identity.choices().any()) {
-            signals = new SignalDesk(membership, identity.terms().periodMs(), identity.terms().most(), location, identity.choices(), sightings,
+            signals = new SignalDesk(membership, identity.terms().periodMs(), identity.terms().maxMembers(), location, identity.choices(), sightings,
                     (to, bulletins) -> send(to, Letter.of(membership.self(), bulletins)), random.split(), now);
         }
         publish(now);
@@ -280,7 +280,7 @@
                 sender = (InetSocketAddress) from.receive(in);
             } catch (PortUnreachableException e) {
                 if (from == caller && called != null) {
-                    membership.refused(nowMs(), called);
+                    membership.connectionRefused(nowMs(), called);
                 }
                 continue;
             } catch (IOException e) { // of one datagram
@@ -302,7 +302,7 @@
             received++;
             try {
                 Letter letter = envelope.read(in.array(), in.position());
-                letter.tell(sender, membership.heard(now));
+                letter.tell(sender, membership.receiver(now));
                 if (letter.ballot() != null && leases != null) {
                     leases.heard(now, letter.self().name(), letter.ballot());
                 }
@@ -332,14 +332,14 @@
     }
 
     private void sendBallot(MemberName to, Ballot ballot) {
-        Notice peer = membership.of(to);
+        MemberEntry peer = membership.lookup(to);
         if (peer != null) {
             send(peer.address(), Letter.of(membership.self(), ballot));
         }
     }
 
     @Override
-    public void call(InetSocketAddress peer, Notice self, long number, MemberName target, List<Notice> news) {
+    public void pingConnected(InetSocketAddress peer, MemberEntry self, long number, MemberName target, List<MemberEntry> news) {
         byte[] bytes = envelope.write(pingOf(self, number, target, news));
         try {
             if (!peer.equals(called)) {
@@ -351,7 +351,7 @@
             caller.write(ByteBuffer.wrap(bytes));
             sent++;
         } catch (PortUnreachableException e) { // the answer to the call before
-            membership.refused(nowMs(), peer);
+            membership.connectionRefused(nowMs(), peer);
         } catch (IOException e) {
             LOG.log(Level.DEBUG, "fleet: {0}", e.toString());
         }
@@ -363,18 +363,18 @@
     }
 
     @Override
-    public void seen(Notice before, Notice now) {
+    public void memberChanged(MemberEntry before, MemberEntry now) {
         views.saw(nowMs(), before, now);
     }
 
     @Override
-    public void stands(Standing standing) {
-        views.stands(nowMs(), standing, membership.counted());
+    public void statusChanged(MembershipStatus standing) {
+        views.stands(nowMs(), standing, membership.fleetSize());
     }
 
     @Override
-    public void stoodStill(double ms) {
-        super.stoodStill(ms);
+    public void stalled(double ms) {
+        super.stalled(ms);
         views.stoodStill(nowMs(), ms);
     }
 
@@ -385,19 +385,19 @@
 
     private void publish(double now) {
         publishAt = now + PUBLISH_MS;
-        snapshot = new Snapshot(now, membership.view(), membership.standing(), membership.counted(), membership.health(), membership.twin(),
-                sent, received, Map.copyOf(dropped), flooded, membership.turnedAway(), busyMs,
+        snapshot = new Snapshot(now, membership.view(), membership.status(), membership.fleetSize(), membership.healthScore(), membership.duplicate(),
+                sent, received, Map.copyOf(dropped), flooded, membership.droppedForCapacity(), busyMs,
                 leases == null ? List.of() : leases.held(), leases == null ? null : leases.votes(), signals == null ? null : signals.said(), signals == null ? Double.NaN : signals.share(), signals == null ? Double.NaN : signals.place());
-        if (membership.counted() != countedBefore) {
-            countedBefore = membership.counted();
+        if (membership.fleetSize() != countedBefore) {
+            countedBefore = membership.fleetSize();
             views.counts(now, countedBefore);
         }
         if (Math.abs(snapshot.share() - shareBefore) > SHARE_NEWS * shareBefore) {
             shareBefore = snapshot.share();
             views.takes(now, shareBefore);
         }
-        if (membership.twin() != null && membership.twin() != twinBefore) {
-            twinBefore = membership.twin();
+        if (membership.duplicate() != null && membership.duplicate() != twinBefore) {
+            twinBefore = membership.duplicate();
             views.twin(now, twinBefore);
         }
         if (now >= keepAt) {
@@ -422,8 +422,8 @@
             return;
         }
         List<InetSocketAddress> known = new ArrayList<>();
-        for (Notice notice : snapshot.view()) {
-            if (notice.state().isPresent() && !notice.name().equals(identity.name()) && known.size() < KnownFile.MOST) {
+        for (MemberEntry notice : snapshot.view()) {
+            if (notice.state().isLive() && !notice.name().equals(identity.name()) && known.size() < KnownFile.MOST) {
                 known.add(notice.address());
             }
         }
@@ -448,7 +448,7 @@
             keep();
             LOG.log(Level.INFO, "fleet: leaves its place to the process that takes over");
         } else {
-            membership.leaving(nowMs());
+            membership.announceLeave(nowMs());
         }
     }
 
--- a/src/main/java/dappleseam/fleet/peers/SignalDesk.java
+++ b/src/main/java/dappleseam/fleet/peers/SignalDesk.java
@@ -3,19 +3,19 @@
 import dappleseam.fleet.lease.Ranking;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Notice.State;
-import dappleseam.fleet.membership.Standing;
-import dappleseam.fleet.share.Board;
-import dappleseam.fleet.share.Bulletin;
-import dappleseam.fleet.share.Choices;
-import dappleseam.fleet.share.ListTurns;
-import dappleseam.fleet.share.Places;
-import dappleseam.fleet.share.Said;
-import dappleseam.fleet.share.Shares;
-import dappleseam.fleet.share.Sight;
-import dappleseam.fleet.share.Signals;
-import dappleseam.fleet.share.Word;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MemberEntry.State;
+import dappleseam.fleet.membership.MembershipStatus;
+import dappleseam.fleet.share.AnnouncementStore;
+import dappleseam.fleet.share.Announcement;
+import dappleseam.fleet.share.FleetFeatures;
+import dappleseam.fleet.share.ListRetrySchedule;
+import dappleseam.fleet.share.TrafficPosition;
+import dappleseam.fleet.share.PeerVerdict;
+import dappleseam.fleet.share.ShareCalculator;
+import dappleseam.fleet.share.NodeObservation;
+import dappleseam.fleet.share.FailureVoting;
+import dappleseam.fleet.share.VerdictKind;
 import dappleseam.router.NodeId;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -39,22 +39,22 @@
 
     private final Membership membership;
     private final Sightings sightings;
-    private final BiConsumer<InetSocketAddress, List<Bulletin>> out;
+    private final BiConsumer<InetSocketAddress, List<Announcement>> out;
     private final RandomGenerator random;
     private final double lookMs;
-    private final Board board;
-    private final Signals signals;
-    private final Shares shares;
-    private Choices choices;
+    private final AnnouncementStore board;
+    private final FailureVoting signals;
+    private final ShareCalculator shares;
+    private FleetFeatures choices;
     private double lookAt;
     private int looks;
-    private List<Sight> own = List.of();
-    private List<Said> said = List.of();
+    private List<NodeObservation> own = List.of();
+    private List<PeerVerdict> said = List.of();
     private double share = Double.NaN;
     private double place = Double.NaN;
     private boolean toldAnew;
 
-    public SignalDesk(Membership membership, double periodMs, int most, int location, Choices choices, Sightings sightings, BiConsumer<InetSocketAddress, List<Bulletin>> out,
+    public SignalDesk(Membership membership, double periodMs, int most, int location, FleetFeatures choices, Sightings sightings, BiConsumer<InetSocketAddress, List<Announcement>> out,
                RandomGenerator random, double nowMs) {
         this.membership = membership;
         this.choices = choices;
@@ -62,14 +62,14 @@
         this.out = out;
         this.random = random;
         lookMs = Math.max(LOOK_LEAST_MS, LOOK_SHARE * periodMs);
-        shares = new Shares(membership.self().name(), Math.max(periodMs, LOOK_LEAST_MS / LOOK_SHARE));
-        board = new Board(membership.self().name(), most, shares.ownMs(), location);
-        signals = new Signals(membership.self().name());
+        shares = new ShareCalculator(membership.self().name(), Math.max(periodMs, LOOK_LEAST_MS / LOOK_SHARE));
+        board = new AnnouncementStore(membership.self().name(), most, shares.ownPropagationMs(), location);
+        signals = new FailureVoting(membership.self().name());
         lookAt = nowMs + random.nextDouble() * lookMs;
     }
 
     /** From now on; what is off is let go by steps. */
-    void choose(Choices other) {
+    void choose(FleetFeatures other) {
         choices = other;
         share = Double.NaN;
         place = Double.NaN;
@@ -80,18 +80,18 @@
         return choices.any() ? lookAt : Double.POSITIVE_INFINITY;
     }
 
-    public void heard(double nowMs, List<Bulletin> bulletins) {
-        board.heard(nowMs, bulletins);
+    public void heard(double nowMs, List<Announcement> bulletins) {
+        board.receive(nowMs, bulletins);
     }
 
     public void woken(double nowMs) {
         lookAt = nowMs + lookMs;
-        Collection<Bulletin> now = board.now(nowMs);
-        signals.hear(now, this::runs);
-        shares.hear(nowMs, now.stream().filter(this::counts).toList());
+        Collection<Announcement> now = board.current(nowMs);
+        signals.receive(now, this::runs);
+        shares.receive(nowMs, now.stream().filter(this::counts).toList());
         Set<MemberName> names = new HashSet<>();
         Set<MemberName> missing = new HashSet<>();
-        for (Notice notice : membership.view()) {
+        for (MemberEntry notice : membership.view()) {
             if (notice.state().isCounted()) {
                 names.add(notice.name());
                 if (notice.state() != State.ALIVE) {
@@ -99,38 +99,38 @@
                 }
             }
         }
-        shares.keep(names);
+        shares.retain(names);
         double rate = sightings.ratePerS();
         if (!Double.isNaN(rate)) {
             own = choices.signals() || choices.turns() ? sights(nowMs) : List.of();
-            double tellable = shares.tellable(nowMs, rate, names, missing, membership.counted());
-            board.say(nowMs, membership.self().life(), tellable, shares.usualPerS(nowMs), own, shares.tellsAnew(nowMs) && !toldAnew);
-            toldAnew = shares.tellsAnew(nowMs);
+            double tellable = shares.announceableRate(nowMs, rate, names, missing, membership.fleetSize());
+            board.announce(nowMs, membership.self().generation(), tellable, shares.presumedPerS(nowMs), own, shares.isReannouncing(nowMs) && !toldAnew);
+            toldAnew = shares.isReannouncing(nowMs);
         }
         tell(nowMs);
         if (choices.signals() || choices.turns()) {
             sayWords();
         }
         if (choices.shares() || choices.subsets()) {
-            share = choices.shares() ? shares.share(nowMs, names, membership.counted(), membership.twin() != null) : Double.NaN;
-            Map<MemberName, Double> traffic = choices.subsets() ? shares.traffic(names) : null;
-            place = traffic == null ? Double.NaN : Places.of(membership.self().name(), traffic);
+            share = choices.shares() ? shares.share(nowMs, names, membership.fleetSize(), membership.duplicate() != null) : Double.NaN;
+            Map<MemberName, Double> traffic = choices.subsets() ? shares.localTraffic(names) : null;
+            place = traffic == null ? Double.NaN : TrafficPosition.of(membership.self().name(), traffic);
             sightings.stands(share, place);
         }
     }
 
-    private List<Sight> sights(double nowMs) {
-        Standing.Kind kind = membership.standing().kind();
-        boolean isWell = kind == Standing.Kind.WITH_ALL || kind == Standing.Kind.CUT_OFF;
-        return signals.own(nowMs, sightings.seen().stream().filter(one -> isChosen(one.node())).toList(), isWell);
+    private List<NodeObservation> sights(double nowMs) {
+        MembershipStatus.Kind kind = membership.status().kind();
+        boolean isWell = kind == MembershipStatus.Kind.WITH_ALL || kind == MembershipStatus.Kind.CUT_OFF;
+        return signals.localObservations(nowMs, sightings.seen().stream().filter(one -> isChosen(one.node())).toList(), isWell);
     }
 
     private boolean isChosen(NodeId node) {
-        return node.equals(ListTurns.SERVICE) ? choices.turns() : choices.signals();
+        return node.equals(ListRetrySchedule.LIST_SERVICE) ? choices.turns() : choices.signals();
     }
 
     private void sayWords() {
-        List<Said> now = signals.words(this::turn).stream().filter(word -> isChosen(word.node())).toList();
+        List<PeerVerdict> now = signals.verdicts(this::turn).stream().filter(word -> isChosen(word.node())).toList();
         if (!now.equals(said) || ++looks % AGAIN == 0 && !now.isEmpty()) {
             sightings.say(now);
         }
@@ -139,26 +139,26 @@
 
     /** Of those that are present, by rendezvous: views that agree give one order. */
     private int turn(String what) {
-        return Ranking.rank(what, membership.self().name(), membership.present().stream().map(Notice::name).toList());
+        return Ranking.rank(what, membership.self().name(), membership.liveMembers().stream().map(MemberEntry::name).toList());
     }
 
     /** Whoever is thought to run, and by that process of its own. */
-    private boolean runs(Bulletin bulletin) {
-        return counts(bulletin) && membership.of(bulletin.who()).state().isPresent();
+    private boolean runs(Announcement bulletin) {
+        return counts(bulletin) && membership.lookup(bulletin.member()).state().isLive();
     }
 
     /** Whoever takes of the whole as far as anybody could prove, by its last process. */
-    private boolean counts(Bulletin bulletin) {
-        Notice known = membership.of(bulletin.who());
-        return known != null && known.state().isCounted() && known.life().equals(bulletin.life());
+    private boolean counts(Announcement bulletin) {
+        MemberEntry known = membership.lookup(bulletin.member());
+        return known != null && known.state().isCounted() && known.generation().equals(bulletin.generation());
     }
 
     private void tell(double nowMs) {
-        List<Notice> others = new ArrayList<>(membership.present());
+        List<MemberEntry> others = new ArrayList<>(membership.liveMembers());
         others.remove(membership.self());
         for (int i = 0; i < TOLD_AT_ONCE && !others.isEmpty(); i++) {
-            Notice to = others.remove(random.nextInt(others.size()));
-            List<Bulletin> news = board.toTell(nowMs, others.size() + 1);
+            MemberEntry to = others.remove(random.nextInt(others.size()));
+            List<Announcement> news = board.nextBatch(nowMs, others.size() + 1);
             if (news.isEmpty()) {
                 return;
             }
@@ -167,18 +167,18 @@
     }
 
     /** What others' words came to at the last look; null where they are not heard. */
-    List<Said> said() {
+    List<PeerVerdict> said() {
         return choices.signals() || choices.turns() ? said : null;
     }
 
     /** Of what this process says by its own sight. */
     Set<NodeId> sightsOfFailing() {
-        return own.stream().filter(Sight::fails).map(Sight::node).collect(Collectors.toUnmodifiableSet());
+        return own.stream().filter(NodeObservation::failing).map(NodeObservation::node).collect(Collectors.toUnmodifiableSet());
     }
 
     /** Of what others' words came to. */
     Set<NodeId> convicted() {
-        return said.stream().filter(word -> word.word() == Word.FAILS).map(Said::node).collect(Collectors.toUnmodifiableSet());
+        return said.stream().filter(word -> word.kind() == VerdictKind.FAILS).map(PeerVerdict::node).collect(Collectors.toUnmodifiableSet());
     }
 
     /** Where it stands among all by the last look; NaN where that is by chance. */
--- a/src/main/java/dappleseam/fleet/peers/Snapshot.java
+++ b/src/main/java/dappleseam/fleet/peers/Snapshot.java
@@ -2,9 +2,9 @@
 
 import dappleseam.fleet.lease.LeaseName;
 import dappleseam.fleet.lease.Token;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Standing;
-import dappleseam.fleet.share.Said;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MembershipStatus;
+import dappleseam.fleet.share.PeerVerdict;
 import java.util.List;
 import java.util.Map;
 
@@ -13,13 +13,13 @@
  * {@code standing} goes by. {@code twin}: another process by its name, or null. {@code said}: others' words on caches, null where they are not heard.
  * {@code share}: of the whole, what this proxy may take; {@code place}: where it stands among all; each NaN where it is not told.
  */
-public record Snapshot(double takenAtMs, List<Notice> view, Standing standing, int counted, int health, Notice twin, long sent,
+public record Snapshot(double takenAtMs, List<MemberEntry> view, MembershipStatus standing, int counted, int health, MemberEntry twin, long sent,
                        long received, Map<Unreadable.Why, Long> dropped, long flooded, long turnedAway, double busyMs,
-                       List<HeldLease> leases, Boolean votes, List<Said> said, double share, double place) {
+                       List<HeldLease> leases, Boolean votes, List<PeerVerdict> said, double share, double place) {
     /** A lease that this process holds since that time. */
     public record HeldLease(LeaseName lease, Token token, double sinceMs) {}
 
-    public long in(Notice.State state) {
+    public long in(MemberEntry.State state) {
         return view.stream().filter(n -> n.state() == state).count();
     }
 }
--- a/src/main/java/dappleseam/fleet/peers/ViewRecord.java
+++ b/src/main/java/dappleseam/fleet/peers/ViewRecord.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import dappleseam.fleet.lease.LeaseName;
 import dappleseam.fleet.lease.Token;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Standing;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MembershipStatus;
 import dappleseam.router.NodeId;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -61,26 +61,26 @@
         }
     }
 
-    void began(double nowMs, Notice self) {
+    void began(double nowMs, MemberEntry self) {
         line(nowMs, to -> {
             to.writeStringField("began", self.name().text());
-            to.writeNumberField("nonce", self.life().nonce());
+            to.writeNumberField("nonce", self.generation().nonce());
         });
     }
 
-    void saw(double nowMs, Notice before, Notice now) {
-        if (before != null && before.state() == now.state() && before.life().equals(now.life())) {
+    void saw(double nowMs, MemberEntry before, MemberEntry now) {
+        if (before != null && before.state() == now.state() && before.generation().equals(now.generation())) {
             return; // an incarnation only
         }
         line(nowMs, to -> {
             to.writeStringField("saw", now.name().text());
-            to.writeNumberField("nonce", now.life().nonce());
+            to.writeNumberField("nonce", now.generation().nonce());
             to.writeNumberField("incarnation", now.incarnation());
             to.writeStringField("state", now.state().name());
         });
     }
 
-    void stands(double nowMs, Standing standing, int counted) {
+    void stands(double nowMs, MembershipStatus standing, int counted) {
         line(nowMs, to -> {
             to.writeStringField("stands", standing.kind().name());
             to.writeNumberField("counted", counted);
@@ -109,8 +109,8 @@
         });
     }
 
-    void twin(double nowMs, Notice twin) {
-        line(nowMs, to -> to.writeNumberField("twin", twin.life().nonce()));
+    void twin(double nowMs, MemberEntry twin) {
+        line(nowMs, to -> to.writeNumberField("twin", twin.generation().nonce()));
     }
 
     void held(double nowMs, LeaseName lease, Token token, double untilMs) {
--- a/src/main/java/dappleseam/fleet/share/Signals.java
+++ b/src/main/java/dappleseam/fleet/share/FailureVoting.java
@@ -14,10 +14,10 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What this member says of caches by its own sight, and what all others' words come to. Free of I/O; times are ms of one clock, which {@link Seen} goes by, too.
+ * What this member says of caches by its own sight, and what all others' words come to. Free of I/O; times are ms of one clock, which {@link LocalObservation} goes by, too.
  * docs/fleet-design.md says why. Not for several threads.
  */
-public final class Signals {
+public final class FailureVoting {
     /** Share of the caches that fail by own sight from which it is more likely one's own link. */
     private static final double OWN_LINK = 1.0 / 3;
     /** Fewest caches of which that share can be told. */
@@ -53,23 +53,23 @@
     /** Of which something was said against when last told. */
     private final Set<Process> against = new LinkedHashSet<>();
 
-    public Signals(MemberName self) {
+    public FailureVoting(MemberName self) {
         this.self = self;
     }
 
     /** {@code counts}: whether that member is one whose word counts. */
-    public void hear(Collection<Bulletin> bulletins, Predicate<Bulletin> counts) {
+    public void receive(Collection<Announcement> bulletins, Predicate<Announcement> counts) {
         Map<Process, Votes> now = new LinkedHashMap<>();
-        for (Bulletin bulletin : bulletins) {
-            if (bulletin.who().equals(self) || !counts.test(bulletin)) {
+        for (Announcement bulletin : bulletins) {
+            if (bulletin.member().equals(self) || !counts.test(bulletin)) {
                 continue;
             }
             Set<Process> once = new LinkedHashSet<>(); // guards against one that says a thing twice
-            for (Sight sight : bulletin.sights()) {
+            for (NodeObservation sight : bulletin.observations()) {
                 Process process = new Process(sight.node(), sight.startedAtMs());
-                if (sight.ageMs() <= Sight.OLDEST_MS && once.add(process) && (now.containsKey(process) || now.size() < MOST)) {
+                if (sight.ageMs() <= NodeObservation.MAX_AGE_MS && once.add(process) && (now.containsKey(process) || now.size() < MOST)) {
                     Votes of = now.computeIfAbsent(process, p -> new Votes());
-                    (sight.fails() ? of.fails : of.works).add(sight.ageMs());
+                    (sight.failing() ? of.fails : of.works).add(sight.ageMs());
                 }
             }
         }
@@ -80,21 +80,21 @@
      * What to say: own findings that a cache fails, and that one works of which others say that it fails. Nothing where this member may be the one that is ill.
      * {@code seen}: of all caches.
      */
-    public List<Sight> own(double nowMs, Collection<Seen> seen, boolean isWell) {
-        long failing = seen.stream().filter(Seen::fails).count();
+    public List<NodeObservation> localObservations(double nowMs, Collection<LocalObservation> seen, boolean isWell) {
+        long failing = seen.stream().filter(LocalObservation::failing).count();
         if (!isWell || failing >= OWN_LINK_LEAST && failing > OWN_LINK * seen.size()) {
             return List.of();
         }
-        List<Sight> sights = new ArrayList<>();
-        for (Seen one : seen) {
+        List<NodeObservation> sights = new ArrayList<>();
+        for (LocalObservation one : seen) {
             long startedAt = Math.round(one.startedAtMs());
-            double age = nowMs - (one.fails() ? one.failedAtMs() : one.heardAtMs());
-            if ((one.fails() || isOfUse(votes.get(new Process(one.node(), startedAt)), age)) && age <= Sight.OLDEST_MS && startedAt >= 0 && startedAt <= Sight.LATEST) {
-                sights.add(new Sight(one.node(), startedAt, one.fails(), Math.round(Math.max(0, age))));
+            double age = nowMs - (one.failing() ? one.failedAtMs() : one.lastAnswerAtMs());
+            if ((one.failing() || isOfUse(votes.get(new Process(one.node(), startedAt)), age)) && age <= NodeObservation.MAX_AGE_MS && startedAt >= 0 && startedAt <= NodeObservation.MAX_START) {
+                sights.add(new NodeObservation(one.node(), startedAt, one.failing(), Math.round(Math.max(0, age))));
             }
         }
-        sights.sort(Comparator.comparing(Sight::fails).reversed());
-        return List.copyOf(sights.subList(0, Math.min(Bulletin.MOST_SIGHTS, sights.size())));
+        sights.sort(Comparator.comparing(NodeObservation::failing).reversed());
+        return List.copyOf(sights.subList(0, Math.min(Announcement.MAX_OBSERVATIONS, sights.size())));
     }
 
     /** Whether others have to hear of an answer so long ago: some say that the cache fails, and it is not older than all that they say. */
@@ -103,22 +103,22 @@
     }
 
     /** What others' words come to now; that nothing is said against a cache any more, once. {@code turns}: this member's place in the order of trying, by what is tried. */
-    public List<Said> words(ToIntFunction<String> turns) {
-        List<Said> words = new ArrayList<>();
+    public List<PeerVerdict> verdicts(ToIntFunction<String> turns) {
+        List<PeerVerdict> words = new ArrayList<>();
         Set<Process> now = new LinkedHashSet<>();
         votes.forEach((process, of) -> {
-            boolean isService = process.node().equals(ListTurns.SERVICE); // of which one answer is proof enough
+            boolean isService = process.node().equals(ListRetrySchedule.LIST_SERVICE); // of which one answer is proof enough
             long fails = of.failsNow(isService ? 1 : AGREE);
             if (fails > 0 && (isService || fails > of.worksNow())) {
                 now.add(process);
                 boolean agreed = fails >= AGREE;
-                words.add(new Said(process.node(), process.startedAtMs(), agreed ? Word.FAILS : Word.HINT, (int) fails, of.works.size(), agreed ? turn(process, turns) : 0));
+                words.add(new PeerVerdict(process.node(), process.startedAtMs(), agreed ? VerdictKind.FAILS : VerdictKind.HINT, (int) fails, of.works.size(), agreed ? turn(process, turns) : 0));
             }
         });
         for (Process process : against) {
             if (!now.contains(process)) {
                 Votes of = votes.get(process);
-                words.add(new Said(process.node(), process.startedAtMs(), Word.WORKS, of == null ? 0 : of.fails.size(), of == null ? 0 : of.works.size(), turn(process, turns)));
+                words.add(new PeerVerdict(process.node(), process.startedAtMs(), VerdictKind.WORKS, of == null ? 0 : of.fails.size(), of == null ? 0 : of.works.size(), turn(process, turns)));
             }
         }
         against.clear();
--- a/src/main/java/dappleseam/fleet/share/ListTurns.java
+++ b/src/main/java/dappleseam/fleet/share/ListRetrySchedule.java
@@ -5,9 +5,9 @@
 /**
  * When to call a list service that has failed: by turns where others say that it fails, too, and by oneself where nobody does. Free of I/O; times are ms of one clock, that of whoever calls.
  */
-public final class ListTurns {
+public final class ListRetrySchedule {
     /** The service, where members tell each other of it as of a cache: no list has a node of that id, and it has no start. */
-    public static final NodeId SERVICE = new NodeId(0);
+    public static final NodeId LIST_SERVICE = new NodeId(0);
     /** Members that call at once, and the time in ms until the next do; the longest wait for a turn: what an outage adds to the age of a list. */
     private static final int AT_ONCE = 2;
     private static final double STEP_MS = 200;
@@ -19,18 +19,18 @@
     private int turn;
 
     /** Others' word on the service. The time in ms until this member's call, where that is due because it works again; NaN where it is not. */
-    public double said(double nowMs, Said said) {
-        turn = Math.max(0, said.turn());
-        if (said.word() == Word.WORKS) {
+    public double onVerdict(double nowMs, PeerVerdict said) {
+        turn = Math.max(0, said.retryRank());
+        if (said.kind() == VerdictKind.WORKS) {
             saidAt = Double.NEGATIVE_INFINITY;
             return waits();
         }
-        saidAt = said.word() == Word.FAILS ? nowMs : saidAt;
+        saidAt = said.kind() == VerdictKind.FAILS ? nowMs : saidAt;
         return Double.NaN;
     }
 
     /** The time in ms until the next call after one that failed; {@code ownMs}: without others. */
-    public double again(double nowMs, double ownMs) {
+    public double retryDelayMs(double nowMs, double ownMs) {
         return nowMs > saidAt + WORD_MS ? ownMs : ownMs + waits();
     }
 
--- a/src/main/java/dappleseam/fleet/share/Shares.java
+++ b/src/main/java/dappleseam/fleet/share/ShareCalculator.java
@@ -12,9 +12,9 @@
  * What share of the whole this process may take: half of an even one, and half by its traffic. The shares of all that run add up to one, but for the margins that docs/fleet-design.md names.
  * Free of I/O; times are ms of one process's clock. Not for several threads.
  */
-public final class Shares {
+public final class ShareCalculator {
     /** Part of the whole that is dealt evenly: what one has whose traffic is least, over the counted fleet. */
-    public static final double EVEN = 0.5;
+    public static final double EVEN_PART = 0.5;
     /** Periods in which what one tells of its traffic is known to all: until then its own word counts for the least of it. */
     public static final double KNOWN_PERIODS = 3;
     /** Periods by which that is later for itself than for the others: two of their looks, which come at times of their own. */
@@ -40,13 +40,13 @@
     private double before = Double.NaN;
     private double anewUntil = Double.NEGATIVE_INFINITY;
 
-    private record Heard(Traffic traffic, double atMs, int location) {
-        Traffic at(double nowMs) {
+    private record Heard(AnnouncedTraffic traffic, double atMs, int location) {
+        AnnouncedTraffic at(double nowMs) {
             return traffic.olderBy(nowMs - atMs);
         }
     }
 
-    public Shares(MemberName self, double periodMs) {
+    public ShareCalculator(MemberName self, double periodMs) {
         this.self = self;
         this.periodMs = periodMs;
     }
@@ -56,23 +56,23 @@
     }
 
     /** Time in ms after which more traffic of its own counts for this process: a little after it does for the others. */
-    public double ownMs() {
+    public double ownPropagationMs() {
         return (KNOWN_PERIODS + OWN_LATER_PERIODS) * periodMs;
     }
 
     /** Bulletins that count, this process's own among them once it has told one. What those told who are silent now goes on to count for as long as they are counted. */
-    public void hear(double nowMs, Collection<Bulletin> bulletins) {
-        bulletins.forEach(bulletin -> heard.put(bulletin.who(), new Heard(bulletin.traffic(), nowMs, bulletin.location())));
+    public void receive(double nowMs, Collection<Announcement> bulletins) {
+        bulletins.forEach(bulletin -> heard.put(bulletin.member(), new Heard(bulletin.traffic(), nowMs, bulletin.location())));
     }
 
     /** From now on only those are counted: what others told is forgotten. */
-    public void keep(Set<MemberName> names) {
+    public void retain(Set<MemberName> names) {
         heard.keySet().retainAll(names);
     }
 
     private Map<MemberName, Double> weights(double nowMs) {
         Map<MemberName, Double> weights = new HashMap<>();
-        heard.forEach((name, one) -> weights.put(name, (double) LEAST_RATE + one.at(nowMs).inForce(name.equals(self) ? ownMs() : knownMs())));
+        heard.forEach((name, one) -> weights.put(name, (double) LEAST_RATE + one.at(nowMs).inForce(name.equals(self) ? ownPropagationMs() : knownMs())));
         return weights;
     }
 
@@ -81,7 +81,7 @@
      * counted for less, so that all who hear each other go on counting alike. {@code names}: members that are counted, this one among them; {@code missing}: those of them that cannot be
      * heard; {@code counted}: the counted fleet, at least as many.
      */
-    public double tellable(double nowMs, double ratePerS, Set<MemberName> names, Set<MemberName> missing, int counted) {
+    public double announceableRate(double nowMs, double ratePerS, Set<MemberName> names, Set<MemberName> missing, int counted) {
         double few = FEW * counted;
         if (missing.size() + counted - names.size() > few) {
             missed.addAll(missing);
@@ -103,7 +103,7 @@
     }
 
     /** Queries a second that this process counts for until it has told. */
-    public double usualPerS(double nowMs) {
+    public double presumedPerS(double nowMs) {
         return unknown(nowMs) - LEAST_RATE;
     }
 
@@ -118,7 +118,7 @@
         return Math.min(lesserMean(others), others.stream().mapToDouble(rate -> rate).average().orElse(LEAST_RATE));
     }
 
-    /** From half of an even share to nearly all. {@code names} and {@code counted} as for {@link #tellable}; {@code hasTwin}: whether another process goes by this one's name. */
+    /** From half of an even share to nearly all. {@code names} and {@code counted} as for {@link #announceableRate}; {@code hasTwin}: whether another process goes by this one's name. */
     public double share(double nowMs, Set<MemberName> names, int counted, boolean hasTwin) {
         Map<MemberName, Double> rates = weights(nowMs);
         Double told = rates.remove(self);
@@ -132,14 +132,14 @@
         if (counted - 1 - rates.size() > FEW * counted) {
             byTraffic = Math.min(byTraffic, even); // guards against a new process that has heard of a few idle ones only
         }
-        return (EVEN * even + (1 - EVEN) * byTraffic) / (hasTwin ? 2 : 1);
+        return (EVEN_PART * even + (1 - EVEN_PART) * byTraffic) / (hasTwin ? 2 : 1);
     }
 
     /**
      * Traffic of the members at this one's location as all others have it, by which they stand in order; null while too few are known. Where each location's members are spread evenly over
      * a line, so are all together. {@code names}: as for {@link #share}.
      */
-    public Map<MemberName, Double> traffic(Set<MemberName> names) {
+    public Map<MemberName, Double> localTraffic(Set<MemberName> names) {
         if (!heard.containsKey(self) || names.size() - heard.size() > FEW * names.size()) {
             return null;
         }
@@ -147,10 +147,10 @@
         Map<MemberName, Double> traffic = new HashMap<>();
         heard.forEach((name, one) -> {
             if (one.location == here) {
-                traffic.put(name, (double) LEAST_RATE + one.traffic.now());
+                traffic.put(name, (double) LEAST_RATE + one.traffic.current());
             }
         });
-        if (here == Bulletin.NOWHERE) { // else those that are not known may be anywhere
+        if (here == Announcement.NO_LOCATION) { // else those that are not known may be anywhere
             double mean = traffic.values().stream().mapToDouble(rate -> rate).average().orElseThrow();
             names.stream().filter(name -> !heard.containsKey(name)).forEach(name -> traffic.put(name, mean));
         }
@@ -158,7 +158,7 @@
     }
 
     /** Whether those that were missing are back, and all have to hear of each other's traffic anew. */
-    public boolean tellsAnew(double nowMs) {
+    public boolean isReannouncing(double nowMs) {
         return nowMs < anewUntil;
     }
 
--- a/src/main/java/dappleseam/fleet/share/Portion.java
+++ b/src/main/java/dappleseam/fleet/share/ShareRamp.java
@@ -4,7 +4,7 @@
  * The share that a proxy goes by: less within a second, as others take it up; more by steps, so that no limit jumps; and back to the one in its settings by steps where nothing was told for a while. Free
  * of I/O; times are ms of one clock.
  */
-public final class Portion {
+public final class ShareRamp {
     /** Factor by which it grows in a second at most, and falls where it is only that nothing was told. */
     public static final double GROWTH_A_SECOND = 1.2;
     /** Age in ms from which what was told counts no more: a dozen times that it is told anew. */
@@ -21,13 +21,13 @@
     private double lookedAt = Double.NaN;
 
     /** {@code usual}: the share by the settings alone, over 0 to 1. */
-    public Portion(double usual) {
+    public ShareRamp(double usual) {
         current = usual;
         applied = usual;
     }
 
     /** {@code told}: NaN where nothing ever was; {@code usual}: by the settings as they are now. Whether {@link #share} has become another. */
-    public boolean look(double nowMs, double told, double ageMs, double usual) {
+    public boolean update(double nowMs, double told, double ageMs, double usual) {
         boolean isOld = Double.isNaN(told) || !(ageMs <= OLD_MS);
         double goal = isOld ? usual : told;
         double step = Double.isNaN(lookedAt) ? 1 : Math.pow(GROWTH_A_SECOND, Math.max(0, nowMs - lookedAt) / MS_PER_S);
--- a/src/main/java/dappleseam/fleet/share/Word.java
+++ b/src/main/java/dappleseam/fleet/share/VerdictKind.java
@@ -1,7 +1,7 @@
 package dappleseam.fleet.share;
 
 /** What other members say of one process of a cache, all together. */
-public enum Word {
+public enum VerdictKind {
     /** One says that it fails: worth a look. */
     HINT,
     /** Two or more say that it fails, and fewer that it works. */
--- a/src/main/java/dappleseam/lab/FleetRun.java
+++ b/src/main/java/dappleseam/lab/FleetRun.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dappleseam.fleet.membership.Membership;
-import dappleseam.fleet.membership.Notice.State;
+import dappleseam.fleet.membership.MemberEntry.State;
 import dappleseam.lab.check.Ledger;
 import dappleseam.lab.check.RuleChecker;
 import dappleseam.lab.emulator.Fleet;
@@ -329,7 +329,7 @@
 
     /** Of the processes in those places as they are now, by their own records. */
     private double disturbedMs(Set<Integer> numbers, double fromMs, double toMs) throws IOException {
-        Disturbances disturbances = new Disturbances(Membership.DOUBT_PERIODS * scenario.periodMs());
+        Disturbances disturbances = new Disturbances(Membership.STALL_GRACE_PERIODS * scenario.periodMs());
         for (int number : numbers) {
             for (JsonNode line : lines(seats.get(number).now)) {
                 if (line.has("stood_still")) {
--- a/src/main/java/dappleseam/lab/fault/LinkTool.java
+++ b/src/main/java/dappleseam/lab/fault/LinkTool.java
@@ -1,7 +1,7 @@
 package dappleseam.lab.fault;
 
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.membership.Notice;
+import dappleseam.fleet.membership.MemberEntry;
 import dappleseam.fleet.peers.Envelope;
 import dappleseam.fleet.peers.Letter;
 import dappleseam.fleet.peers.Unreadable;
@@ -51,7 +51,7 @@
     private final Map<LinkHow, Long> done = new EnumMap<>(LinkHow.class);
     private final ByteBuffer in = ByteBuffer.allocate(2048);
     /** Each proxy as it last wrote of itself, for letters that are made up. */
-    private final Map<Integer, Notice> lastSelf = new HashMap<>();
+    private final Map<Integer, MemberEntry> lastSelf = new HashMap<>();
     private final Map<Letter.Kind, Long> kinds = new EnumMap<>(Letter.Kind.class);
     private volatile List<LinkFault> script = List.of();
     private volatile long beganNanos;
@@ -255,7 +255,7 @@
     private void forge(Planted.Forged forged) {
         Place from = placeOf(forged.from());
         Place to = placeOf(forged.to());
-        Notice self = from == null ? null : lastSelf.get(from.number);
+        MemberEntry self = from == null ? null : lastSelf.get(from.number);
         if (self != null && to != null) {
             Letter letter = Letter.of(self, forged.ballot());
             waiting.add(new Waiting(System.nanoTime(), count++, from, to, envelope.write(letter)));
--- a/src/main/java/dappleseam/lab/fleet/Exploration.java
+++ b/src/main/java/dappleseam/lab/fleet/Exploration.java
@@ -1,12 +1,12 @@
 package dappleseam.lab.fleet;
 
-import dappleseam.fleet.membership.Life;
+import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Notice.State;
-import dappleseam.fleet.membership.Standing;
-import dappleseam.fleet.membership.Terms;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MemberEntry.State;
+import dappleseam.fleet.membership.MembershipStatus;
+import dappleseam.fleet.membership.MembershipConfig;
 import dappleseam.fleet.peers.Letter;
 import dappleseam.fleet.peers.LetterHost;
 import java.net.InetSocketAddress;
@@ -108,7 +108,7 @@
         final Planted planted;
         final List<Member> members = new ArrayList<>();
         final List<Sent> underWay = new ArrayList<>();
-        final Map<Life, Notice> said = new HashMap<>();
+        final Map<Generation, MemberEntry> said = new HashMap<>();
         double now;
         String broken;
 
@@ -141,7 +141,7 @@
         void deliver(Sent sent) {
             Member to = members.get(sent.to);
             if (to.up) {
-                sent.letter.tell(sent.from, to.membership.heard(now));
+                sent.letter.tell(sent.from, to.membership.receiver(now));
             }
         }
 
@@ -207,7 +207,7 @@
 
         /** All that run, however little they have heard of each other, divide the whole by so much that they take no more than it. */
         void checkSum() {
-            double sum = members.stream().filter(m -> m.up).mapToDouble(m -> 1.0 / m.membership.counted()).sum();
+            double sum = members.stream().filter(m -> m.up).mapToDouble(m -> 1.0 / m.membership.fleetSize()).sum();
             if (sum > 1 + ROUNDING) {
                 breaks(String.format(Locale.ROOT, "all together took %.3f of the whole", sum));
             }
@@ -224,9 +224,9 @@
             for (Member viewer : members) {
                 for (Member other : members) {
                     if (viewer.up && viewer != other) {
-                        Notice held = viewer.membership.of(other.name);
-                        boolean present = held != null && held.state().isPresent();
-                        if (present != other.up || other.up && !held.life().equals(other.membership.self().life())) {
+                        MemberEntry held = viewer.membership.lookup(other.name);
+                        boolean present = held != null && held.state().isLive();
+                        if (present != other.up || other.up && !held.generation().equals(other.membership.self().generation())) {
                             breaks(viewer.name + " holds " + held + " for " + other.name + ", up " + other.up);
                         }
                     }
@@ -241,7 +241,7 @@
         String state() {
             StringBuilder text = new StringBuilder();
             for (Member member : members) {
-                text.append(member.up).append(member.up ? member.membership.state() + Math.round(member.wakeAt - now) + ' ' + member.chance.count % 64 : "").append('|');
+                text.append(member.up).append(member.up ? member.membership.fingerprint() + Math.round(member.wakeAt - now) + ' ' + member.chance.count % 64 : "").append('|');
             }
             underWay.forEach(sent -> text.append(sent.text()));
             return text.toString();
@@ -279,17 +279,17 @@
         /** From nothing, by a clock that stands: the greater start is not always the later one. */
         void start(double now) {
             chance = new Counter();
-            Notice self = new Notice(name, SimulatedFleet.address(number), new Life(1000, 10L * (starts % 2 == 0 ? 5 + starts : 5 - starts) + number), 0, State.ALIVE, 0);
+            MemberEntry self = new MemberEntry(name, SimulatedFleet.address(number), new Generation(1000, 10L * (starts % 2 == 0 ? 5 + starts : 5 - starts) + number), 0, State.ALIVE, 0);
             starts++;
             up = true;
             wakeAt = Double.POSITIVE_INFINITY;
-            membership = new Membership(Terms.usual(MEMBERS).withPeriod(PERIOD_MS), self, this, chance, now);
+            membership = new Membership(MembershipConfig.defaults(MEMBERS).withPeriod(PERIOD_MS), self, this, chance, now);
             membership.begin(now, List.of(SimulatedFleet.address((number + 1) % MEMBERS), SimulatedFleet.address((number + 2) % MEMBERS)));
         }
 
         @Override
         protected void send(InetSocketAddress to, Letter letter) {
-            world.said.merge(letter.self().life(), letter.self(), (a, b) -> a.compareTo(b) >= 0 ? a : b);
+            world.said.merge(letter.self().generation(), letter.self(), (a, b) -> a.compareTo(b) >= 0 ? a : b);
             for (Member other : world.members) {
                 Letter passed = world.planted.passed(letter, other.name, false);
                 if (other.up && SimulatedFleet.address(other.number).equals(to) && passed != null) {
@@ -299,7 +299,7 @@
         }
 
         @Override
-        public void call(InetSocketAddress peer, Notice self, long count, MemberName target, List<Notice> news) {
+        public void pingConnected(InetSocketAddress peer, MemberEntry self, long count, MemberName target, List<MemberEntry> news) {
             ping(peer, self, count, target, news);
         }
 
@@ -310,25 +310,25 @@
 
         /** What no order of events may bring about. */
         @Override
-        public void seen(Notice before, Notice now) {
+        public void memberChanged(MemberEntry before, MemberEntry now) {
             if (before != null && now.compareTo(before) <= 0) {
                 world.breaks(name + "'s view went back from " + before + " to " + now);
             }
-            Notice own = world.said.get(now.life());
+            MemberEntry own = world.said.get(now.generation());
             if (now.state() == State.LEFT || own == null || now.incarnation() > own.incarnation()) {
                 world.breaks(name + " holds " + now + ", which its process never said");
             }
-            if (before != null && before.life().equals(now.life()) && !before.state().isPresent() && now.state().isPresent()
+            if (before != null && before.generation().equals(now.generation()) && !before.state().isLive() && now.state().isLive()
                     && now.incarnation() <= before.incarnation()) {
                 world.breaks(name + " raised " + before + " to " + now);
             }
-            if (membership.counted() < membership.alive()) {
+            if (membership.fleetSize() < membership.liveCount()) {
                 world.breaks(name + " counts less than those alive");
             }
         }
 
         @Override
-        public void stands(Standing standing) {
+        public void statusChanged(MembershipStatus standing) {
             // as it may
         }
 
--- a/src/main/java/dappleseam/lab/fleet/Heartbeats.java
+++ b/src/main/java/dappleseam/lab/fleet/Heartbeats.java
@@ -1,29 +1,29 @@
 package dappleseam.lab.fleet;
 
-import dappleseam.fleet.membership.Correspondent;
-import dappleseam.fleet.membership.FleetHost;
+import dappleseam.fleet.membership.MembershipProtocol;
+import dappleseam.fleet.membership.MembershipHost;
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Notice.State;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MemberEntry.State;
 import java.net.InetSocketAddress;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /** A baseline: each tells each that it is there, once a period, and holds for failed whom it has not heard for five. */
-final class Heartbeats implements Subject, Correspondent {
+final class Heartbeats implements Subject, MembershipProtocol {
     private static final double SILENT_PERIODS = 5;
 
-    private final FleetHost host;
+    private final MembershipHost host;
     private final double periodMs;
-    private final Notice self;
-    private final Map<MemberName, Notice> known = new LinkedHashMap<>();
+    private final MemberEntry self;
+    private final Map<MemberName, MemberEntry> known = new LinkedHashMap<>();
     private final Map<MemberName, Double> heardAt = new LinkedHashMap<>();
     private List<InetSocketAddress> addresses = List.of();
     private double now;
     private double nextAt;
 
-    Heartbeats(FleetHost host, double periodMs, Notice self) {
+    Heartbeats(MembershipHost host, double periodMs, MemberEntry self) {
         this.host = host;
         this.periodMs = periodMs;
         this.self = self;
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public Correspondent heard(double nowMs) {
+    public MembershipProtocol heard(double nowMs) {
         now = nowMs;
         return this;
     }
@@ -46,11 +46,11 @@
     public void woken(double nowMs) {
         now = nowMs;
         if (now >= nextAt) {
-            addresses.stream().filter(a -> !a.equals(self.address())).forEach(a -> host.tell(a, self, List.of()));
+            addresses.stream().filter(a -> !a.equals(self.address())).forEach(a -> host.gossip(a, self, List.of()));
             heardAt.forEach((name, at) -> {
-                Notice notice = known.get(name);
+                MemberEntry notice = known.get(name);
                 if (now > at + SILENT_PERIODS * periodMs && notice.state() == State.ALIVE) {
-                    see(notice, notice.with(State.FAILED, 0));
+                    see(notice, notice.withState(State.FAILED, 0));
                 }
             });
             nextAt = now + periodMs;
@@ -58,9 +58,9 @@
         host.wakeAt(nextAt);
     }
 
-    private void see(Notice before, Notice after) {
+    private void see(MemberEntry before, MemberEntry after) {
         known.put(after.name(), after);
-        host.seen(before, after);
+        host.memberChanged(before, after);
     }
 
     @Override
@@ -74,41 +74,41 @@
     }
 
     @Override
-    public Notice of(MemberName name) {
+    public MemberEntry of(MemberName name) {
         return name.equals(self.name()) ? self : known.get(name);
     }
 
     @Override
-    public void tell(InetSocketAddress from, Notice sender, List<Notice> news) {
-        Notice before = known.get(sender.name());
+    public void gossip(InetSocketAddress from, MemberEntry sender, List<MemberEntry> news) {
+        MemberEntry before = known.get(sender.name());
         heardAt.put(sender.name(), now);
-        if (before == null || before.state() != State.ALIVE || !before.life().equals(sender.life())) {
+        if (before == null || before.state() != State.ALIVE || !before.generation().equals(sender.generation())) {
             see(before, sender);
         }
     }
 
     @Override
-    public void ping(InetSocketAddress peer, Notice sender, long number, MemberName target, List<Notice> news) {
+    public void ping(InetSocketAddress peer, MemberEntry sender, long number, MemberName target, List<MemberEntry> news) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public void ack(InetSocketAddress peer, Notice sender, long number, Notice about, List<Notice> news) {
+    public void ack(InetSocketAddress peer, MemberEntry sender, long number, MemberEntry about, List<MemberEntry> news) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public void nack(InetSocketAddress peer, Notice sender, long number) {
+    public void nack(InetSocketAddress peer, MemberEntry sender, long number) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public void ask(InetSocketAddress peer, Notice sender, long number, Notice target, List<Notice> news) {
+    public void pingRequest(InetSocketAddress peer, MemberEntry sender, long number, MemberEntry target, List<MemberEntry> news) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public void sums(InetSocketAddress peer, Notice sender, boolean answer, int[] sums) {
+    public void digests(InetSocketAddress peer, MemberEntry sender, boolean answer, int[] sums) {
         throw new UnsupportedOperationException();
     }
 }
--- a/src/main/java/dappleseam/lab/fleet/History.java
+++ b/src/main/java/dappleseam/lab/fleet/History.java
@@ -1,8 +1,8 @@
 package dappleseam.lab.fleet;
 
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Terms;
-import dappleseam.fleet.share.Choices;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MembershipConfig;
+import dappleseam.fleet.share.FleetFeatures;
 import dappleseam.lab.fleet.SimulatedFleet.Node;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -105,11 +105,11 @@
         double last;
 
         Run(Planted planted) {
-            fleet = new SimulatedFleet(SimulatedFleet.Module.SHIPPED, Terms.usual(members).withPeriod(PERIOD_MS), members, seed);
+            fleet = new SimulatedFleet(SimulatedFleet.Module.SHIPPED, MembershipConfig.defaults(members).withPeriod(PERIOD_MS), members, seed);
             fleet.plant(planted);
             fleet.watch(this::saw);
             if (shares) {
-                fleet.choices = new Choices(false, true, false, false);
+                fleet.choices = new FleetFeatures(false, true, false, false);
                 fleet.nodes().forEach(node -> node.ratePerS = Math.min(MOST_RATE, 5 / (0.02 + traffic.nextDouble())));
                 changeTraffic();
             }
@@ -130,7 +130,7 @@
             for (Node node : fleet.nodes()) {
                 if (node.up) {
                     double share = node.desk.share();
-                    double even = 1.0 / Math.max(members, node.membership().counted());
+                    double even = 1.0 / Math.max(members, node.membership().fleetSize());
                     sum += Double.isNaN(share) ? even : share;
                     least = Double.isNaN(share) ? least : Math.min(least, share * members);
                 }
@@ -142,8 +142,8 @@
             last = sum;
         }
 
-        void saw(double nowMs, Node viewer, Notice before, Notice after) {
-            records.sights().add(new Sight(nowMs, viewer.nonce(), after.name().text(), after.life().nonce(), after.incarnation(), after.state()));
+        void saw(double nowMs, Node viewer, MemberEntry before, MemberEntry after) {
+            records.sights().add(new Sight(nowMs, viewer.nonce(), after.name().text(), after.generation().nonce(), after.incarnation(), after.state()));
         }
 
         Verdict play() {
@@ -185,8 +185,8 @@
                     watchShares();
                 }
                 for (Node node : fleet.nodes()) {
-                    if (node.up && node.membership().counted() != counted[node.number]) {
-                        counted[node.number] = node.membership().counted();
+                    if (node.up && node.membership().fleetSize() != counted[node.number]) {
+                        counted[node.number] = node.membership().fleetSize();
                         records.counts().add(new ViewChecker.Counted(fleet.nowMs(), node.nonce(), counted[node.number]));
                     }
                 }
--- a/src/main/java/dappleseam/lab/fleet/Planted.java
+++ b/src/main/java/dappleseam/lab/fleet/Planted.java
@@ -4,9 +4,9 @@
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.peers.Ballot;
 import dappleseam.fleet.peers.Letter;
-import dappleseam.fleet.share.Bulletin;
-import dappleseam.fleet.share.Sight;
-import dappleseam.fleet.share.Traffic;
+import dappleseam.fleet.share.Announcement;
+import dappleseam.fleet.share.NodeObservation;
+import dappleseam.fleet.share.AnnouncedTraffic;
 import dappleseam.list.ListReader;
 import dappleseam.router.NodeId;
 import java.util.List;
@@ -57,9 +57,9 @@
         if (letter.bulletins() == null) {
             return letter;
         }
-        List<Sight> lies = IntStream.range(0, LIED_ABOUT).mapToObj(i -> new Sight(new NodeId(ListReader.hash("cache-" + i)), 0, true, 0)).toList();
-        return Letter.of(letter.self(), letter.bulletins().stream().map(b -> IntStream.range(0, liars).anyMatch(i -> b.who().text().equals("lab-" + i))
-                ? new Bulletin(b.who(), b.life(), b.number(), b.location(), b.traffic(), lies) : b).toList());
+        List<NodeObservation> lies = IntStream.range(0, LIED_ABOUT).mapToObj(i -> new NodeObservation(new NodeId(ListReader.hash("cache-" + i)), 0, true, 0)).toList();
+        return Letter.of(letter.self(), letter.bulletins().stream().map(b -> IntStream.range(0, liars).anyMatch(i -> b.member().text().equals("lab-" + i))
+                ? new Announcement(b.member(), b.generation(), b.number(), b.location(), b.traffic(), lies) : b).toList());
     }
 
     /** What is made up because of that letter. */
@@ -80,7 +80,7 @@
             case LIAR -> lying(letter, 1);
             case LIARS -> lying(letter, 4);
             case NO_RATES -> letter.bulletins() == null ? letter
-                    : Letter.of(letter.self(), letter.bulletins().stream().map(b -> new Bulletin(b.who(), b.life(), b.number(), b.location(), Traffic.of(0), b.sights())).toList());
+                    : Letter.of(letter.self(), letter.bulletins().stream().map(b -> new Announcement(b.member(), b.generation(), b.number(), b.location(), AnnouncedTraffic.of(0), b.observations())).toList());
             case FORGETFUL_VOTER -> to.equals(VOTERS.get(0)) && answer(letter.ballot()) != null ? null : letter;
             case NO_REFUTATION -> letter.with(letter.news().stream().filter(n -> !n.name().equals(to)).toList());
             case NO_INDIRECT_PROBE -> letter.kind() == Letter.Kind.ASK ? null : letter;
--- a/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
+++ b/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
@@ -1,19 +1,19 @@
 package dappleseam.lab.fleet;
 
-import dappleseam.fleet.membership.Life;
+import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Standing;
-import dappleseam.fleet.membership.Terms;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MembershipStatus;
+import dappleseam.fleet.membership.MembershipConfig;
 import dappleseam.fleet.peers.Letter;
 import dappleseam.fleet.peers.LetterHost;
 import dappleseam.fleet.peers.Sightings;
 import dappleseam.fleet.peers.SignalDesk;
-import dappleseam.fleet.share.Bulletin;
-import dappleseam.fleet.share.Choices;
-import dappleseam.fleet.share.Said;
-import dappleseam.fleet.share.Seen;
+import dappleseam.fleet.share.Announcement;
+import dappleseam.fleet.share.FleetFeatures;
+import dappleseam.fleet.share.PeerVerdict;
+import dappleseam.fleet.share.LocalObservation;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -42,7 +42,7 @@
 
     /** What a member's view came to hold, told as it happens; {@code before} is null for one not known before. */
     public interface Watcher {
-        void saw(double nowMs, Node viewer, Notice before, Notice now);
+        void saw(double nowMs, Node viewer, MemberEntry before, MemberEntry now);
     }
 
     /** Bytes of a datagram beside notices, and UDP's and IP's own. */
@@ -51,7 +51,7 @@
     private static final long DAY_MS = 86_400_000L;
 
     private final Module kind;
-    private final Terms terms;
+    private final MembershipConfig terms;
     private final SplittableRandom random;
     private final List<Node> nodes = new ArrayList<>();
     private final Map<InetSocketAddress, Node> at = new HashMap<>();
@@ -63,7 +63,7 @@
     public double delayMs = 2;
     public long datagrams;
     /** What members started from now on decide by what they tell each other. */
-    public Choices choices = Choices.NONE;
+    public FleetFeatures choices = FleetFeatures.NONE;
     public long bytes;
 
     /** One member's place: its process may be killed, stopped and started anew. */
@@ -85,7 +85,7 @@
         public SignalDesk desk;
         public double upSince;
         public double downSince = Double.NaN;
-        public Standing standing;
+        public MembershipStatus standing;
         public final List<String> lines = new ArrayList<>();
         private int process;
         private double wakeAt = Double.NaN;
@@ -103,14 +103,14 @@
             upSince = now;
             process++;
             at.put(address, this);
-            Notice self = new Notice(name, address, new Life(Math.max(0, DAY_MS + (long) now + clockOffMs), random.nextLong()), 0, Notice.State.ALIVE, 0);
+            MemberEntry self = new MemberEntry(name, address, new Generation(Math.max(0, DAY_MS + (long) now + clockOffMs), random.nextLong()), 0, MemberEntry.State.ALIVE, 0);
             subject = switch (kind) {
                 case HEARTBEATS -> new Heartbeats(this, terms.periodMs(), self);
                 default -> new Subject.Shipped(new Membership(terms, self, this, random.split(), now));
             };
             subject.begin(now, seeds);
             if (choices.any()) {
-                desk = new SignalDesk(membership(), terms.periodMs(), terms.most(), Bulletin.NOWHERE, choices, new Rates(), (to, news) -> send(to, Letter.of(membership().self(), news)),
+                desk = new SignalDesk(membership(), terms.periodMs(), terms.maxMembers(), Announcement.NO_LOCATION, choices, new Rates(), (to, news) -> send(to, Letter.of(membership().self(), news)),
                         random.split(), now);
                 wakeDesk(process);
             }
@@ -129,7 +129,7 @@
 
         private final class Rates implements Sightings {
             @Override
-            public Collection<Seen> seen() {
+            public Collection<LocalObservation> seen() {
                 return List.of();
             }
 
@@ -139,7 +139,7 @@
             }
 
             @Override
-            public void say(List<Said> words) { }
+            public void say(List<PeerVerdict> words) { }
 
             @Override
             public void stands(double share, double place) { }
@@ -147,7 +147,7 @@
 
         /** Of its process. */
         public long nonce() {
-            return membership().self().life().nonce();
+            return membership().self().generation().nonce();
         }
 
         public Membership membership() {
@@ -241,7 +241,7 @@
         }
 
         @Override
-        public void call(InetSocketAddress peer, Notice self, long number, MemberName target, List<Notice> news) {
+        public void pingConnected(InetSocketAddress peer, MemberEntry self, long number, MemberName target, List<MemberEntry> news) {
             send(peer, pingOf(self, number, target, news), true);
             Node there = nodeAt(peer);
             if (at.get(peer) == null && there != null && passes(there)) {
@@ -267,12 +267,12 @@
         }
 
         @Override
-        public void seen(Notice before, Notice after) {
+        public void memberChanged(MemberEntry before, MemberEntry after) {
             watcher.saw(now, this, before, after);
         }
 
         @Override
-        public void stands(Standing now) {
+        public void statusChanged(MembershipStatus now) {
             standing = now;
         }
 
@@ -284,11 +284,11 @@
         }
     }
 
-    public SimulatedFleet(Module kind, Terms terms, int members, long seed) {
+    public SimulatedFleet(Module kind, MembershipConfig terms, int members, long seed) {
         super(0);
         this.kind = kind;
         this.terms = kind == Module.WITHOUT_LOCAL_HEALTH || kind == Module.PLAIN
-                ? new Terms(terms.periodMs(), terms.counted(), terms.most(), terms.forgetMs(), false, terms.helpers()) : terms;
+                ? new MembershipConfig(terms.periodMs(), terms.initialFleetSize(), terms.maxMembers(), terms.forgetAfterMs(), false, terms.indirectProbes()) : terms;
         random = new SplittableRandom(seed);
         for (int i = 0; i < members; i++) {
             nodes.add(new Node(i, new MemberName("p" + i), address(i)));
@@ -305,12 +305,12 @@
     }
 
     private static int size(Letter letter) {
-        int size = letter.self().bytes() + (letter.about() == null ? 0 : letter.about().bytes())
+        int size = letter.self().maxEncodedBytes() + (letter.about() == null ? 0 : letter.about().maxEncodedBytes())
                 + (letter.sums() == null ? 0 : Integer.BYTES * letter.sums().length);
-        for (Notice notice : letter.news()) {
-            size += notice.bytes();
+        for (MemberEntry notice : letter.news()) {
+            size += notice.maxEncodedBytes();
         }
-        return size + (letter.bulletins() == null ? 0 : letter.bulletins().stream().mapToInt(Bulletin::bytes).sum());
+        return size + (letter.bulletins() == null ? 0 : letter.bulletins().stream().mapToInt(Announcement::maxEncodedBytes).sum());
     }
 
     /** Another that goes by that one's name, by mistake; it is not started, and not one of those that have to agree. */
@@ -359,8 +359,8 @@
     public void startKnown() {
         startAll(1);
         runFor(terms.periodMs() + 1);
-        List<Notice> all = nodes.stream().map(n -> n.membership().self()).toList();
-        nodes.forEach(n -> n.membership().remember(now, all));
+        List<MemberEntry> all = nodes.stream().map(n -> n.membership().self()).toList();
+        nodes.forEach(n -> n.membership().preload(now, all));
     }
 
     /** Whether each process that is up holds each other one for alive in its present life, and each that is down for not present. */
@@ -370,9 +370,9 @@
 
     public boolean isRight(Node viewer) {
         for (Node node : nodes) {
-            Notice held = viewer.subject.of(node.name);
-            boolean present = held != null && held.state().isPresent();
-            if (present != node.up || node.up && kind != Module.HEARTBEATS && !held.life().equals(node.membership().self().life())) {
+            MemberEntry held = viewer.subject.of(node.name);
+            boolean present = held != null && held.state().isLive();
+            if (present != node.up || node.up && kind != Module.HEARTBEATS && !held.generation().equals(node.membership().self().generation())) {
                 return false;
             }
         }
--- a/src/main/java/dappleseam/lab/fleet/Sizes.java
+++ b/src/main/java/dappleseam/lab/fleet/Sizes.java
@@ -1,7 +1,7 @@
 package dappleseam.lab.fleet;
 
-import dappleseam.fleet.membership.Notice.State;
-import dappleseam.fleet.membership.Terms;
+import dappleseam.fleet.membership.MemberEntry.State;
+import dappleseam.fleet.membership.MembershipConfig;
 import dappleseam.lab.fleet.SimulatedFleet.Module;
 import dappleseam.lab.fleet.SimulatedFleet.Node;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
     private static final double STOPPED_MS = 4 * SECOND;
 
     private SimulatedFleet begun(long seed) {
-        SimulatedFleet fleet = new SimulatedFleet(module, Terms.usual(members), members, seed);
+        SimulatedFleet fleet = new SimulatedFleet(module, MembershipConfig.defaults(members), members, seed);
         if (members > NEWS_MOST && module != Module.HEARTBEATS) {
             fleet.startKnown();
             fleet.runFor(KNOWN_MS);
@@ -93,7 +93,7 @@
             double[] at = {Double.NaN, Double.NaN, Double.NaN};
             fleet.watch((now, viewer, before, after) -> {
                 int number = Integer.parseInt(after.name().text().substring(1));
-                if (after.state().isPresent()) {
+                if (after.state().isLive()) {
                     return;
                 }
                 if (number >= dead) {
--- a/src/main/java/dappleseam/lab/fleet/Subject.java
+++ b/src/main/java/dappleseam/lab/fleet/Subject.java
@@ -1,9 +1,9 @@
 package dappleseam.lab.fleet;
 
-import dappleseam.fleet.membership.Correspondent;
+import dappleseam.fleet.membership.MembershipProtocol;
 import dappleseam.fleet.membership.Membership;
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.membership.Notice;
+import dappleseam.fleet.membership.MemberEntry;
 import java.net.InetSocketAddress;
 import java.util.List;
 
@@ -11,7 +11,7 @@
 public interface Subject {
     void begin(double nowMs, List<InetSocketAddress> known);
 
-    Correspondent heard(double nowMs);
+    MembershipProtocol heard(double nowMs);
 
     void woken(double nowMs);
 
@@ -20,7 +20,7 @@
     void leaving(double nowMs);
 
     /** What it holds of that member, or null. */
-    Notice of(MemberName name);
+    MemberEntry of(MemberName name);
 
     /** The module as it is shipped. */
     record Shipped(Membership membership) implements Subject {
@@ -30,8 +30,8 @@
         }
 
         @Override
-        public Correspondent heard(double nowMs) {
-            return membership.heard(nowMs);
+        public MembershipProtocol heard(double nowMs) {
+            return membership.receiver(nowMs);
         }
 
         @Override
@@ -41,17 +41,17 @@
 
         @Override
         public void refused(double nowMs, InetSocketAddress peer) {
-            membership.refused(nowMs, peer);
+            membership.connectionRefused(nowMs, peer);
         }
 
         @Override
         public void leaving(double nowMs) {
-            membership.leaving(nowMs);
+            membership.announceLeave(nowMs);
         }
 
         @Override
-        public Notice of(MemberName name) {
-            return membership.of(name);
+        public MemberEntry of(MemberName name) {
+            return membership.lookup(name);
         }
     }
 }
--- a/src/main/java/dappleseam/lab/fleet/Subsets.java
+++ b/src/main/java/dappleseam/lab/fleet/Subsets.java
@@ -1,7 +1,7 @@
 package dappleseam.lab.fleet;
 
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.share.Places;
+import dappleseam.fleet.share.TrafficPosition;
 import dappleseam.router.Hash;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -50,8 +50,8 @@
                 case CHANCE -> (int) (copies * new SplittableRandom(seed ^ name.hashCode()).nextDouble());
                 case RENDEZVOUS -> rendezvous(name);
                 case DETERMINISTIC -> deterministic(i);
-                case ONE_LINE -> (int) (copies * Places.of(name, traffic));
-                case PLACES -> (int) (copies * Places.of(name, at(location(name), traffic)));
+                case ONE_LINE -> (int) (copies * TrafficPosition.of(name, traffic));
+                case PLACES -> (int) (copies * TrafficPosition.of(name, at(location(name), traffic)));
             });
         }
         return found;
--- a/src/main/java/dappleseam/lab/fleet/ViewChecker.java
+++ b/src/main/java/dappleseam/lab/fleet/ViewChecker.java
@@ -1,6 +1,6 @@
 package dappleseam.lab.fleet;
 
-import dappleseam.fleet.membership.Notice.State;
+import dappleseam.fleet.membership.MemberEntry.State;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -115,8 +115,8 @@
         if (sight.state() == State.ENDED && seen.runsAt(sight.ms())) {
             breach(Promise.FALSE_END, sight.ms(), "%s held %s for ended, which ran", viewer.member(), seen.member());
         }
-        boolean wasOver = before != null && before.nonce() == sight.nonce() && !before.state().isPresent();
-        if (wasOver && sight.state().isPresent() && sight.ms() > seen.toMs() + bounds.lateMs()) {
+        boolean wasOver = before != null && before.nonce() == sight.nonce() && !before.state().isLive();
+        if (wasOver && sight.state().isLive() && sight.ms() > seen.toMs() + bounds.lateMs()) {
             breach(Promise.RESURRECTION, sight.ms(), "%s held %s for %s again, which ended %.0f ms ago", viewer.member(), seen.member(), sight.state(),
                     sight.ms() - seen.toMs());
         }
@@ -144,7 +144,7 @@
                     continue;
                 }
                 Sight held = heldAt(viewer.nonce(), over.member(), due);
-                if (held != null && held.nonce() == over.nonce() && held.state().isPresent()) {
+                if (held != null && held.nonce() == over.nonce() && held.state().isLive()) {
                     breach(Promise.LATE, due, "%s still held %s for %s, which ended %.0f ms before", viewer.member(), over.member(), held.state(),
                             bounds.lateMs());
                 }
@@ -158,14 +158,14 @@
         for (Truth.Process viewer : running) {
             for (Truth.Process other : running) {
                 Sight sight = other.nonce() == viewer.nonce() ? null : heldAt(viewer.nonce(), other.member(), at);
-                if (other.nonce() != viewer.nonce() && (sight == null || sight.nonce() != other.nonce() || !sight.state().isPresent())) {
+                if (other.nonce() != viewer.nonce() && (sight == null || sight.nonce() != other.nonce() || !sight.state().isLive())) {
                     breach(Promise.NO_AGREEMENT, at, "%s holds %s, which runs, for %s", viewer.member(), other.member(),
                             sight == null ? "unknown" : sight.nonce() == other.nonce() ? sight.state() : "an earlier process");
                 }
             }
             held.getOrDefault(viewer.nonce(), Map.of()).keySet().forEach(who -> {
                 Sight sight = heldAt(viewer.nonce(), who, at);
-                if (sight != null && sight.state().isPresent() && truth.runningAt(who, at) == null) {
+                if (sight != null && sight.state().isLive() && truth.runningAt(who, at) == null) {
                     breach(Promise.NO_AGREEMENT, at, "%s holds %s for %s, which does not run", viewer.member(), who, sight.state());
                 }
             });
@@ -194,7 +194,7 @@
                 continue;
             }
             String viewer = truth.process(word.viewer).member();
-            double since = word.ms - dappleseam.fleet.share.Sight.OLDEST_MS - TOLD_MS;
+            double since = word.ms - dappleseam.fleet.share.NodeObservation.MAX_AGE_MS - TOLD_MS;
             if (witnesses.entrySet().stream().noneMatch(e -> e.getValue() >= since && !truth.process(e.getKey()).member().equals(viewer))) {
                 breach(Promise.FALSE_SIGNAL, word.ms, "%s was told that %s fails, and nobody saw so", viewer, word.cache);
             }
--- a/src/main/java/dappleseam/lab/report/FleetReport.java
+++ b/src/main/java/dappleseam/lab/report/FleetReport.java
@@ -247,7 +247,7 @@
             Set<Long> knew = new HashSet<>();
             for (Sight sight : sights) {
                 boolean knows = sight.who().equals(over.member()) && sight.ms() > over.toMs()
-                        && (sight.nonce() == over.nonce() ? !sight.state().isPresent() : true);
+                        && (sight.nonce() == over.nonce() ? !sight.state().isLive() : true);
                 if (knows && knew.add(sight.viewer())) {
                     first = Math.min(first, sight.ms());
                     last = Math.max(last, sight.ms());
--- a/src/main/java/dappleseam/lab/scenario/FleetScenario.java
+++ b/src/main/java/dappleseam/lab/scenario/FleetScenario.java
@@ -1,6 +1,6 @@
 package dappleseam.lab.scenario;
 
-import dappleseam.fleet.share.Choices;
+import dappleseam.fleet.share.FleetFeatures;
 import java.util.List;
 import java.util.Set;
 
@@ -9,7 +9,7 @@
  * processes. {@code memoryMb}: limit of each; {@code settleS}: time after the last trouble until all views have to be right;
  * {@code listPushed}: whether they follow the list all the time, rather than ask where they have to; {@code choices}: what they tell each other; {@code leases}: null where there are none.
  */
-public record FleetScenario(Scenario play, int proxies, int memoryMb, double periodMs, double settleS, boolean listPushed, Choices choices, Leases leases, List<LinkFault> links,
+public record FleetScenario(Scenario play, int proxies, int memoryMb, double periodMs, double settleS, boolean listPushed, FleetFeatures choices, Leases leases, List<LinkFault> links,
                             List<ProcessEvent> processes) {
     /**
      * Leases, of which the first three proxies are voters; {@code leaseMs}: of the one for the last list. {@code storeLateMs}: by how much the first write
--- a/src/main/java/dappleseam/lab/scenario/ScenarioReader.java
+++ b/src/main/java/dappleseam/lab/scenario/ScenarioReader.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import dappleseam.fleet.share.Choices;
+import dappleseam.fleet.share.FleetFeatures;
 import dappleseam.lab.scenario.Scenario.Caches;
 import dappleseam.lab.scenario.Scenario.Fault;
 import dappleseam.lab.scenario.Scenario.Grade;
@@ -59,7 +59,7 @@
         Keys fleet = top.part("fleet");
         int proxies = (int) fleet.number("proxies", 2, 400);
         FleetScenario read = new FleetScenario(scenario, proxies, (int) fleet.number("memory_mb", 32, 1024), fleet.number("period_ms", 20, 60_000),
-                fleet.number("settle_s", 1, 600), fleet.option("list_pushed"), new Choices(fleet.option("signals"), fleet.option("shares"), fleet.option("turns"), fleet.option("subsets")), fleet.has("leases") ? leases(fleet.part("leases")) : null,
+                fleet.number("settle_s", 1, 600), fleet.option("list_pushed"), new FleetFeatures(fleet.option("signals"), fleet.option("shares"), fleet.option("turns"), fleet.option("subsets")), fleet.has("leases") ? leases(fleet.part("leases")) : null,
                 fleet.list("links").stream().map(keys -> link(keys, proxies)).toList(),
                 fleet.list("processes").stream().map(keys -> event(keys, proxies)).toList());
         List.of(top, fleet).forEach(Keys::noMore);
--- a/src/main/java/dappleseam/proxy/FleetLookout.java
+++ b/src/main/java/dappleseam/proxy/FleetLookout.java
@@ -1,13 +1,13 @@
 package dappleseam.proxy;
 
 import dappleseam.fleet.peers.Sightings;
-import dappleseam.fleet.share.Hearsay;
-import dappleseam.fleet.share.Hearsay.Held;
-import dappleseam.fleet.share.Hearsay.Order;
-import dappleseam.fleet.share.ListTurns;
-import dappleseam.fleet.share.Portion;
-import dappleseam.fleet.share.Said;
-import dappleseam.fleet.share.Seen;
+import dappleseam.fleet.share.PeerEjectionPolicy;
+import dappleseam.fleet.share.PeerEjectionPolicy.NodeState;
+import dappleseam.fleet.share.PeerEjectionPolicy.Ejection;
+import dappleseam.fleet.share.ListRetrySchedule;
+import dappleseam.fleet.share.ShareRamp;
+import dappleseam.fleet.share.PeerVerdict;
+import dappleseam.fleet.share.LocalObservation;
 import dappleseam.router.NodeHealth;
 import dappleseam.router.NodeId;
 import java.util.ArrayList;
@@ -40,7 +40,7 @@
     private final Whole whole;
     private final Executor loop;
     private final DoubleSupplier nowMs;
-    private final Hearsay hearsay;
+    private final PeerEjectionPolicy hearsay;
     /** The I/O thread's. */
     private final Map<NodeId, Double> heardAt = new HashMap<>();
     private final Map<NodeId, double[]> failing = new HashMap<>();
@@ -53,23 +53,23 @@
     private long taken;
     private double rate;
     private double bornAt = Double.NaN;
-    private final Portion portion;
+    private final ShareRamp portion;
     /** For any thread. */
-    private volatile Collection<Seen> seen = List.of();
+    private volatile Collection<LocalObservation> seen = List.of();
     private volatile double ratePerS = Double.NaN;
     private volatile Told told = new Told(Double.NaN, Double.NaN, Double.NEGATIVE_INFINITY);
     private double placeTold = Double.NEGATIVE_INFINITY;
-    private final ListTurns turns = new ListTurns();
-    private Seen service = new Seen(ListTurns.SERVICE, 0, false, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY);
+    private final ListRetrySchedule turns = new ListRetrySchedule();
+    private LocalObservation service = new LocalObservation(ListRetrySchedule.LIST_SERVICE, 0, false, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY);
 
     private record Told(double share, double place, double atMs) {}
 
     /** {@code orders}: the router's, on the I/O thread, which {@code loop} runs things on, by its clock. */
     FleetLookout(long seed, Consumer<List<NodeHealth>> orders, Whole whole, Executor loop, DoubleSupplier nowMs) {
-        hearsay = new Hearsay(new SplittableRandom(seed));
+        hearsay = new PeerEjectionPolicy(new SplittableRandom(seed));
         this.orders = orders;
         this.whole = whole;
-        portion = new Portion(1 / whole.proxies());
+        portion = new ShareRamp(1 / whole.proxies());
         this.loop = loop;
         this.nowMs = nowMs;
     }
@@ -119,24 +119,24 @@
         lookedAt = nowMs;
         ratePerS = nowMs >= bornAt + RATE_FROM_MS ? rate : Double.NaN;
         Told last = told;
-        boolean isNews = portion.look(nowMs, last.share, System.nanoTime() / NANOS_PER_MS - last.atMs, 1 / whole.proxies());
+        boolean isNews = portion.update(nowMs, last.share, System.nanoTime() / NANOS_PER_MS - last.atMs, 1 / whole.proxies());
         if (isNews || Math.abs(last.place - placeTold) > PLACE_NEWS) {
             placeTold = Double.isNaN(last.place) ? placeTold : last.place;
             whole.stands(1 / portion.share(), last.place);
         }
         double shift = System.nanoTime() / NANOS_PER_MS - nowMs; // to the fleet's clock
-        List<Seen> all = new ArrayList<>();
-        all.add(new Seen(service.node(), 0, service.fails(), service.failedAtMs() + shift, service.heardAtMs() + shift));
+        List<LocalObservation> all = new ArrayList<>();
+        all.add(new LocalObservation(service.node(), 0, service.failing(), service.failedAtMs() + shift, service.lastAnswerAtMs() + shift));
         caches.forEach((node, started) -> {
             double until = until(node);
-            boolean fails = hearsay.isOwn(node, until);
+            boolean fails = hearsay.isLocallyEjected(node, until);
             if (!fails) {
                 failing.remove(node);
             } else if (failing.get(node) == null || failing.get(node)[0] != until) { // found anew
                 failing.put(node, new double[] {until, nowMs});
             }
             double failedAt = Math.max(fails ? failing.get(node)[1] : Double.NEGATIVE_INFINITY, struckAt.getOrDefault(node, Double.NEGATIVE_INFINITY)) + shift;
-            all.add(new Seen(node, started, fails || struckAt.containsKey(node), failedAt, heardAt.getOrDefault(node, Double.NEGATIVE_INFINITY) + shift));
+            all.add(new LocalObservation(node, started, fails || struckAt.containsKey(node), failedAt, heardAt.getOrDefault(node, Double.NEGATIVE_INFINITY) + shift));
         });
         seen = all;
     }
@@ -148,28 +148,28 @@
 
     @Override
     public void listCalled(double nowMs, boolean answered) {
-        service = new Seen(service.node(), 0, !answered, answered ? service.failedAtMs() : nowMs, answered ? nowMs : service.heardAtMs());
+        service = new LocalObservation(service.node(), 0, !answered, answered ? service.failedAtMs() : nowMs, answered ? nowMs : service.lastAnswerAtMs());
     }
 
     @Override
     public double listAgainMs(double nowMs, double ownMs) {
-        return turns.again(nowMs, ownMs);
+        return turns.retryDelayMs(nowMs, ownMs);
     }
 
-    private void hear(double nowMs, List<Said> words) {
-        for (Said said : words) {
-            double callIn = said.node().equals(ListTurns.SERVICE) ? turns.said(nowMs, said) : Double.NaN;
-            if (!Double.isNaN(callIn) && service.fails()) {
+    private void hear(double nowMs, List<PeerVerdict> words) {
+        for (PeerVerdict said : words) {
+            double callIn = said.node().equals(ListRetrySchedule.LIST_SERVICE) ? turns.onVerdict(nowMs, said) : Double.NaN;
+            if (!Double.isNaN(callIn) && service.failing()) {
                 whole.callIn(callIn);
             }
         }
-        Map<NodeId, Held> caches = new HashMap<>();
-        startedAt.forEach((node, started) -> caches.put(node, new Held(started, until(node), heardAt.getOrDefault(node, Double.NEGATIVE_INFINITY))));
+        Map<NodeId, NodeState> caches = new HashMap<>();
+        startedAt.forEach((node, started) -> caches.put(node, new NodeState(started, until(node), heardAt.getOrDefault(node, Double.NEGATIVE_INFINITY))));
         List<NodeHealth> told = new ArrayList<>();
-        for (Order order : hearsay.decide(nowMs, words, caches)) {
+        for (Ejection order : hearsay.decide(nowMs, words, caches)) {
             NodeHealth before = learnt.get(order.node());
-            NodeHealth one = before == null ? new NodeHealth(order.node(), order.startedAtMs(), order.asideUntilMs(), 0, 0, 0)
-                    : new NodeHealth(order.node(), order.startedAtMs(), order.asideUntilMs(), before.busyUntilMs(), before.idleWeight(), before.shedShare());
+            NodeHealth one = before == null ? new NodeHealth(order.node(), order.startedAtMs(), order.ejectedUntilMs(), 0, 0, 0)
+                    : new NodeHealth(order.node(), order.startedAtMs(), order.ejectedUntilMs(), before.busyUntilMs(), before.idleWeight(), before.shedShare());
             told.add(one);
         }
         if (!told.isEmpty()) {
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public Collection<Seen> seen() {
+    public Collection<LocalObservation> seen() {
         return seen;
     }
 
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public void say(List<Said> words) {
+    public void say(List<PeerVerdict> words) {
         loop.execute(() -> hear(nowMs.getAsDouble(), words));
     }
 }
--- a/src/main/java/dappleseam/proxy/InFleet.java
+++ b/src/main/java/dappleseam/proxy/InFleet.java
@@ -3,16 +3,16 @@
 import dappleseam.control.FleetDesk;
 import dappleseam.fleet.lastlist.FolderStore;
 import dappleseam.fleet.lastlist.HttpStore;
-import dappleseam.fleet.lastlist.KeepList;
+import dappleseam.fleet.lastlist.LastListTask;
 import dappleseam.fleet.lastlist.ListStore;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.peers.FleetText;
 import dappleseam.fleet.peers.Identity;
 import dappleseam.fleet.peers.PeerSocket;
 import dappleseam.fleet.peers.Sightings;
-import dappleseam.fleet.share.Bulletin;
-import dappleseam.fleet.share.Said;
-import dappleseam.fleet.share.Seen;
+import dappleseam.fleet.share.Announcement;
+import dappleseam.fleet.share.PeerVerdict;
+import dappleseam.fleet.share.LocalObservation;
 import dappleseam.list.NodeList;
 import dappleseam.site.FleetConfigReader;
 import dappleseam.site.ProxyConfig;
@@ -54,13 +54,13 @@
         store = identity.listStore() == null ? null : identity.listStore().startsWith("http:") ? new HttpStore(URI.create(identity.listStore()))
                 : new FolderStore(Path.of(identity.listStore()));
         isAsked = identity.choices().any();
-        socket = new PeerSocket(identity, Math.max(Bulletin.NOWHERE, Math.min(Bulletin.LAST_LOCATION, post.settings().routerSettings().zone())), post.seed(), left, store == null ? List.of() : List.of(new KeepList(last, store)), new Relay());
+        socket = new PeerSocket(identity, Math.max(Announcement.NO_LOCATION, Math.min(Announcement.MAX_LOCATION, post.settings().routerSettings().zone())), post.seed(), left, store == null ? List.of() : List.of(new LastListTask(last, store)), new Relay());
     }
 
     /** What the fleet's thread asks for, also before there is a proxy. */
     private final class Relay implements Sightings {
         @Override
-        public Collection<Seen> seen() {
+        public Collection<LocalObservation> seen() {
             return lookout == null ? List.of() : lookout.seen();
         }
 
@@ -77,7 +77,7 @@
         }
 
         @Override
-        public void say(List<Said> words) {
+        public void say(List<PeerVerdict> words) {
             if (lookout != null) {
                 lookout.say(words);
             }
@@ -101,7 +101,7 @@
         try {
             ListStore.Stored kept = store.read();
             long version = told.knownList().path("rev").asLong(-1);
-            double age = System.currentTimeMillis() - kept.writtenMs();
+            double age = System.currentTimeMillis() - kept.writtenAtMs();
             if (age > OLDEST_MS) {
                 LOG.log(Level.INFO, "the fleet''s last list is not taken: written {0} s ago", Math.round(age / MS_PER_S));
             } else if (kept.list().path("rev").asLong() > version) {
--- a/src/main/java/dappleseam/site/FleetConfigReader.java
+++ b/src/main/java/dappleseam/site/FleetConfigReader.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import dappleseam.fleet.lease.LeaseTerms;
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.membership.Terms;
+import dappleseam.fleet.membership.MembershipConfig;
 import dappleseam.fleet.peers.Identity;
-import dappleseam.fleet.share.Choices;
+import dappleseam.fleet.share.FleetFeatures;
 import dappleseam.wire.Address;
 import dappleseam.wire.Json;
 import java.io.IOException;
@@ -69,12 +69,12 @@
         if (seeds.size() > MOST_SEEDS) {
             throw new InvalidConfigException("seeds", "are over " + MOST_SEEDS);
         }
-        Terms terms = new Terms(number(root, "period_ms", Terms.PERIOD_MS, 20, 60_000), (int) number(root, "counted", counted, 1, 20_000),
-                (int) number(root, "most", Terms.MOST, 2, 20_000), MS_PER_S * number(root, "forget_s", Terms.FORGET_MS / MS_PER_S, 10, 86_400),
-                true, Terms.HELPERS);
+        MembershipConfig terms = new MembershipConfig(number(root, "period_ms", MembershipConfig.DEFAULT_PERIOD_MS, 20, 60_000), (int) number(root, "counted", counted, 1, 20_000),
+                (int) number(root, "most", MembershipConfig.DEFAULT_MAX_MEMBERS, 2, 20_000), MS_PER_S * number(root, "forget_s", MembershipConfig.DEFAULT_FORGET_AFTER_MS / MS_PER_S, 10, 86_400),
+                true, MembershipConfig.DEFAULT_INDIRECT_PROBES);
         return new Identity(name(root, "fleet", null).text(), name(root, "name", name), bind, advertise, List.copyOf(seeds), terms,
                 path(root, "record"), leases(root.path("leases")), path(root.path("leases"), "voter_file"),
-                listStore(root.path("leases")), new Choices(flag(root, "signals"), flag(root, "shares"), flag(root, "turns"), flag(root, "subsets")));
+                listStore(root.path("leases")), new FleetFeatures(flag(root, "signals"), flag(root, "shares"), flag(root, "turns"), flag(root, "subsets")));
     }
 
     private static LeaseTerms leases(JsonNode leases) {
--- a/src/test/java/dappleseam/fleet/lastlist/FolderStoreTest.java
+++ b/src/test/java/dappleseam/fleet/lastlist/FolderStoreTest.java
@@ -33,7 +33,7 @@
         store.write(new Token(5, 7), 1, 1000, Lists.list(3));
         ListStore.Stored read = store.read();
         assertThat(read.token()).isEqualTo(new Token(5, 7));
-        assertThat(read.writtenMs()).isEqualTo(1000);
+        assertThat(read.writtenAtMs()).isEqualTo(1000);
         assertThat(read.list().path("rev").asLong()).isEqualTo(3);
         assertThat(read.list().path("targets").path(0).path("state").asText()).isEqualTo("draining");
     }
@@ -78,7 +78,7 @@
             }
         };
         NodeList[] last = {null};
-        KeepList task = new KeepList(() -> last[0], store);
+        LastListTask task = new LastListTask(() -> last[0], store);
         task.act(permit);
         last[0] = Lists.list(3);
         task.act(permit);
--- a/src/test/java/dappleseam/fleet/membership/MembershipTest.java
+++ b/src/test/java/dappleseam/fleet/membership/MembershipTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dappleseam.fleet.membership.Notice.State;
-import dappleseam.fleet.membership.Standing.Kind;
+import dappleseam.fleet.membership.MemberEntry.State;
+import dappleseam.fleet.membership.MembershipStatus.Kind;
 import dappleseam.lab.fleet.Planted;
 import dappleseam.lab.fleet.SimulatedFleet;
 import dappleseam.lab.fleet.SimulatedFleet.Module;
@@ -24,10 +24,10 @@
     private static final double MINUTE = 60 * SECOND;
 
     private SimulatedFleet fleet;
-    private final List<Notice> sights = new ArrayList<>();
+    private final List<MemberEntry> sights = new ArrayList<>();
 
     private void start(int members, long seed) {
-        fleet = new SimulatedFleet(Module.SHIPPED, Terms.usual(members), members, seed);
+        fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(members), members, seed);
         fleet.watch((now, viewer, before, after) -> sights.add(after));
         fleet.startAll(2);
         fleet.runFor(2 * SECOND);
@@ -41,11 +41,11 @@
     }
 
     private long holding(Node of, Predicate<State> what) {
-        return fleet.nodes().stream().filter(n -> n.up && n != of && what.test(n.membership().of(of.name).state())).count();
+        return fleet.nodes().stream().filter(n -> n.up && n != of && what.test(n.membership().lookup(of.name).state())).count();
     }
 
     private double sumOfShares() {
-        return fleet.nodes().stream().filter(n -> n.up).mapToDouble(n -> 1.0 / n.membership().counted()).sum();
+        return fleet.nodes().stream().filter(n -> n.up).mapToDouble(n -> 1.0 / n.membership().fleetSize()).sum();
     }
 
     /** Time until the sum of shares is as it should be, watched over: it must never be over the whole meanwhile. */
@@ -60,25 +60,25 @@
     @ParameterizedTest
     @ValueSource(ints = {2, 3, 200})
     void allThatStartAtOnceKnowEachOtherSoon(int members) {
-        fleet = new SimulatedFleet(Module.SHIPPED, Terms.usual(members), members, 1);
+        fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(members), members, 1);
         fleet.startAll(2);
         fleet.runFor(SECOND);
         assertThat(fleet.untilAgreed(10 * SECOND)).isNotNaN();
         fleet.runFor(2 * MINUTE);
-        assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL && n.membership().counted() == members);
+        assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL && n.membership().fleetSize() == members);
     }
 
     /** Two that have just come may know the same few: that they agree does not say that there are no more. */
     @ParameterizedTest
     @ValueSource(longs = {143, 144, 145})
     void whoAgreesWithAnotherNewOneHasNotCaughtUp(long seed) {
-        fleet = new SimulatedFleet(Module.SHIPPED, Terms.usual(40).withPeriod(SECOND / 2), 40, seed);
+        fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(40).withPeriod(SECOND / 2), 40, seed);
         List<InetSocketAddress> seeds = List.of(fleet.node(0).address, fleet.node(1).address);
         fleet.nodes().forEach(node -> fleet.after(fleet.random().nextDouble() * 8 * SECOND, () -> node.start(seeds)));
         fleet.runFor(13 * SECOND);
         for (int i = 0; i < 60; i++) {
             fleet.runFor(SECOND / 4);
-            assertThat(fleet.nodes()).allMatch(n -> n.membership().counted() >= 40);
+            assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() >= 40);
         }
     }
 
@@ -86,7 +86,7 @@
     @ParameterizedTest
     @ValueSource(ints = {2, 3, 4})
     void whoStartsLateFindsItsPartUntaken(int early) {
-        fleet = new SimulatedFleet(Module.SHIPPED, Terms.usual(5), 5, 31);
+        fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(5), 5, 31);
         List<InetSocketAddress> seeds = List.of(fleet.node(0).address, fleet.node(1).address);
         fleet.nodes().subList(0, early).forEach(node -> node.start(seeds));
         runWithinTheWhole(2 * MINUTE);
@@ -95,7 +95,7 @@
         runWithinTheWhole(MINUTE);
         fleet.node(0).group = 0;
         runWithinTheWhole(2 * MINUTE);
-        assertThat(fleet.nodes()).allMatch(n -> n.membership().counted() == 5);
+        assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() == 5);
     }
 
     @Test
@@ -126,7 +126,7 @@
         int worst = 0;
         for (int i = 0; i < 120; i++) {
             fleet.runFor(SECOND);
-            worst = Math.max(worst, fleet.node(5).membership().health());
+            worst = Math.max(worst, fleet.node(5).membership().healthScore());
         }
         assertThat(worst).isGreaterThanOrEqualTo(4);
         assertThat(sights.stream().filter(n -> n.state() == State.FAILED && !n.name().equals(fleet.node(5).name))).isEmpty();
@@ -139,10 +139,10 @@
             fleet.node(i).kill();
         }
         fleet.runFor(6 * SECOND);
-        assertThat(fleet.node(30).membership().counted()).isEqualTo(40);
+        assertThat(fleet.node(30).membership().fleetSize()).isEqualTo(40);
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
         runWithinTheWhole(5 * MINUTE);
-        assertThat(fleet.nodes().stream().filter(n -> n.up)).allMatch(n -> n.membership().counted() == 20);
+        assertThat(fleet.nodes().stream().filter(n -> n.up)).allMatch(n -> n.membership().fleetSize() == 20);
     }
 
     @Test
@@ -150,7 +150,7 @@
         start(20, 4);
         fleet.nodes().forEach(n -> n.group = n.number < 10 ? 1 : 2);
         runWithinTheWhole(10 * MINUTE);
-        assertThat(fleet.nodes()).allMatch(n -> n.membership().counted() == 20 && n.standing.kind() == Kind.CUT_OFF && n.standing.missing().size() == 10);
+        assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() == 20 && n.standing.kind() == Kind.CUT_OFF && n.standing.missing().size() == 10);
     }
 
     @ParameterizedTest
@@ -171,7 +171,7 @@
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
         assertThat(sights).as("no good neighbour is brought down by old news").noneMatch(n -> n.state() == State.FAILED);
         fleet.runFor(MINUTE);
-        assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL && n.membership().counted() == 30);
+        assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL && n.membership().fleetSize() == 30);
     }
 
     @Test
@@ -278,22 +278,22 @@
         assertThat(fleet.untilAgreed(15 * SECOND)).isNotNaN();
         assertThat(node.nonce()).isNotEqualTo(before);
         assertThat(saw(State.FAILED)).isFalse();
-        assertThat(node.membership().twin()).isNull();
+        assertThat(node.membership().duplicate()).isNull();
     }
 
     @Test
     void oldNewsOfAKilledProcessDoesNotRaiseIt() {
         start(10, 13);
         Node dead = fleet.node(9);
-        Notice old = dead.membership().self();
+        MemberEntry old = dead.membership().self();
         dead.kill();
         fleet.runFor(MINUTE);
         sights.clear();
         Membership told = fleet.node(1).membership();
-        told.heard(fleet.nowMs()).tell(fleet.node(2).address, fleet.node(2).membership().self(), List.of(old));
-        told.heard(fleet.nowMs()).ping(dead.address, old, 1, fleet.node(1).name, List.of());
+        told.receiver(fleet.nowMs()).gossip(fleet.node(2).address, fleet.node(2).membership().self(), List.of(old));
+        told.receiver(fleet.nowMs()).ping(dead.address, old, 1, fleet.node(1).name, List.of());
         fleet.runFor(10 * SECOND);
-        assertThat(sights).noneMatch(n -> n.name().equals(dead.name) && n.state().isPresent());
+        assertThat(sights).noneMatch(n -> n.name().equals(dead.name) && n.state().isLive());
     }
 
     @Test
@@ -311,19 +311,19 @@
     /** That seven others were never heard of raises nobody: they may start at any time. The operator's file may, read again. */
     @Test
     void whoFindsNoSeedCountsAsTheFileSaysAndJoinsOnceThereIsOne() {
-        fleet = new SimulatedFleet(Module.SHIPPED, Terms.usual(9), 2, 15);
+        fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(9), 2, 15);
         fleet.node(0).start(List.of(fleet.node(1).address));
         Membership first = fleet.node(0).membership();
         fleet.runFor(MINUTE);
-        assertThat(first.counted()).isEqualTo(9);
-        assertThat(first.standing().kind()).isEqualTo(Kind.STARTING);
+        assertThat(first.fleetSize()).isEqualTo(9);
+        assertThat(first.status().kind()).isEqualTo(Kind.STARTING);
         fleet.node(1).start(List.of());
         assertThat(fleet.untilAgreed(5 * SECOND)).isNotNaN();
         runWithinTheWhole(MINUTE);
-        assertThat(first.counted()).isEqualTo(9);
-        first.termsChanged(fleet.nowMs(), Terms.usual(2), List.of());
+        assertThat(first.fleetSize()).isEqualTo(9);
+        first.configChanged(fleet.nowMs(), MembershipConfig.defaults(2), List.of());
         runWithinTheWhole(MINUTE);
-        assertThat(first.counted()).isEqualTo(2);
+        assertThat(first.fleetSize()).isEqualTo(2);
     }
 
     @Test
@@ -340,7 +340,7 @@
         a.start(List.of(fleet.node(0).address));
         b.start(List.of(fleet.node(0).address));
         assertThat(fleet.untilAgreed(10 * SECOND)).isNotNaN();
-        assertThat(fleet.node(0).membership().of(a.name).address()).isEqualTo(a.address);
+        assertThat(fleet.node(0).membership().lookup(a.name).address()).isEqualTo(a.address);
     }
 
     @Test
@@ -363,16 +363,16 @@
         SimulatedFleet.Node twin = fleet.twinOf(2);
         twin.start(List.of(fleet.node(0).address));
         fleet.runFor(MINUTE);
-        assertThat(fleet.node(2).membership().twin()).isNotNull();
-        assertThat(twin.membership().twin()).isNotNull();
-        long starts = Math.max(fleet.node(2).membership().self().life().start(), twin.membership().self().life().start());
+        assertThat(fleet.node(2).membership().duplicate()).isNotNull();
+        assertThat(twin.membership().duplicate()).isNotNull();
+        long starts = Math.max(fleet.node(2).membership().self().generation().start(), twin.membership().self().generation().start());
         sights.clear();
         fleet.runFor(5 * MINUTE);
-        assertThat(Math.max(fleet.node(2).membership().self().life().start(), twin.membership().self().life().start())).isEqualTo(starts);
+        assertThat(Math.max(fleet.node(2).membership().self().generation().start(), twin.membership().self().generation().start())).isEqualTo(starts);
         assertThat(sights).isEmpty();
         twin.kill();
         fleet.runFor(3 * MINUTE);
-        assertThat(fleet.node(2).membership().twin()).isNull();
+        assertThat(fleet.node(2).membership().duplicate()).isNull();
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
     }
 
@@ -387,7 +387,7 @@
         twins.forEach(killed ? Node::kill : Node::leaveOrderly);
         runWithinTheWhole(3 * MINUTE);
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
-        assertThat(fleet.nodes()).allMatch(n -> n.membership().counted() == 5);
+        assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() == 5);
     }
 
     @Test
@@ -397,7 +397,7 @@
         assertThat(fleet.untilAgreed(5 * SECOND)).isNotNaN();
         fleet.runFor(10 * SECOND);
         assertThat(saw(State.FAILED)).isFalse();
-        assertThat(fleet.nodes().stream().filter(n -> n.up)).allMatch(n -> n.membership().counted() == 19 && n.standing.kind() == Kind.WITH_ALL);
+        assertThat(fleet.nodes().stream().filter(n -> n.up)).allMatch(n -> n.membership().fleetSize() == 19 && n.standing.kind() == Kind.WITH_ALL);
     }
 
     @Test
@@ -406,12 +406,12 @@
         Node cut = fleet.node(5);
         cut.group = 1;
         fleet.runFor(2 * MINUTE);
-        assertThat(fleet.node(0).membership().counted()).isEqualTo(6);
-        assertThat(fleet.node(0).membership().endedByWord(fleet.nowMs(), fleet.node(1).name)).as("one that is there").isFalse();
-        assertThat(fleet.node(0).membership().endedByWord(fleet.nowMs(), cut.name)).isTrue();
+        assertThat(fleet.node(0).membership().fleetSize()).isEqualTo(6);
+        assertThat(fleet.node(0).membership().markEnded(fleet.nowMs(), fleet.node(1).name)).as("one that is there").isFalse();
+        assertThat(fleet.node(0).membership().markEnded(fleet.nowMs(), cut.name)).isTrue();
         fleet.runFor(MINUTE);
         assertThat(holding(cut, s -> s == State.ENDED)).isEqualTo(5);
-        assertThat(fleet.node(3).membership().counted()).isEqualTo(5);
+        assertThat(fleet.node(3).membership().fleetSize()).isEqualTo(5);
         cut.group = 0; // it was wrong
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
     }
@@ -422,18 +422,18 @@
         fleet.node(3).group = 1;
         fleet.runFor(2 * MINUTE);
         assertThat(fleet.node(3).standing.kind()).isEqualTo(Kind.ALONE);
-        assertThat(fleet.node(3).membership().counted()).isEqualTo(8);
+        assertThat(fleet.node(3).membership().fleetSize()).isEqualTo(8);
     }
 
     @Test
     void absurdNumbersNearTheirTopsAreRefutedAndRunOutNowhere() {
         start(4, 22);
         Node node = fleet.node(2);
-        Notice self = node.membership().self();
-        Notice mad = new Notice(self.name(), self.address(), self.life(), Notice.LAST, State.FAILED, 0);
-        Notice late = new Notice(self.name(), self.address(), new Life(Life.LATEST - 1, 5), 3, State.FAILED, 0);
-        for (Notice news : List.of(mad, late)) {
-            node.membership().heard(fleet.nowMs()).tell(fleet.node(0).address, fleet.node(0).membership().self(), List.of(news));
+        MemberEntry self = node.membership().self();
+        MemberEntry mad = new MemberEntry(self.name(), self.address(), self.generation(), MemberEntry.MAX_INCARNATION, State.FAILED, 0);
+        MemberEntry late = new MemberEntry(self.name(), self.address(), new Generation(Generation.MAX_START - 1, 5), 3, State.FAILED, 0);
+        for (MemberEntry news : List.of(mad, late)) {
+            node.membership().receiver(fleet.nowMs()).gossip(fleet.node(0).address, fleet.node(0).membership().self(), List.of(news));
             fleet.runFor(20 * SECOND);
             assertThat(fleet.untilAgreed(20 * SECOND)).isNotNaN();
         }
@@ -455,10 +455,10 @@
 
     @Test
     void aFullTableTurnsNewNamesAway() {
-        fleet = new SimulatedFleet(Module.SHIPPED, new Terms(1000, 1, 2, 600_000, true, 3), 5, 24);
+        fleet = new SimulatedFleet(Module.SHIPPED, new MembershipConfig(1000, 1, 2, 600_000, true, 3), 5, 24);
         fleet.startAll(1);
         fleet.runFor(MINUTE);
         assertThat(fleet.nodes()).allMatch(n -> n.membership().view().size() == 3);
-        assertThat(fleet.node(0).membership().turnedAway()).isPositive();
+        assertThat(fleet.node(0).membership().droppedForCapacity()).isPositive();
     }
 }
--- a/src/test/java/dappleseam/fleet/peers/EnvelopeTest.java
+++ b/src/test/java/dappleseam/fleet/peers/EnvelopeTest.java
@@ -8,18 +8,18 @@
 import dappleseam.fleet.lease.Answers;
 import dappleseam.fleet.lease.LeaseName;
 import dappleseam.fleet.lease.Token;
-import dappleseam.fleet.membership.Life;
+import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Notice.State;
-import dappleseam.fleet.membership.Terms;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MemberEntry.State;
+import dappleseam.fleet.membership.MembershipConfig;
 import dappleseam.fleet.peers.Letter.Kind;
 import dappleseam.fleet.peers.Unreadable.Why;
-import dappleseam.fleet.share.Board;
-import dappleseam.fleet.share.Bulletin;
-import dappleseam.fleet.share.Sight;
-import dappleseam.fleet.share.Traffic;
+import dappleseam.fleet.share.AnnouncementStore;
+import dappleseam.fleet.share.Announcement;
+import dappleseam.fleet.share.NodeObservation;
+import dappleseam.fleet.share.AnnouncedTraffic;
 import dappleseam.lab.fleet.SimulatedFleet;
 import dappleseam.router.NodeId;
 import java.io.ByteArrayOutputStream;
@@ -41,23 +41,23 @@
     private final Envelope envelope = new Envelope("f");
     private final SplittableRandom random = new SplittableRandom(1);
 
-    private static Notice notice(int number, String name, State state) {
-        return new Notice(new MemberName(name), SimulatedFleet.address(number), new Life(Life.LATEST - number, Long.MIN_VALUE + number), Notice.LAST,
+    private static MemberEntry notice(int number, String name, State state) {
+        return new MemberEntry(new MemberName(name), SimulatedFleet.address(number), new Generation(Generation.MAX_START - number, Long.MIN_VALUE + number), MemberEntry.MAX_INCARNATION,
                 state, Integer.MIN_VALUE);
     }
 
     private static List<Letter> letters() {
-        Notice self = notice(1, "a".repeat(48), State.ALIVE);
-        List<Notice> news = new ArrayList<>();
-        for (int room = Membership.NEWS_BYTES, i = 0; ; i++) {
-            Notice one = notice(i, "n".repeat(1 + i % 48), State.values()[i % 5]);
-            room -= one.bytes();
+        MemberEntry self = notice(1, "a".repeat(48), State.ALIVE);
+        List<MemberEntry> news = new ArrayList<>();
+        for (int room = Membership.MAX_UPDATE_BYTES, i = 0; ; i++) {
+            MemberEntry one = notice(i, "n".repeat(1 + i % 48), State.values()[i % 5]);
+            room -= one.maxEncodedBytes();
             if (room < 0) {
                 break;
             }
             news.add(one);
         }
-        int[] sums = new int[Membership.PARTS];
+        int[] sums = new int[Membership.DIGEST_BUCKETS];
         Arrays.setAll(sums, i -> i * 0x9E3779B1);
         return List.of(new Letter(Kind.PING, self, Long.MAX_VALUE, self.name(), null, news, false, null),
                 new Letter(Kind.PING, self, 1, null, null, List.of(), false, null), new Letter(Kind.ACK, self, -1, null, self, news, false, null),
@@ -69,12 +69,12 @@
                         Answers.Refusal.TOO_MANY)));
     }
 
-    private static List<Bulletin> fullest() {
-        List<Bulletin> bulletins = new ArrayList<>();
-        for (int room = Board.NEWS_BYTES, i = 0; ; i++) {
-            List<Sight> sights = Collections.nCopies(i % 2 * Bulletin.MOST_SIGHTS, new Sight(new NodeId(Long.MIN_VALUE), Sight.LATEST, true, 86_400_000));
-            Bulletin one = new Bulletin(new MemberName("n".repeat(1 + i % 48)), new Life(Life.LATEST, Long.MIN_VALUE), Long.MAX_VALUE, Bulletin.LAST_LOCATION, new Traffic(Traffic.MOST, Traffic.MOST, 86_400_000), sights);
-            room -= one.bytes();
+    private static List<Announcement> fullest() {
+        List<Announcement> bulletins = new ArrayList<>();
+        for (int room = AnnouncementStore.MAX_BATCH_BYTES, i = 0; ; i++) {
+            List<NodeObservation> sights = Collections.nCopies(i % 2 * Announcement.MAX_OBSERVATIONS, new NodeObservation(new NodeId(Long.MIN_VALUE), NodeObservation.MAX_START, true, 86_400_000));
+            Announcement one = new Announcement(new MemberName("n".repeat(1 + i % 48)), new Generation(Generation.MAX_START, Long.MIN_VALUE), Long.MAX_VALUE, Announcement.MAX_LOCATION, new AnnouncedTraffic(AnnouncedTraffic.MAX_PER_S, AnnouncedTraffic.MAX_PER_S, 86_400_000), sights);
+            room -= one.maxEncodedBytes();
             if (room < 0) {
                 return bulletins;
             }
@@ -105,7 +105,7 @@
             assertThat(bytes.length).isLessThanOrEqualTo(Envelope.LONGEST);
             Letter read = envelope.read(bytes, bytes.length);
             assertThat(read).usingRecursiveComparison().isEqualTo(letter);
-            assertThat(letter.news().stream().mapToInt(Notice::bytes).sum()).as("what is reckoned with").isLessThanOrEqualTo(Membership.NEWS_BYTES);
+            assertThat(letter.news().stream().mapToInt(MemberEntry::maxEncodedBytes).sum()).as("what is reckoned with").isLessThanOrEqualTo(Membership.MAX_UPDATE_BYTES);
         }
     }
 
@@ -145,17 +145,17 @@
 
     @Test
     void absurdNumbersAreNoNotices() {
-        assertThatThrownBy(() -> new Life(Life.LATEST + 1, 0)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new Life(-1, 0)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new Generation(Generation.MAX_START + 1, 0)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new Generation(-1, 0)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new MemberName("a b")).isInstanceOf(IllegalArgumentException.class);
-        Notice self = letters().get(0).self();
-        assertThatThrownBy(() -> new Notice(self.name(), self.address(), self.life(), -1, State.ALIVE, 0)).isInstanceOf(IllegalArgumentException.class);
+        MemberEntry self = letters().get(0).self();
+        assertThatThrownBy(() -> new MemberEntry(self.name(), self.address(), self.generation(), -1, State.ALIVE, 0)).isInstanceOf(IllegalArgumentException.class);
     }
 
     /** Whatever bytes come behind a right check sum: a letter or a reason, nothing else, and what is read can be told to a membership. */
     @Test
     void noBytesDoAnythingElse() {
-        SimulatedFleet fleet = new SimulatedFleet(SimulatedFleet.Module.SHIPPED, Terms.usual(2), 2, 1);
+        SimulatedFleet fleet = new SimulatedFleet(SimulatedFleet.Module.SHIPPED, MembershipConfig.defaults(2), 2, 1);
         fleet.node(0).start(List.of());
         Membership told = fleet.node(0).membership();
         Set<Why> seen = EnumSet.noneOf(Why.class);
@@ -178,7 +178,7 @@
                 }
             }
             try {
-                envelope.read(sealed(bytes, length), length).tell(SimulatedFleet.address(9), told.heard(i));
+                envelope.read(sealed(bytes, length), length).tell(SimulatedFleet.address(9), told.receiver(i));
                 read++;
             } catch (Unreadable e) {
                 seen.add(e.why());
@@ -186,6 +186,6 @@
         }
         assertThat(read).isPositive();
         assertThat(seen).contains(Why.MALFORMED, Why.FOREIGN);
-        assertThat(told.view().size()).as("bounded").isLessThanOrEqualTo(Terms.MOST + 1);
+        assertThat(told.view().size()).as("bounded").isLessThanOrEqualTo(MembershipConfig.DEFAULT_MAX_MEMBERS + 1);
     }
 }
--- a/src/test/java/dappleseam/fleet/peers/LeaseDeskTest.java
+++ b/src/test/java/dappleseam/fleet/peers/LeaseDeskTest.java
@@ -7,12 +7,12 @@
 import dappleseam.fleet.lease.LeaseTerms;
 import dappleseam.fleet.lease.Token;
 import dappleseam.fleet.lease.VoterDisk;
-import dappleseam.fleet.membership.FleetHost;
-import dappleseam.fleet.membership.Life;
+import dappleseam.fleet.membership.MembershipHost;
+import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Terms;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MembershipConfig;
 import dappleseam.lab.fleet.SimulatedFleet;
 import java.io.IOException;
 import java.nio.file.NoSuchFileException;
@@ -42,10 +42,10 @@
 
     private void start(FleetTask task, VoterDisk disk) {
         double now = PeerSocket.nowMs();
-        Notice self = new Notice(SELF, SimulatedFleet.address(1), new Life(1, 1), 0, Notice.State.ALIVE, 0);
-        FleetHost nobody = (FleetHost) java.lang.reflect.Proxy.newProxyInstance(FleetHost.class.getClassLoader(), new Class<?>[] {FleetHost.class},
+        MemberEntry self = new MemberEntry(SELF, SimulatedFleet.address(1), new Generation(1, 1), 0, MemberEntry.State.ALIVE, 0);
+        MembershipHost nobody = (MembershipHost) java.lang.reflect.Proxy.newProxyInstance(MembershipHost.class.getClassLoader(), new Class<?>[] {MembershipHost.class},
                 (proxy, method, args) -> null);
-        Membership membership = new Membership(Terms.usual(1), self, nobody, new SplittableRandom(1), now);
+        Membership membership = new Membership(MembershipConfig.defaults(1), self, nobody, new SplittableRandom(1), now);
         membership.begin(now, List.of());
         desk = new LeaseDesk(membership, new LeaseTerms(List.of(SELF), 1, LEASE_MS, 0.01), disk, List.of(task), (to, ballot) -> { }, posted::add,
                 new ViewRecord(null), new SplittableRandom(1), now);
--- a/src/test/java/dappleseam/fleet/peers/SignalDeskTest.java
+++ b/src/test/java/dappleseam/fleet/peers/SignalDeskTest.java
@@ -2,16 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dappleseam.fleet.membership.FleetHost;
-import dappleseam.fleet.membership.Life;
+import dappleseam.fleet.membership.MembershipHost;
+import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Terms;
-import dappleseam.fleet.share.Choices;
-import dappleseam.fleet.share.ListTurns;
-import dappleseam.fleet.share.Said;
-import dappleseam.fleet.share.Seen;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MembershipConfig;
+import dappleseam.fleet.share.FleetFeatures;
+import dappleseam.fleet.share.ListRetrySchedule;
+import dappleseam.fleet.share.PeerVerdict;
+import dappleseam.fleet.share.LocalObservation;
 import dappleseam.lab.fleet.SimulatedFleet;
 import dappleseam.router.NodeId;
 import java.util.ArrayList;
@@ -27,16 +27,16 @@
     private final List<Double> shares = new ArrayList<>();
     private double now = 1000;
 
-    private SignalDesk desk(Choices choices) {
-        Notice self = new Notice(new MemberName("a"), SimulatedFleet.address(1), new Life(1, 1), 0, Notice.State.ALIVE, 0);
-        FleetHost nobody = (FleetHost) java.lang.reflect.Proxy.newProxyInstance(FleetHost.class.getClassLoader(), new Class<?>[] {FleetHost.class},
+    private SignalDesk desk(FleetFeatures choices) {
+        MemberEntry self = new MemberEntry(new MemberName("a"), SimulatedFleet.address(1), new Generation(1, 1), 0, MemberEntry.State.ALIVE, 0);
+        MembershipHost nobody = (MembershipHost) java.lang.reflect.Proxy.newProxyInstance(MembershipHost.class.getClassLoader(), new Class<?>[] {MembershipHost.class},
                 (proxy, method, args) -> null);
-        Membership membership = new Membership(Terms.usual(4), self, nobody, new SplittableRandom(1), now);
+        Membership membership = new Membership(MembershipConfig.defaults(4), self, nobody, new SplittableRandom(1), now);
         membership.begin(now, List.of());
         Sightings seen = new Sightings() {
             @Override
-            public Collection<Seen> seen() {
-                return List.of(new Seen(new NodeId(7), 5, true, now, NEVER), new Seen(ListTurns.SERVICE, 0, true, now, NEVER));
+            public Collection<LocalObservation> seen() {
+                return List.of(new LocalObservation(new NodeId(7), 5, true, now, NEVER), new LocalObservation(ListRetrySchedule.LIST_SERVICE, 0, true, now, NEVER));
             }
 
             @Override
@@ -45,7 +45,7 @@
             }
 
             @Override
-            public void say(List<Said> words) { }
+            public void say(List<PeerVerdict> words) { }
 
             @Override
             public void stands(double share, double place) {
@@ -62,23 +62,23 @@
 
     @Test
     void aChoiceThatIsTurnedOffEndsAtOnce() {
-        SignalDesk desk = desk(new Choices(true, true, false, false));
+        SignalDesk desk = desk(new FleetFeatures(true, true, false, false));
         look(desk);
         assertThat(shares).singleElement().satisfies(share -> assertThat(share).isBetween(0.0, 0.25 + 1e-9));
         assertThat(desk.said()).isNotNull();
-        desk.choose(new Choices(true, false, false, false));
+        desk.choose(new FleetFeatures(true, false, false, false));
         look(desk);
         assertThat(desk.share()).isNaN();
         assertThat(shares).hasSize(1);
         assertThat(desk.wakeAt()).isFinite();
-        desk.choose(Choices.NONE);
+        desk.choose(FleetFeatures.NONE);
         assertThat(desk.said()).isNull();
         assertThat(desk.wakeAt()).isInfinite();
     }
 
     @Test
     void sharesAloneSayNothingOfCaches() {
-        SignalDesk desk = desk(new Choices(false, true, false, false));
+        SignalDesk desk = desk(new FleetFeatures(false, true, false, false));
         look(desk);
         assertThat(desk.said()).isNull();
     }
--- a/src/test/java/dappleseam/fleet/share/BoardTest.java
+++ b/src/test/java/dappleseam/fleet/share/BoardTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dappleseam.fleet.membership.Life;
+import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.router.NodeId;
 import java.util.ArrayList;
@@ -12,57 +12,57 @@
 
 /** Bulletins spread, die and are never another's. */
 class BoardTest {
-    private static final Life LIFE = new Life(5, 5);
+    private static final Generation LIFE = new Generation(5, 5);
 
     private static MemberName name(int number) {
         return new MemberName("p" + number);
     }
 
-    private static Sight fails(long node, long ageMs) {
-        return new Sight(new NodeId(node), 0, true, ageMs);
+    private static NodeObservation fails(long node, long ageMs) {
+        return new NodeObservation(new NodeId(node), 0, true, ageMs);
     }
 
-    private static Bulletin of(Board board, double nowMs, int member) {
-        return board.now(nowMs).stream().filter(b -> b.who().equals(name(member))).findFirst().orElse(null);
+    private static Announcement of(AnnouncementStore board, double nowMs, int member) {
+        return board.current(nowMs).stream().filter(b -> b.member().equals(name(member))).findFirst().orElse(null);
     }
 
     @Test
     void whatIsNewIsToldAndWhatIsNotIsNot() {
-        Board board = new Board(name(0), 10, 3000, Bulletin.NOWHERE);
-        board.say(0, LIFE, 100, List.of());
-        assertThat(board.toTell(0, 2)).hasSize(1);
-        while (!board.toTell(1, 2).isEmpty()) {
+        AnnouncementStore board = new AnnouncementStore(name(0), 10, 3000, Announcement.NO_LOCATION);
+        board.announce(0, LIFE, 100, List.of());
+        assertThat(board.nextBatch(0, 2)).hasSize(1);
+        while (!board.nextBatch(1, 2).isEmpty()) {
             continue;
         }
-        board.say(1000, LIFE, 110, List.of());
-        assertThat(board.toTell(1000, 2)).as("a tenth more is no news").isEmpty();
-        board.say(2000, LIFE, 100, List.of(fails(7, 100)));
-        assertThat(board.toTell(2500, 2)).singleElement().satisfies(b -> assertThat(b.sights()).containsExactly(fails(7, 600)));
-        board.say(2600, LIFE, 100, List.of(fails(7, 700)));
+        board.announce(1000, LIFE, 110, List.of());
+        assertThat(board.nextBatch(1000, 2)).as("a tenth more is no news").isEmpty();
+        board.announce(2000, LIFE, 100, List.of(fails(7, 100)));
+        assertThat(board.nextBatch(2500, 2)).singleElement().satisfies(b -> assertThat(b.observations()).containsExactly(fails(7, 600)));
+        board.announce(2600, LIFE, 100, List.of(fails(7, 700)));
         assertThat(of(board, 2600, 0).number()).as("only its age is another").isEqualTo(2);
-        board.say(2610, LIFE, 100, List.of());
-        board.say(2620, LIFE, 100, List.of(fails(8, 0)));
-        assertThat(of(board, 2620, 0).sights()).as("what flaps waits").isEmpty();
-        board.say(23_000, LIFE, 100, List.of());
-        assertThat(board.toTell(23_000, 2)).as("told anew before it dies").hasSize(1);
+        board.announce(2610, LIFE, 100, List.of());
+        board.announce(2620, LIFE, 100, List.of(fails(8, 0)));
+        assertThat(of(board, 2620, 0).observations()).as("what flaps waits").isEmpty();
+        board.announce(23_000, LIFE, 100, List.of());
+        assertThat(board.nextBatch(23_000, 2)).as("told anew before it dies").hasSize(1);
     }
 
     @Test
     void theLaterOneHoldsInAnyOrderAndDiesByAge() {
-        Board board = new Board(name(0), 10, 3000, Bulletin.NOWHERE);
-        Bulletin first = new Bulletin(name(1), LIFE, 1, Bulletin.NOWHERE, Traffic.of(5), List.of(fails(7, 0)));
-        Bulletin second = new Bulletin(name(1), LIFE, 2, Bulletin.NOWHERE, Traffic.of(6), List.of());
-        Bulletin older = new Bulletin(name(1), new Life(4, 9), 99, Bulletin.NOWHERE, Traffic.of(7), List.of());
-        Bulletin own = new Bulletin(name(0), LIFE, 99, Bulletin.NOWHERE, Traffic.of(8), List.of());
-        board.heard(0, List.of(second, first, older, own));
+        AnnouncementStore board = new AnnouncementStore(name(0), 10, 3000, Announcement.NO_LOCATION);
+        Announcement first = new Announcement(name(1), LIFE, 1, Announcement.NO_LOCATION, AnnouncedTraffic.of(5), List.of(fails(7, 0)));
+        Announcement second = new Announcement(name(1), LIFE, 2, Announcement.NO_LOCATION, AnnouncedTraffic.of(6), List.of());
+        Announcement older = new Announcement(name(1), new Generation(4, 9), 99, Announcement.NO_LOCATION, AnnouncedTraffic.of(7), List.of());
+        Announcement own = new Announcement(name(0), LIFE, 99, Announcement.NO_LOCATION, AnnouncedTraffic.of(8), List.of());
+        board.receive(0, List.of(second, first, older, own));
         assertThat(of(board, 0, 1)).isEqualTo(second);
         assertThat(of(board, 0, 0)).as("nobody else speaks for it").isNull();
-        assertThat(of(board, Board.OLDEST_MS + 1, 1)).isNull();
-        assertThat(board.toTell(Board.OLDEST_MS + 1, 2)).isEmpty();
+        assertThat(of(board, AnnouncementStore.OLDEST_MS + 1, 1)).isNull();
+        assertThat(board.nextBatch(AnnouncementStore.OLDEST_MS + 1, 2)).isEmpty();
         for (int i = 10; i < 100; i++) {
-            board.heard(0, List.of(new Bulletin(name(i), LIFE, 1, Bulletin.NOWHERE, Traffic.of(1), List.of())));
+            board.receive(0, List.of(new Announcement(name(i), LIFE, 1, Announcement.NO_LOCATION, AnnouncedTraffic.of(1), List.of())));
         }
-        assertThat(board.now(0)).as("bounded").hasSizeLessThanOrEqualTo(10);
+        assertThat(board.current(0)).as("bounded").hasSizeLessThanOrEqualTo(10);
     }
 
     /** Two hundred members tell two others each, four times a period; a third of it is lost: one's word is with all within a few periods. */
@@ -70,15 +70,15 @@
     void oneWordReachesTwoHundredThroughLoss() {
         int members = 200;
         SplittableRandom random = new SplittableRandom(1);
-        List<Board> boards = new ArrayList<>();
+        List<AnnouncementStore> boards = new ArrayList<>();
         for (int i = 0; i < members; i++) {
-            boards.add(new Board(name(i), 1000, 3000, Bulletin.NOWHERE));
+            boards.add(new AnnouncementStore(name(i), 1000, 3000, Announcement.NO_LOCATION));
         }
         int worst = 0;
         long datagrams = 0;
         double now = 0;
         for (int i = 0; i < members; i++) {
-            boards.get(i).say(now, LIFE, 50, List.of());
+            boards.get(i).announce(now, LIFE, 50, List.of());
         }
         for (int word = 0; word < 10; word++) {
             int speaker = random.nextInt(members);
@@ -88,19 +88,19 @@
             boolean all = false;
             while (!all && looks < 100) {
                 for (int i = 0; i < members; i++) {
-                    boards.get(i).say(now, LIFE, 50, i == speaker ? List.of(fails(node, 0)) : List.of());
+                    boards.get(i).announce(now, LIFE, 50, i == speaker ? List.of(fails(node, 0)) : List.of());
                     for (int told = 0; told < 2; told++) {
-                        List<Bulletin> news = boards.get(i).toTell(now, members);
+                        List<Announcement> news = boards.get(i).nextBatch(now, members);
                         datagrams += news.isEmpty() ? 0 : 1;
                         if (random.nextInt(3) > 0) {
-                            boards.get(random.nextInt(members)).heard(now, news);
+                            boards.get(random.nextInt(members)).receive(now, news);
                         }
                     }
                 }
                 now += 250;
                 looks++;
                 double at = now;
-                all = boards.stream().allMatch(b -> of(b, at, speaker) != null && of(b, at, speaker).sights().stream().anyMatch(s -> s.node().value() == node));
+                all = boards.stream().allMatch(b -> of(b, at, speaker) != null && of(b, at, speaker).observations().stream().anyMatch(s -> s.node().value() == node));
             }
             worst = Math.max(worst, looks);
         }
--- a/src/test/java/dappleseam/lab/fleet/HistoryTest.java
+++ b/src/test/java/dappleseam/lab/fleet/HistoryTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dappleseam.fleet.share.Shares;
+import dappleseam.fleet.share.ShareCalculator;
 import dappleseam.lab.fleet.History.Kind;
 import dappleseam.lab.fleet.History.Step;
 import java.util.List;
@@ -37,7 +37,7 @@
         History.Verdict verdict = history.withShares().play();
         assertThat(verdict.breaches()).isEmpty();
         assertThat(verdict.taken().most()).isLessThan(1 + ViewChecker.margin(6));
-        assertThat(verdict.taken().least()).as("half of an even share").isGreaterThan(Shares.EVEN - 1e-9);
+        assertThat(verdict.taken().least()).as("half of an even share").isGreaterThan(ShareCalculator.EVEN_PART - 1e-9);
     }
 
     /** Without what others tell of their traffic each takes it for all there is. */
--- a/src/test/java/dappleseam/lab/fleet/ViewCheckerTest.java
+++ b/src/test/java/dappleseam/lab/fleet/ViewCheckerTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dappleseam.fleet.membership.Notice.State;
+import dappleseam.fleet.membership.MemberEntry.State;
 import dappleseam.lab.fleet.ViewChecker.Bounds;
 import dappleseam.lab.fleet.ViewChecker.Breach;
 import dappleseam.lab.fleet.ViewChecker.Counted;
