--- a/src/test/java/dappleseam/proxy/FleetLookoutTest.java
+++ b/src/test/java/dappleseam/proxy/FleetLookoutTest.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import dappleseam.fleet.share.ListTurns;
-import dappleseam.fleet.share.Said;
-import dappleseam.fleet.share.Seen;
-import dappleseam.fleet.share.Word;
+import dappleseam.fleet.share.ListRetrySchedule;
+import dappleseam.fleet.share.PeerVerdict;
+import dappleseam.fleet.share.LocalObservation;
+import dappleseam.fleet.share.VerdictKind;
 import dappleseam.router.NodeHealth;
 import dappleseam.router.NodeId;
 import java.util.ArrayList;
@@ -43,7 +43,7 @@
     };
     private final FleetLookout lookout = new FleetLookout(1, orders::addAll, whole, Runnable::run, () -> now);
 
-    private Seen one() {
+    private LocalObservation one() {
         return lookout.seen().stream().filter(s -> s.node().equals(ONE)).findFirst().orElseThrow();
     }
 
@@ -87,16 +87,16 @@
         assertThat(lookout.listAgainMs(now, 300)).isEqualTo(300);
         lookout.listCalled(now, false);
         look(CACHES);
-        assertThat(lookout.seen()).anyMatch(s -> s.node().equals(ListTurns.SERVICE) && s.fails());
-        lookout.say(List.of(new Said(ListTurns.SERVICE, 0, Word.FAILS, 4, 0, 7)));
+        assertThat(lookout.seen()).anyMatch(s -> s.node().equals(ListRetrySchedule.LIST_SERVICE) && s.failing());
+        lookout.say(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.FAILS, 4, 0, 7)));
         assertThat(lookout.listAgainMs(now, 300)).isEqualTo(900);
-        lookout.say(List.of(new Said(ListTurns.SERVICE, 0, Word.WORKS, 3, 1, 8)));
+        lookout.say(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.WORKS, 3, 1, 8)));
         assertThat(calls).containsExactly(800.0);
         assertThat(lookout.listAgainMs(now, 300)).isEqualTo(300);
         lookout.listCalled(now, true);
-        lookout.say(List.of(new Said(ListTurns.SERVICE, 0, Word.WORKS, 3, 1, 8)));
+        lookout.say(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.WORKS, 3, 1, 8)));
         assertThat(calls).as("its own was answered").hasSize(1);
-        lookout.say(List.of(new Said(ListTurns.SERVICE, 0, Word.FAILS, 4, 0, 9000)));
+        lookout.say(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.FAILS, 4, 0, 9000)));
         assertThat(lookout.listAgainMs(now, 300)).as("bounded").isEqualTo(4300);
         assertThat(lookout.listAgainMs(now + 6000, 300)).as("news that has grown old").isEqualTo(300);
     }
@@ -107,38 +107,38 @@
         lookout.heard(ONE, now, 5);
         lookout.unanswered(ONE, now - 500, now, 500);
         look(CACHES);
-        assertThat(one().fails()).as("it answered meanwhile").isFalse();
+        assertThat(one().failing()).as("it answered meanwhile").isFalse();
         lookout.unanswered(ONE, now + 100, now + 150, 50);
         look(CACHES);
-        assertThat(one().fails()).as("not for long").isFalse();
+        assertThat(one().failing()).as("not for long").isFalse();
         lookout.unanswered(ONE, now + 100, now + 400, 300);
         look(CACHES);
-        assertThat(one().fails()).isTrue();
+        assertThat(one().failing()).isTrue();
         look(Map.of(ONE, 6.0));
-        assertThat(one().fails()).as("another process").isFalse();
+        assertThat(one().failing()).as("another process").isFalse();
         lookout.unanswered(ONE, now + 100, now + 400, Double.POSITIVE_INFINITY);
         look(Map.of(ONE, 6.0));
-        assertThat(one().fails()).isTrue();
+        assertThat(one().failing()).isTrue();
         lookout.heard(ONE, now + 500, 5);
         look(Map.of(ONE, 6.0));
-        assertThat(one().fails()).isFalse();
+        assertThat(one().failing()).isFalse();
     }
 
     @Test
     void whatItDoesByHearsayIsNoSightOfItsOwn() {
         look(CACHES);
-        lookout.say(List.of(new Said(ONE, 5, Word.FAILS, 2, 0, 0)));
+        lookout.say(List.of(new PeerVerdict(ONE, 5, VerdictKind.FAILS, 2, 0, 0)));
         assertThat(orders).hasSize(1).allMatch(o -> o.ejectedUntilMs() > now);
         look(CACHES, orders.get(0));
-        assertThat(one().fails()).isFalse();
+        assertThat(one().failing()).isFalse();
         look(CACHES, new NodeHealth(ONE, 5, 14_321, 0, 0, 0));
-        assertThat(one().fails()).as("its own trial failed").isTrue();
+        assertThat(one().failing()).as("its own trial failed").isTrue();
     }
 
     @Test
     void aWordOnAnotherProcessOrAnUnknownCacheDoesNothing() {
         look(CACHES);
-        lookout.say(List.of(new Said(ONE, 6, Word.FAILS, 2, 0, 0), new Said(new NodeId(9), 5, Word.FAILS, 2, 0, 0)));
+        lookout.say(List.of(new PeerVerdict(ONE, 6, VerdictKind.FAILS, 2, 0, 0), new PeerVerdict(new NodeId(9), 5, VerdictKind.FAILS, 2, 0, 0)));
         assertThat(orders).isEmpty();
     }
 }
--- a/src/test/java/dappleseam/proxy/InFleetTest.java
+++ b/src/test/java/dappleseam/proxy/InFleetTest.java
@@ -4,9 +4,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dappleseam.Main;
-import dappleseam.fleet.membership.Life;
+import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.membership.Notice;
+import dappleseam.fleet.membership.MemberEntry;
 import dappleseam.fleet.peers.Envelope;
 import dappleseam.fleet.peers.Letter;
 import java.io.ByteArrayOutputStream;
@@ -84,7 +84,7 @@
         Sockets.Client client = sockets.start(folder, "").client();
         Sockets.awaitAnswer(sockets.control, "GET /control/counters", "app_fleet_joined 1\n");
         SplittableRandom random = new SplittableRandom(1);
-        Notice self = new Notice(new MemberName("x"), new InetSocketAddress("127.0.0.1", 9), new Life(1, 1), 0, Notice.State.ALIVE, 0);
+        MemberEntry self = new MemberEntry(new MemberName("x"), new InetSocketAddress("127.0.0.1", 9), new Generation(1, 1), 0, MemberEntry.State.ALIVE, 0);
         byte[] sound = new Envelope("f").write(new Letter(Letter.Kind.NACK, self, 1, null, null, List.of(), false, null));
         try (DatagramSocket from = new DatagramSocket()) {
             for (int i = 0; i < 6000; i++) {
--- a/src/test/java/dappleseam/site/FleetFileReaderTest.java
+++ b/src/test/java/dappleseam/site/FleetFileReaderTest.java
@@ -25,7 +25,7 @@
     void theExampleIsSoundAndLeavesDefaults() throws Exception {
         Identity read = FleetConfigReader.read(SHIPPED, "n1", 7);
         assertThat(read.name().text()).isEqualTo("n1");
-        assertThat(read.terms().counted()).isEqualTo(7);
+        assertThat(read.terms().initialFleetSize()).isEqualTo(7);
         assertThat(read.advertise()).isEqualTo(read.bind());
         assertThat(read.record()).isNull();
     }
