--- a/src/main/java/dappleseam/fleet/lastlist/LastListTask.java
+++ b/src/main/java/dappleseam/fleet/lastlist/LastListTask.java
@@ -35,12 +35,12 @@
     }
 
     @Override
-    public double everyMs() {
+    public double intervalMs() {
         return EVERY_MS;
     }
 
     @Override
-    public void act(Permit permit) throws IOException {
+    public void run(Permit permit) throws IOException {
         NodeList list = last.get();
         double now = System.currentTimeMillis();
         Token token = permit.token(WRITE_MS);
--- a/src/main/java/dappleseam/fleet/lease/Ballots.java
+++ b/src/main/java/dappleseam/fleet/lease/Ballots.java
@@ -3,7 +3,7 @@
 import dappleseam.fleet.membership.MemberName;
 
 /**
- * What candidates say to voters, one method per kind; {@code peer} is to whom it goes. {@code set}: {@link LeaseTerms#sum}. Anything may be lost, late,
+ * What candidates say to voters, one method per kind; {@code peer} is to whom it goes. {@code set}: {@link LeaseConfig#fingerprint}. Anything may be lost, late,
  * doubled or out of order.
  */
 public interface Ballots {
--- a/src/main/java/dappleseam/fleet/lease/Candidate.java
+++ b/src/main/java/dappleseam/fleet/lease/Candidate.java
@@ -1,6 +1,6 @@
 package dappleseam.fleet.lease;
 
-import dappleseam.fleet.lease.Answers.Refusal;
+import dappleseam.fleet.lease.VoterMessages.Refusal;
 import dappleseam.fleet.membership.MemberName;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -11,7 +11,7 @@
 
 /**
  * One process's side of all leases that it may take: asks, tries in turn, renews, and acts only while sure. Free of I/O; times are ms of a monotonic
- * clock that runs within {@link LeaseTerms#drift} of true time. Not for several threads.
+ * clock that runs within {@link LeaseConfig#drift} of true time. Not for several threads.
  */
 public final class Candidate {
     /** Places in the order of trying that ask the voters; the others only look at their place from time to time. */
@@ -28,8 +28,8 @@
     private static final double STOP_SHARE = 0.1;
 
     private final long nonce;
-    private final LeaseTerms terms;
-    private final LeaseHost host;
+    private final LeaseConfig terms;
+    private final CandidateHost host;
     private final RandomGenerator random;
     private final Map<LeaseName, Claim> claims = new LinkedHashMap<>();
     /** Questions in a row without an answer of a majority after which that is said. */
@@ -68,7 +68,7 @@
     }
 
     /** {@code nonce}: this process's, no other's ever. */
-    public Candidate(long nonce, LeaseTerms terms, LeaseHost host, RandomGenerator random) {
+    public Candidate(long nonce, LeaseConfig terms, CandidateHost host, RandomGenerator random) {
         this.nonce = nonce;
         this.terms = terms;
         this.host = host;
@@ -76,23 +76,23 @@
     }
 
     /** This process would do that task, in its turn. */
-    public void want(double nowMs, LeaseName lease) {
+    public void acquire(double nowMs, LeaseName lease) {
         Claim claim = claims.computeIfAbsent(lease, Claim::new);
         claim.dueAt = nowMs + random.nextDouble() * CHANCE_SHARE * terms.leaseMs();
         leave();
     }
 
     /** Gives it up, and does not want it any more: the task has been stopped. */
-    public void give(double nowMs, LeaseName lease) {
+    public void release(double nowMs, LeaseName lease) {
         Claim claim = claims.remove(lease);
         if (claim != null && claim.stage == Stage.HOLDING) {
-            terms.voters().forEach(v -> host.release(v, terms.sum(), lease, claim.ballot));
+            terms.voters().forEach(v -> host.release(v, terms.fingerprint(), lease, claim.ballot));
         }
         leave();
     }
 
     /** The token to act with, where that is allowed for so many ms from now on; null where it is not. To be asked at the instant of acting. */
-    public Token act(double nowMs, LeaseName lease, double forMs) {
+    public Token validToken(double nowMs, LeaseName lease, double forMs) {
         Claim claim = claims.get(lease);
         return claim != null && claim.stage == Stage.HOLDING && nowMs + forMs < claim.until ? claim.ballot : null;
     }
@@ -169,7 +169,7 @@
             return;
         }
         begin(nowMs, claim, Stage.ASKING);
-        terms.voters().forEach(v -> host.ask(v, terms.sum(), claim.lease));
+        terms.voters().forEach(v -> host.ask(v, terms.fingerprint(), claim.lease));
     }
 
     /** The same question: a voter that has it already answers again. */
@@ -179,9 +179,9 @@
         for (MemberName voter : terms.voters()) {
             if (!claim.heard.contains(voter) && !claim.yes.contains(voter)) {
                 switch (claim.stage) {
-                    case ASKING -> host.ask(voter, terms.sum(), claim.lease);
-                    case PREPARING -> host.prepare(voter, terms.sum(), claim.lease, claim.ballot);
-                    default -> host.propose(voter, terms.sum(), claim.lease, claim.ballot, claim.turn);
+                    case ASKING -> host.ask(voter, terms.fingerprint(), claim.lease);
+                    case PREPARING -> host.prepare(voter, terms.fingerprint(), claim.lease, claim.ballot);
+                    default -> host.propose(voter, terms.fingerprint(), claim.lease, claim.ballot, claim.turn);
                 }
             }
         }
@@ -209,7 +209,7 @@
     }
 
     /** What a voter says of who holds it. */
-    public void told(double nowMs, MemberName voter, LeaseName lease, Token highest, Token held, double leftMs) {
+    public void status(double nowMs, MemberName voter, LeaseName lease, Token highest, Token held, double leftMs) {
         Claim claim = heard(voter, lease, highest);
         if (claim == null || claim.stage != Stage.ASKING || !claim.heard.add(voter)) {
             return;
@@ -248,7 +248,7 @@
     }
 
     private void prepare(double nowMs, Claim claim) {
-        if (Math.max(made, claim.highest.round()) >= Token.LAST) {
+        if (Math.max(made, claim.highest.round()) >= Token.MAX_ROUND) {
             waitFor(nowMs, claim, span(1));
             return;
         }
@@ -258,7 +258,7 @@
         raise(claim, claim.ballot);
         // From here on, not from the proposal: a voter that forgets its promise is silent until no answer to this ballot counts any more.
         claim.beganAt = nowMs;
-        terms.voters().forEach(v -> host.prepare(v, terms.sum(), claim.lease, claim.ballot));
+        terms.voters().forEach(v -> host.prepare(v, terms.fingerprint(), claim.lease, claim.ballot));
     }
 
     public void promised(double nowMs, MemberName voter, LeaseName lease, Token ballot, Token held, double leftMs) {
@@ -277,7 +277,7 @@
             claim.heard.clear();
             claim.resends = RESENDS;
             await(nowMs, claim);
-            terms.voters().forEach(v -> host.propose(v, terms.sum(), lease, claim.ballot, claim.turn));
+            terms.voters().forEach(v -> host.propose(v, terms.fingerprint(), lease, claim.ballot, claim.turn));
         } else if (claim.heard.size() == terms.voters().size()) {
             claim.freeSince = Double.NaN;
             waitFor(nowMs, claim, Math.min(span(ASK_SHARE), Math.max(0, claim.takenUntil - nowMs)));
@@ -297,7 +297,7 @@
         claim.freeSince = Double.NaN;
         claim.dueAt = Math.min(nowMs + terms.heldMs() * RENEW_SHARE, claim.until - span(STOP_SHARE));
         claim.stage = Stage.HOLDING;
-        host.held(lease, ballot, claim.until);
+        host.granted(lease, ballot, claim.until);
         leave();
     }
 
@@ -308,7 +308,7 @@
         claim.resends = RESENDS;
         await(nowMs, claim);
         claim.turn++;
-        terms.voters().forEach(v -> host.propose(v, terms.sum(), claim.lease, claim.ballot, claim.turn));
+        terms.voters().forEach(v -> host.propose(v, terms.fingerprint(), claim.lease, claim.ballot, claim.turn));
     }
 
     public void refused(double nowMs, MemberName voter, LeaseName lease, Token ballot, Refusal why, Token highest) {
--- a/src/main/java/dappleseam/fleet/lease/LeaseHost.java
+++ b/src/main/java/dappleseam/fleet/lease/CandidateHost.java
@@ -1,12 +1,12 @@
 package dappleseam.fleet.lease;
 
 /** What a candidate can do beside sending ballots. Every call takes effect at the time of the event being handled. */
-public interface LeaseHost extends Ballots {
+public interface CandidateHost extends Ballots {
     /** Calls {@link Candidate#woken} at that time; an earlier wish for a wake-up is void. */
     void wakeAt(double ms);
 
     /** The task may act until that time by this process's clock, from now on or for longer than before. To be asked for at the instant of acting. */
-    void held(LeaseName lease, Token token, double untilMs);
+    void granted(LeaseName lease, Token token, double untilMs);
 
     /** The task has to stop; {@code act} says no already. */
     void lost(LeaseName lease, Token token, String why);
--- a/src/main/java/dappleseam/fleet/lease/FleetTask.java
+++ b/src/main/java/dappleseam/fleet/lease/FleetTask.java
@@ -4,8 +4,8 @@
 public interface FleetTask {
     LeaseName lease();
 
-    /** Time in ms from the end of one {@link #act} to the beginning of the next. */
-    double everyMs();
+    /** Time in ms from the end of one {@link #run} to the beginning of the next. */
+    double intervalMs();
 
     /** What may be done, and with which token; to be asked at the instant of acting, each time. */
     interface Permit {
@@ -17,5 +17,5 @@
     }
 
     /** Does it once. One that throws three times in a row, or has not returned after two leases, loses its lease. */
-    void act(Permit permit) throws Exception;
+    void run(Permit permit) throws Exception;
 }
--- a/src/main/java/dappleseam/fleet/lease/LeaseTerms.java
+++ b/src/main/java/dappleseam/fleet/lease/LeaseConfig.java
@@ -9,12 +9,12 @@
  * order; {@code number}: of the set, one more with each change. {@code leaseMs}: from a voter's answer until it may answer another. {@code drift}: by
  * what share of true time a clock may be fast or slow, 0 to 0.1.
  */
-public record LeaseTerms(List<MemberName> voters, int number, double leaseMs, double drift) {
-    public static final double LEASE_MS = 10_000;
-    public static final double DRIFT = 0.01;
+public record LeaseConfig(List<MemberName> voters, int number, double leaseMs, double drift) {
+    public static final double DEFAULT_LEASE_MS = 10_000;
+    public static final double DEFAULT_DRIFT = 0.01;
     private static final int MOST_VOTERS = 9;
 
-    public LeaseTerms {
+    public LeaseConfig {
         if (voters.isEmpty() || voters.size() > MOST_VOTERS || voters.stream().distinct().count() < voters.size()) {
             throw new IllegalArgumentException("no set of voters");
         }
@@ -32,7 +32,7 @@
     }
 
     /** Tells sets, their order, their number and their times apart: a holder that counts by a longer lease than its voters would act beside the next. */
-    public int sum() {
+    public int fingerprint() {
         return (voters.stream().map(MemberName::text).collect(Collectors.joining("/")) + '/' + number + '/' + leaseMs + '/' + drift).hashCode();
     }
 }
--- a/src/main/java/dappleseam/fleet/lease/Token.java
+++ b/src/main/java/dappleseam/fleet/lease/Token.java
@@ -2,16 +2,16 @@
 
 /**
  * A ballot, and once it is won what fences all that its holder does: a resource refuses a lower one than it has seen (Burrows 2006,
- * sequencers). {@code round}: 0 to {@link #LAST}; {@code nonce}: the process's, so that no two make the same.
+ * sequencers). {@code round}: 0 to {@link #MAX_ROUND}; {@code nonce}: the process's, so that no two make the same.
  */
 public record Token(long round, long nonce) implements Comparable<Token> {
     /** Below all that are ever made. */
     public static final Token NONE = new Token(0, Long.MIN_VALUE);
     /** More rounds than a thousand a second for a thousand years; what is beyond was never made. */
-    public static final long LAST = 1L << 45;
+    public static final long MAX_ROUND = 1L << 45;
 
     public Token {
-        if (round < 0 || round > LAST) {
+        if (round < 0 || round > MAX_ROUND) {
             throw new IllegalArgumentException("no round");
         }
     }
--- a/src/main/java/dappleseam/fleet/lease/Voter.java
+++ b/src/main/java/dappleseam/fleet/lease/Voter.java
@@ -1,8 +1,8 @@
 package dappleseam.fleet.lease;
 
-import dappleseam.fleet.lease.Answers.Refusal;
-import dappleseam.fleet.lease.VoterDisk.Kept;
-import dappleseam.fleet.lease.VoterDisk.Vote;
+import dappleseam.fleet.lease.VoterMessages.Refusal;
+import dappleseam.fleet.lease.VoterStorage.VoterState;
+import dappleseam.fleet.lease.VoterStorage.Vote;
 import dappleseam.fleet.membership.MemberName;
 import java.io.IOException;
 import java.util.HashMap;
@@ -20,9 +20,9 @@
     public static final int MOST_LEASES = 2000;
 
     private final MemberName name;
-    private final LeaseTerms terms;
-    private final Answers out;
-    private final VoterDisk disk;
+    private final LeaseConfig terms;
+    private final VoterMessages out;
+    private final VoterStorage disk;
     private final Map<LeaseName, Held> votes = new LinkedHashMap<>();
     /** Of other voters, what they told of their starts. */
     private final Map<MemberName, Known> starts = new HashMap<>();
@@ -60,8 +60,8 @@
      * Starts at that time; {@code nonce} is its process's, {@code disk} is null where none lasts. {@code wallMs}: the wall clock, from which rounds
      * begin: as long as fewer ballots are made than ms pass, and it is not set back, they grow over starts at which all was forgotten.
      */
-    public Voter(MemberName name, long nonce, LeaseTerms terms, Answers out, VoterDisk disk, double nowMs, long wallMs) {
-        floor = new Token(Math.max(0, Math.min(wallMs, Token.LAST)), Long.MIN_VALUE);
+    public Voter(MemberName name, long nonce, LeaseConfig terms, VoterMessages out, VoterStorage disk, double nowMs, long wallMs) {
+        floor = new Token(Math.max(0, Math.min(wallMs, Token.MAX_ROUND)), Long.MIN_VALUE);
         this.name = name;
         this.nonce = nonce;
         this.terms = terms;
@@ -77,7 +77,7 @@
     /** From time to time: tells its start to those who have not said that they know it. */
     public void woken() {
         if (disk != null) {
-            terms.voters().stream().filter(v -> !v.equals(name) && !registered.contains(v)).forEach(v -> out.recall(v, terms.sum(), start, nonce));
+            terms.voters().stream().filter(v -> !v.equals(name) && !registered.contains(v)).forEach(v -> out.registerStart(v, terms.fingerprint(), start, nonce));
         }
     }
 
@@ -93,9 +93,9 @@
      */
     private void recover(double nowMs) {
         try {
-            Kept kept = disk.read();
-            if (kept.voter().equals(name) && kept.set() == terms.sum()) {
-                start = kept.start() + 1;
+            VoterState kept = disk.read();
+            if (kept.voter().equals(name) && kept.configFingerprint() == terms.fingerprint()) {
+                start = kept.startNumber() + 1;
                 kept.votes().forEach((lease, vote) -> {
                     Held held = new Held(vote.promised().isBelow(floor) ? floor : vote.promised());
                     held.accepted = vote.accepted();
@@ -103,7 +103,7 @@
                     held.until = nowMs + terms.leaseMs(); // no clock lasts over a start
                     votes.put(lease, held);
                 });
-                trustsDisk = kept.closed();
+                trustsDisk = kept.cleanlyClosed();
             }
         } catch (IOException e) {
             trustsDisk = false;
@@ -119,7 +119,7 @@
         if (disk != null) {
             Map<LeaseName, Vote> all = new LinkedHashMap<>();
             votes.forEach((lease, held) -> all.put(lease, new Vote(held.promised, held.accepted, held.holder)));
-            disk.write(new Kept(name, terms.sum(), start, closed, all));
+            disk.write(new VoterState(name, terms.fingerprint(), start, closed, all));
         }
     }
 
@@ -146,7 +146,7 @@
     }
 
     private boolean turnsAway(double nowMs, MemberName from, int set, LeaseName lease, Token ballot) {
-        Refusal why = !terms.voters().contains(name) ? Refusal.NO_VOTER : set != terms.sum() ? Refusal.OTHER_SET
+        Refusal why = !terms.voters().contains(name) ? Refusal.NO_VOTER : set != terms.fingerprint() ? Refusal.OTHER_SET
                 : !speaks(nowMs) ? Refusal.ABSTAINS : votes.size() >= MOST_LEASES && !votes.containsKey(lease) ? Refusal.TOO_MANY : null;
         if (why != null) {
             out.refused(from, lease, ballot, why, highest(lease));
@@ -182,7 +182,7 @@
         if (!turnsAway(nowMs, from, set, lease, Token.NONE)) {
             Held held = votes.get(lease);
             boolean runs = held != null && held.runsAt(nowMs);
-            out.told(from, lease, highest(lease), runs ? held.accepted : Token.NONE, runs ? held.holder : null, runs ? held.until - nowMs : 0);
+            out.status(from, lease, highest(lease), runs ? held.accepted : Token.NONE, runs ? held.holder : null, runs ? held.until - nowMs : 0);
         }
     }
 
@@ -213,7 +213,7 @@
 
     public void release(double nowMs, MemberName from, int set, LeaseName lease, Token ballot) {
         Held held = votes.get(lease);
-        if (set == terms.sum() && held != null && held.accepted.equals(ballot) && from.equals(held.holder)) {
+        if (set == terms.fingerprint() && held != null && held.accepted.equals(ballot) && from.equals(held.holder)) {
             held.until = nowMs;
         }
     }
@@ -230,20 +230,20 @@
     }
 
     /** Another voter tells its start, and asks which was known before. */
-    public void recall(MemberName from, int set, long itsStart, long itsNonce) {
-        if (set == terms.sum() && terms.voters().contains(from)) {
+    public void registerStart(MemberName from, int set, long itsStart, long itsNonce) {
+        if (set == terms.fingerprint() && terms.voters().contains(from)) {
             Known known = starts.get(from);
             if (known == null || known.nonce != itsNonce && itsStart >= known.start) {
                 starts.put(from, new Known(itsStart, itsNonce, known == null ? -1 : known.start));
             } else if (known.nonce != itsNonce) {
-                out.recalled(from, itsStart, itsNonce, known.start); // an old copy: it is told, and not taken for the last
+                out.startRegistered(from, itsStart, itsNonce, known.start); // an old copy: it is told, and not taken for the last
                 return;
             }
-            out.recalled(from, itsStart, itsNonce, starts.get(from).before);
+            out.startRegistered(from, itsStart, itsNonce, starts.get(from).before);
         }
     }
 
-    public void recalled(MemberName from, long itsStart, long itsNonce, long known) {
+    public void startRegistered(MemberName from, long itsStart, long itsNonce, long known) {
         if (itsStart != start || itsNonce != nonce || !terms.voters().contains(from) || from.equals(name)) {
             return;
         }
--- a/src/main/java/dappleseam/fleet/peers/PeerSocket.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetAgent.java
@@ -35,12 +35,12 @@
  * The membership's thread and its datagrams. Nothing here runs on the I/O thread, and nothing waits for it: others read {@link #snapshot}.
  * Of two processes of one proxy the second waits until the address is free.
  */
-public final class PeerSocket extends LetterHost {
+public final class FleetAgent extends MessagingHost {
     /** Share by which what it may take has to be another to be recorded. */
     private static final double SHARE_NEWS = 0.01;
     /** Descriptors: two sockets, a selector with two, a record. */
     public static final int DESCRIPTORS = 6;
-    private static final Logger LOG = System.getLogger(PeerSocket.class.getName());
+    private static final Logger LOG = System.getLogger(FleetAgent.class.getName());
     private static final double NANOS_PER_MS = 1e6;
     /** Time in ms between tries of an address that another process has. */
     private static final long BIND_MS = 100;
@@ -60,26 +60,26 @@
     private final long seed;
     private final int location;
     private final long startMs = System.currentTimeMillis();
-    private volatile Identity identity;
-    private Envelope envelope;
+    private volatile FleetConfig identity;
+    private MessageCodec envelope;
     private Selector selector;
     private DatagramChannel socket;
     private DatagramChannel caller;
     private InetSocketAddress called;
     private Membership membership;
     private LeaseDesk leases;
-    private SignalDesk signals;
+    private SignalExchange signals;
     private final List<FleetTask> tasks;
-    private final Sightings sightings;
+    private final RouterAdapter sightings;
     private ViewRecord views;
     private double wakeAt = Double.POSITIVE_INFINITY;
-    private final ByteBuffer in = ByteBuffer.allocate(Envelope.LONGEST + 1);
+    private final ByteBuffer in = ByteBuffer.allocate(MessageCodec.LONGEST + 1);
     private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
     private final CountDownLatch ended = new CountDownLatch(1);
     private volatile boolean ending;
     private volatile boolean handsOver;
     private volatile Snapshot snapshot;
-    private final Map<Unreadable.Why, Long> dropped = new EnumMap<>(Unreadable.Why.class);
+    private final Map<InvalidDatagramException.Why, Long> dropped = new EnumMap<>(InvalidDatagramException.Why.class);
     private long sent;
     private long received;
     private long flooded;
@@ -99,7 +99,7 @@
      * {@code location}: where this proxy is, by the platform's number, -1 without locations. {@code tasks}: what it would do for the whole fleet. {@code left}: what one process leaves for the next; null for nothing. {@code sightings}: what is told of
      * caches, where the file says so. Runs from {@link #start} on.
      */
-    public PeerSocket(Identity identity, int location, long seed, Path left, List<FleetTask> tasks, Sightings sightings) {
+    public FleetAgent(FleetConfig identity, int location, long seed, Path left, List<FleetTask> tasks, RouterAdapter sightings) {
         this.tasks = tasks;
         this.sightings = sightings;
         this.identity = identity;
@@ -110,7 +110,7 @@
 
     public void start() throws IOException {
         selector = Selector.open();
-        envelope = new Envelope(identity.fleet());
+        envelope = new MessageCodec(identity.fleet());
         thread = new Thread(this::run, "fleet");
         thread.setDaemon(true);
         thread.start();
@@ -126,20 +126,20 @@
     }
 
     /** New terms, seeds and choices, these where one was on at the start; all else needs a new start. */
-    public void change(Identity now) {
+    public void reconfigure(FleetConfig now) {
         identity = now;
         post(() -> {
             if (membership != null) {
-                membership.configChanged(nowMs(), now.terms(), now.seeds());
+                membership.configChanged(nowMs(), now.membershipConfig(), now.seeds());
             }
             if (signals != null) {
-                signals.choose(now.choices());
+                signals.choose(now.features());
             }
         });
     }
 
     /** An operator's word that a member will not come back. */
-    public void endedByWord(MemberName name) {
+    public void markEnded(MemberName name) {
         post(() -> {
             if (membership != null) {
                 boolean known = membership.markEnded(nowMs(), name);
@@ -154,7 +154,7 @@
     }
 
     /** Says goodbye, or leaves its place to the process that takes over; returns soon. */
-    public void end(boolean handOver) {
+    public void stop(boolean handOver) {
         handsOver = handOver;
         ending = true;
         selector.wakeup();
@@ -220,12 +220,12 @@
         caller = DatagramChannel.open();
         caller.configureBlocking(false);
         caller.register(selector, SelectionKey.OP_READ);
-        views = new ViewRecord(identity.record());
+        views = new ViewRecord(identity.recordFile());
         double now = nowMs();
         // Its own start and clock, not the seed alone: two processes that were given one seed must differ.
         SplittableRandom random = new SplittableRandom(seed ^ System.nanoTime() ^ ProcessHandle.current().pid() << 40);
         MemberEntry self = new MemberEntry(identity.name(), identity.advertise(), new Generation(startMs, random.nextLong()), 0, MemberEntry.State.ALIVE, 0);
-        membership = new Membership(identity.terms(), self, this, random, now);
+        membership = new Membership(identity.membershipConfig(), self, this, random, now);
         views.began(now, self);
         Set<InetSocketAddress> known = new LinkedHashSet<>(identity.seeds());
         if (left != null) {
@@ -241,9 +241,9 @@
             leases = new LeaseDesk(membership, identity.leases(), identity.voterFile() == null ? null : new VoterFile(identity.voterFile()), tasks,
                     this::sendBallot, this::post, views, random.split(), now);
         }
-        if (identity.choices().any()) {
-            signals = new SignalDesk(membership, identity.terms().periodMs(), identity.terms().maxMembers(), location, identity.choices(), sightings,
-                    (to, bulletins) -> send(to, Letter.of(membership.self(), bulletins)), random.split(), now);
+        if (identity.features().any()) {
+            signals = new SignalExchange(membership, identity.membershipConfig().periodMs(), identity.membershipConfig().maxMembers(), location, identity.features(), sightings,
+                    (to, bulletins) -> send(to, FleetMessage.of(membership.self(), bulletins)), random.split(), now);
         }
         publish(now);
     }
@@ -301,15 +301,15 @@
             }
             received++;
             try {
-                Letter letter = envelope.read(in.array(), in.position());
-                letter.tell(sender, membership.receiver(now));
-                if (letter.ballot() != null && leases != null) {
-                    leases.heard(now, letter.self().name(), letter.ballot());
+                FleetMessage letter = envelope.decode(in.array(), in.position());
+                letter.deliver(sender, membership.receiver(now));
+                if (letter.leaseMessage() != null && leases != null) {
+                    leases.heard(now, letter.sender().name(), letter.leaseMessage());
                 }
-                if (letter.bulletins() != null && signals != null) {
-                    signals.heard(now, letter.bulletins());
+                if (letter.announcements() != null && signals != null) {
+                    signals.receive(now, letter.announcements());
                 }
-            } catch (Unreadable e) {
+            } catch (InvalidDatagramException e) {
                 dropped.merge(e.why(), 1L, Long::sum);
             }
         }
@@ -322,25 +322,25 @@
     }
 
     @Override
-    protected void send(InetSocketAddress to, Letter letter) {
+    protected void send(InetSocketAddress to, FleetMessage letter) {
         try {
-            socket.send(ByteBuffer.wrap(envelope.write(letter)), to);
+            socket.send(ByteBuffer.wrap(envelope.encode(letter)), to);
             sent++;
         } catch (IOException e) { // as if it were lost on its way
             LOG.log(Level.DEBUG, "fleet: {0}", e.toString());
         }
     }
 
-    private void sendBallot(MemberName to, Ballot ballot) {
+    private void sendBallot(MemberName to, LeaseMessage ballot) {
         MemberEntry peer = membership.lookup(to);
         if (peer != null) {
-            send(peer.address(), Letter.of(membership.self(), ballot));
+            send(peer.address(), FleetMessage.of(membership.self(), ballot));
         }
     }
 
     @Override
     public void pingConnected(InetSocketAddress peer, MemberEntry self, long number, MemberName target, List<MemberEntry> news) {
-        byte[] bytes = envelope.write(pingOf(self, number, target, news));
+        byte[] bytes = envelope.encode(pingMessage(self, number, target, news));
         try {
             if (!peer.equals(called)) {
                 caller.disconnect();
--- a/src/main/java/dappleseam/fleet/peers/Identity.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetConfig.java
@@ -1,6 +1,6 @@
 package dappleseam.fleet.peers;
 
-import dappleseam.fleet.lease.LeaseTerms;
+import dappleseam.fleet.lease.LeaseConfig;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.MembershipConfig;
 import dappleseam.fleet.share.FleetFeatures;
@@ -15,5 +15,5 @@
  * fleet's last known list is kept, a folder or an address that begins with {@code http:}, null for nowhere. {@code choices}: what
  * members tell each other, and decide by it.
  */
-public record Identity(String fleet, MemberName name, InetSocketAddress bind, InetSocketAddress advertise, List<InetSocketAddress> seeds,
-                       MembershipConfig terms, Path record, LeaseTerms leases, Path voterFile, String listStore, FleetFeatures choices) {}
+public record FleetConfig(String fleet, MemberName name, InetSocketAddress bind, InetSocketAddress advertise, List<InetSocketAddress> seeds,
+                       MembershipConfig membershipConfig, Path recordFile, LeaseConfig leases, Path voterFile, String listStore, FleetFeatures features) {}
--- a/src/main/java/dappleseam/fleet/peers/FleetText.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetStatusWriter.java
@@ -13,13 +13,13 @@
 import java.util.Locale;
 
 /** What operators read of a snapshot: figures in Prometheus' text format, and the view as JSON. */
-public final class FleetText {
+public final class FleetStatusWriter {
     private static final double MS_PER_S = 1000;
 
-    private FleetText() {}
+    private FleetStatusWriter() {}
 
     /** {@code shot} is null while another process has the address. */
-    public static String figures(Snapshot shot) {
+    public static String metrics(Snapshot shot) {
         StringBuilder text = new StringBuilder();
         line(text, "fleet_joined", "gauge", shot == null ? 0 : 1);
         if (shot == null) {
@@ -46,7 +46,7 @@
         line(text, "fleet_datagrams_sent_total", "counter", shot.sent());
         line(text, "fleet_datagrams_received_total", "counter", shot.received());
         text.append("# TYPE app_fleet_datagrams_dropped_total counter\n");
-        for (Unreadable.Why why : Unreadable.Why.values()) {
+        for (InvalidDatagramException.Why why : InvalidDatagramException.Why.values()) {
             drop(text, lower(why), shot.dropped().getOrDefault(why, 0L));
         }
         drop(text, "flood", shot.flooded());
--- a/src/main/java/dappleseam/fleet/peers/Unreadable.java
+++ b/src/main/java/dappleseam/fleet/peers/InvalidDatagramException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /** A datagram that is dropped, and why. */
-public final class Unreadable extends IOException {
+public final class InvalidDatagramException extends IOException {
     private static final long serialVersionUID = 1L;
 
     /** As the figures count them. */
@@ -22,7 +22,7 @@
 
     private final transient Why why;
 
-    Unreadable(Why why) {
+    InvalidDatagramException(Why why) {
         super(why.name(), null);
         this.why = why;
     }
--- a/src/main/java/dappleseam/fleet/peers/LeaseDesk.java
+++ b/src/main/java/dappleseam/fleet/peers/LeaseDesk.java
@@ -1,18 +1,18 @@
 package dappleseam.fleet.peers;
 
-import dappleseam.fleet.lease.Answers;
+import dappleseam.fleet.lease.VoterMessages;
 import dappleseam.fleet.lease.Candidate;
 import dappleseam.fleet.lease.FleetTask;
-import dappleseam.fleet.lease.LeaseHost;
+import dappleseam.fleet.lease.CandidateHost;
 import dappleseam.fleet.lease.LeaseName;
-import dappleseam.fleet.lease.LeaseTerms;
+import dappleseam.fleet.lease.LeaseConfig;
 import dappleseam.fleet.lease.Ranking;
 import dappleseam.fleet.lease.Token;
-import dappleseam.fleet.lease.VoterDisk;
+import dappleseam.fleet.lease.VoterStorage;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
 import dappleseam.fleet.membership.MemberEntry;
-import dappleseam.fleet.peers.Ballot.Op;
+import dappleseam.fleet.peers.LeaseMessage.Op;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 import java.util.ArrayDeque;
@@ -28,7 +28,7 @@
  * This process's leases: its voter where it is one, its candidate, and the threads of the tasks that it holds. All but the tasks, and a voter with a disk, runs on the
  * fleet's thread.
  */
-final class LeaseDesk implements LeaseHost {
+final class LeaseDesk implements CandidateHost {
     private static final Logger LOG = System.getLogger(LeaseDesk.class.getName());
     /** Time in ms between looks at the view, at twins, at tasks that hang, and of a voter's words on its start. */
     private static final double LOOK_MS = 500;
@@ -39,8 +39,8 @@
     private static final double REST_LEASES = 3;
 
     private final Membership membership;
-    private final LeaseTerms terms;
-    private final BiConsumer<MemberName, Ballot> out;
+    private final LeaseConfig terms;
+    private final BiConsumer<MemberName, LeaseMessage> out;
     private final Consumer<Runnable> onThread;
     private final ViewRecord record;
     /** Null where this process is no voter. */
@@ -48,7 +48,7 @@
     private final Candidate candidate;
     private final Map<LeaseName, Runner> runners = new LinkedHashMap<>();
     /** What this process says to itself, told once what is being told is over. */
-    private final ArrayDeque<Ballot> toSelf = new ArrayDeque<>();
+    private final ArrayDeque<LeaseMessage> toSelf = new ArrayDeque<>();
     private boolean telling;
     private List<MemberName> present = List.of();
     private double candidateAt = Double.POSITIVE_INFINITY;
@@ -78,7 +78,7 @@
 
         @Override
         public synchronized Token token(double forMs) {
-            return token != null && !stopped && PeerSocket.nowMs() + forMs < until ? token : null;
+            return token != null && !stopped && FleetAgent.nowMs() + forMs < until ? token : null;
         }
 
         synchronized Token held() {
@@ -87,7 +87,7 @@
 
         @Override
         public void fenced(Token seen) {
-            onThread.accept(() -> candidate.fenced(PeerSocket.nowMs(), task.lease(), seen));
+            onThread.accept(() -> candidate.fenced(FleetAgent.nowMs(), task.lease(), seen));
         }
 
         @Override
@@ -95,8 +95,8 @@
             int failures = 0;
             while (!stopped) {
                 try {
-                    actingSince = PeerSocket.nowMs();
-                    task.act(this);
+                    actingSince = FleetAgent.nowMs();
+                    task.run(this);
                     failures = 0;
                 } catch (Exception e) { // whatever a task throws is its own
                     failures++;
@@ -108,7 +108,7 @@
                     actingSince = Double.NaN;
                 }
                 try {
-                    Thread.sleep((long) Math.max(1, task.everyMs()));
+                    Thread.sleep((long) Math.max(1, task.intervalMs()));
                 } catch (InterruptedException e) {
                     return;
                 }
@@ -124,7 +124,7 @@
         }
     }
 
-    LeaseDesk(Membership membership, LeaseTerms terms, VoterDisk disk, List<FleetTask> tasks, BiConsumer<MemberName, Ballot> out,
+    LeaseDesk(Membership membership, LeaseConfig terms, VoterStorage disk, List<FleetTask> tasks, BiConsumer<MemberName, LeaseMessage> out,
               Consumer<Runnable> onThread, ViewRecord record, RandomGenerator random, double nowMs) {
         this.record = record;
         this.membership = membership;
@@ -157,34 +157,34 @@
         tellSelf();
     }
 
-    void heard(double nowMs, MemberName from, Ballot ballot) {
+    void heard(double nowMs, MemberName from, LeaseMessage ballot) {
         now = nowMs;
         tell(from, ballot);
         tellSelf();
     }
 
-    private void tell(MemberName from, Ballot ballot) {
+    private void tell(MemberName from, LeaseMessage ballot) {
         if (!ballot.isForVoter()) {
             ballot.tell(now, from, candidate);
         } else if (voter != null) {
             voter.heard(from, ballot);
         } else if (ballot.wantsAnswer()) {
-            send(from, Ballot.refused(ballot.lease(), ballot.ballot(), Answers.Refusal.NO_VOTER, Token.NONE));
+            send(from, LeaseMessage.refused(ballot.lease(), ballot.ballot(), VoterMessages.Refusal.NO_VOTER, Token.NONE));
         }
     }
 
     /** By this process's voter, which may have waited for its disk. */
-    private void answered(MemberName to, Ballot ballot) {
+    private void answered(MemberName to, LeaseMessage ballot) {
         send(to, ballot);
         if (!telling) {
-            now = PeerSocket.nowMs();
+            now = FleetAgent.nowMs();
             tellSelf();
         }
     }
 
     private void tellSelf() {
         telling = true;
-        for (Ballot ballot = toSelf.poll(); ballot != null; ballot = toSelf.poll()) {
+        for (LeaseMessage ballot = toSelf.poll(); ballot != null; ballot = toSelf.poll()) {
             tell(membership.self().name(), ballot);
         }
         telling = false;
@@ -202,7 +202,7 @@
                 rest(runner, "its task hangs");
             } else if (!runner.wanted && now >= runner.restUntil) {
                 runner.wanted = true;
-                candidate.want(now, runner.task.lease());
+                candidate.acquire(now, runner.task.lease());
             }
         }
     }
@@ -222,7 +222,7 @@
         if (token != null) {
             record.lost(now, runner.task.lease(), token);
         }
-        candidate.give(now, runner.task.lease());
+        candidate.release(now, runner.task.lease());
     }
 
     /** An orderly end, or a hand-over: tasks stop first, then others may take them. */
@@ -260,7 +260,7 @@
     }
 
     @Override
-    public void held(LeaseName lease, Token token, double untilMs) {
+    public void granted(LeaseName lease, Token token, double untilMs) {
         Runner runner = runners.get(lease);
         boolean isNew = runner.held() == null;
         record.held(now, lease, token, untilMs); // before it may act: a record that ends too early would hide an overlap
@@ -295,7 +295,7 @@
         LOG.log(Level.INFO, text);
     }
 
-    private void send(MemberName to, Ballot ballot) {
+    private void send(MemberName to, LeaseMessage ballot) {
         if (to.equals(membership.self().name())) {
             toSelf.add(ballot);
         } else {
@@ -305,21 +305,21 @@
 
     @Override
     public void prepare(MemberName peer, int set, LeaseName lease, Token ballot) {
-        send(peer, Ballot.to(Op.PREPARE, set, lease, ballot, 0));
+        send(peer, LeaseMessage.to(Op.PREPARE, set, lease, ballot, 0));
     }
 
     @Override
     public void ask(MemberName peer, int set, LeaseName lease) {
-        send(peer, Ballot.to(Op.ASK, set, lease, Token.NONE, 0));
+        send(peer, LeaseMessage.to(Op.ASK, set, lease, Token.NONE, 0));
     }
 
     @Override
     public void propose(MemberName peer, int set, LeaseName lease, Token ballot, long turn) {
-        send(peer, Ballot.to(Op.PROPOSE, set, lease, ballot, turn));
+        send(peer, LeaseMessage.to(Op.PROPOSE, set, lease, ballot, turn));
     }
 
     @Override
     public void release(MemberName peer, int set, LeaseName lease, Token ballot) {
-        send(peer, Ballot.to(Op.RELEASE, set, lease, ballot, 0));
+        send(peer, LeaseMessage.to(Op.RELEASE, set, lease, ballot, 0));
     }
 }
--- a/src/main/java/dappleseam/fleet/peers/Ballot.java
+++ b/src/main/java/dappleseam/fleet/peers/LeaseMessage.java
@@ -1,7 +1,7 @@
 package dappleseam.fleet.peers;
 
-import dappleseam.fleet.lease.Answers;
-import dappleseam.fleet.lease.Answers.Refusal;
+import dappleseam.fleet.lease.VoterMessages;
+import dappleseam.fleet.lease.VoterMessages.Refusal;
 import dappleseam.fleet.lease.Ballots;
 import dappleseam.fleet.lease.Candidate;
 import dappleseam.fleet.lease.LeaseName;
@@ -9,28 +9,28 @@
 import dappleseam.fleet.lease.Voter;
 import dappleseam.fleet.membership.MemberName;
 
-/** What passes between candidates and voters in one datagram, as {@link Ballots} and {@link Answers} name it. Fields that its kind has no use for hold nothing. */
-public record Ballot(Op op, int set, LeaseName lease, Token ballot, Token other, MemberName holder, double leftMs, long count, long known, Refusal why) {
+/** What passes between candidates and voters in one datagram, as {@link Ballots} and {@link VoterMessages} name it. Fields that its kind has no use for hold nothing. */
+public record LeaseMessage(Op op, int set, LeaseName lease, Token ballot, Token other, MemberName holder, double leftMs, long number, long known, Refusal reason) {
     /** Their order is what goes out; new ones come at the end. */
     public enum Op { PREPARE, ASK, PROPOSE, RELEASE, RECALL, PROMISED, TOLD, ACCEPTED, REFUSED, RECALLED }
 
     /** Of a recall, which is of no lease. */
     private static final LeaseName NO_LEASE = new LeaseName("-");
 
-    static Ballot to(Op op, int set, LeaseName lease, Token ballot, long count) {
-        return new Ballot(op, set, lease, ballot, Token.NONE, null, 0, count, 0, Refusal.LOWER);
+    static LeaseMessage to(Op op, int set, LeaseName lease, Token ballot, long count) {
+        return new LeaseMessage(op, set, lease, ballot, Token.NONE, null, 0, count, 0, Refusal.LOWER);
     }
 
-    static Ballot of(Op op, LeaseName lease, Token ballot, Token other, MemberName holder, double leftMs) {
-        return new Ballot(op, 0, lease, ballot, other, holder, leftMs, 0, 0, Refusal.LOWER);
+    static LeaseMessage of(Op op, LeaseName lease, Token ballot, Token other, MemberName holder, double leftMs) {
+        return new LeaseMessage(op, 0, lease, ballot, other, holder, leftMs, 0, 0, Refusal.LOWER);
     }
 
-    static Ballot recall(Op op, int set, long start, long nonce, long known) {
-        return new Ballot(op, set, NO_LEASE, new Token(0, nonce), Token.NONE, null, 0, start, known, Refusal.LOWER);
+    static LeaseMessage recall(Op op, int set, long start, long nonce, long known) {
+        return new LeaseMessage(op, set, NO_LEASE, new Token(0, nonce), Token.NONE, null, 0, start, known, Refusal.LOWER);
     }
 
-    static Ballot refused(LeaseName lease, Token ballot, Refusal why, Token highest) {
-        return new Ballot(Op.REFUSED, 0, lease, ballot, highest, null, 0, 0, 0, why);
+    static LeaseMessage refused(LeaseName lease, Token ballot, Refusal why, Token highest) {
+        return new LeaseMessage(Op.REFUSED, 0, lease, ballot, highest, null, 0, 0, 0, why);
     }
 
     boolean isForVoter() {
@@ -46,10 +46,10 @@
         switch (op) {
             case PREPARE -> voter.prepare(nowMs, from, set, lease, ballot);
             case ASK -> voter.ask(nowMs, from, set, lease);
-            case PROPOSE -> voter.propose(nowMs, from, set, lease, ballot, count);
+            case PROPOSE -> voter.propose(nowMs, from, set, lease, ballot, number);
             case RELEASE -> voter.release(nowMs, from, set, lease, ballot);
-            case RECALL -> voter.recall(from, set, count, ballot.nonce());
-            case RECALLED -> voter.recalled(from, count, ballot.nonce(), known);
+            case RECALL -> voter.registerStart(from, set, number, ballot.nonce());
+            case RECALLED -> voter.startRegistered(from, number, ballot.nonce(), known);
             default -> throw new IllegalStateException(op + " is for a candidate");
         }
     }
@@ -57,9 +57,9 @@
     void tell(double nowMs, MemberName from, Candidate candidate) {
         switch (op) {
             case PROMISED -> candidate.promised(nowMs, from, lease, ballot, other, leftMs);
-            case TOLD -> candidate.told(nowMs, from, lease, ballot, other, leftMs);
-            case ACCEPTED -> candidate.accepted(nowMs, from, lease, ballot, count);
-            case REFUSED -> candidate.refused(nowMs, from, lease, ballot, why, other);
+            case TOLD -> candidate.status(nowMs, from, lease, ballot, other, leftMs);
+            case ACCEPTED -> candidate.accepted(nowMs, from, lease, ballot, number);
+            case REFUSED -> candidate.refused(nowMs, from, lease, ballot, reason, other);
             default -> throw new IllegalStateException(op + " is for a voter");
         }
     }
--- a/src/main/java/dappleseam/fleet/peers/Envelope.java
+++ b/src/main/java/dappleseam/fleet/peers/MessageCodec.java
@@ -5,15 +5,15 @@
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
-import dappleseam.fleet.lease.Answers;
+import dappleseam.fleet.lease.VoterMessages;
 import dappleseam.fleet.lease.LeaseName;
 import dappleseam.fleet.lease.Token;
 import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
 import dappleseam.fleet.membership.MemberEntry;
-import dappleseam.fleet.peers.Letter.Kind;
-import dappleseam.fleet.peers.Unreadable.Why;
+import dappleseam.fleet.peers.FleetMessage.Kind;
+import dappleseam.fleet.peers.InvalidDatagramException.Why;
 import dappleseam.fleet.share.Announcement;
 import dappleseam.fleet.share.NodeObservation;
 import dappleseam.fleet.share.AnnouncedTraffic;
@@ -31,7 +31,7 @@
  * Letters as datagrams: a byte that tells this program, one of the version, CRC-32C of what follows, and one CBOR array (RFC 8949). Not for
  * several threads.
  */
-public final class Envelope {
+public final class MessageCodec {
     /** Bytes of the longest datagram: it passes every usual link in one piece. */
     public static final int LONGEST = 1400;
     private static final int HEAD = 6;
@@ -51,8 +51,8 @@
     private static final int MOST_BULLETINS = 48;
     /** A day: longer than any lease. */
     private static final long LONGEST_LEFT_MS = 86_400_000;
-    private static final Ballot.Op[] OPS = Ballot.Op.values();
-    private static final Answers.Refusal[] REFUSALS = Answers.Refusal.values();
+    private static final LeaseMessage.Op[] OPS = LeaseMessage.Op.values();
+    private static final VoterMessages.Refusal[] REFUSALS = VoterMessages.Refusal.values();
     private static final Kind[] KINDS = Kind.values();
     private static final MemberEntry.State[] STATES = MemberEntry.State.values();
 
@@ -62,51 +62,51 @@
     private final int fleet;
 
     /** Of one fleet, by its name. */
-    public Envelope(String fleet) {
+    public MessageCodec(String fleet) {
         this.fleet = fleet.hashCode();
     }
 
-    public byte[] write(Letter letter) {
+    public byte[] encode(FleetMessage letter) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(LONGEST);
         out.writeBytes(new byte[HEAD]);
         try (CBORGenerator cbor = format.createGenerator(out)) {
-            cbor.writeStartArray(null, letter.bulletins() == null ? FIELDS : FIELDS + 1);
+            cbor.writeStartArray(null, letter.announcements() == null ? FIELDS : FIELDS + 1);
             cbor.writeNumber(fleet);
             cbor.writeNumber(letter.kind().ordinal());
-            write(cbor, letter.self());
+            encode(cbor, letter.sender());
             cbor.writeNumber(letter.number());
             if (letter.target() == null) {
                 cbor.writeNull();
             } else {
                 cbor.writeString(letter.target().text());
             }
-            if (letter.about() == null) {
+            if (letter.subject() == null) {
                 cbor.writeNull();
             } else {
-                write(cbor, letter.about());
+                encode(cbor, letter.subject());
             }
-            cbor.writeStartArray(null, letter.news().size());
-            for (MemberEntry notice : letter.news()) {
-                write(cbor, notice);
+            cbor.writeStartArray(null, letter.updates().size());
+            for (MemberEntry notice : letter.updates()) {
+                encode(cbor, notice);
             }
             cbor.writeEndArray();
             cbor.writeBoolean(letter.answer());
-            if (letter.sums() == null) {
+            if (letter.digests() == null) {
                 cbor.writeNull();
             } else {
-                ByteBuffer bytes = ByteBuffer.allocate(Integer.BYTES * letter.sums().length);
-                bytes.asIntBuffer().put(letter.sums());
+                ByteBuffer bytes = ByteBuffer.allocate(Integer.BYTES * letter.digests().length);
+                bytes.asIntBuffer().put(letter.digests());
                 cbor.writeBinary(bytes.array());
             }
-            if (letter.ballot() == null) {
+            if (letter.leaseMessage() == null) {
                 cbor.writeNull();
             } else {
-                write(cbor, letter.ballot());
+                encode(cbor, letter.leaseMessage());
             }
-            if (letter.bulletins() != null) { // older programs drop these letters, and understand all others
-                cbor.writeStartArray(null, letter.bulletins().size());
-                for (Announcement bulletin : letter.bulletins()) {
-                    write(cbor, bulletin);
+            if (letter.announcements() != null) { // older programs drop these letters, and understand all others
+                cbor.writeStartArray(null, letter.announcements().size());
+                for (Announcement bulletin : letter.announcements()) {
+                    encode(cbor, bulletin);
                 }
                 cbor.writeEndArray();
             }
@@ -119,29 +119,29 @@
         return bytes;
     }
 
-    private static void write(CBORGenerator cbor, Ballot ballot) throws IOException {
+    private static void encode(CBORGenerator cbor, LeaseMessage ballot) throws IOException {
         cbor.writeStartArray(null, BALLOT_FIELDS);
         cbor.writeNumber(ballot.op().ordinal());
         cbor.writeNumber(ballot.set());
         cbor.writeString(ballot.lease().text());
-        write(cbor, ballot.ballot());
-        write(cbor, ballot.other());
+        encode(cbor, ballot.ballot());
+        encode(cbor, ballot.other());
         cbor.writeString(ballot.holder() == null ? "" : ballot.holder().text());
         cbor.writeNumber(Math.round(ballot.leftMs()));
-        cbor.writeNumber(ballot.count());
+        cbor.writeNumber(ballot.number());
         cbor.writeNumber(ballot.known());
-        cbor.writeNumber(ballot.why().ordinal());
+        cbor.writeNumber(ballot.reason().ordinal());
         cbor.writeEndArray();
     }
 
-    private static void write(CBORGenerator cbor, Token token) throws IOException {
+    private static void encode(CBORGenerator cbor, Token token) throws IOException {
         cbor.writeNumber(token.round());
         cbor.writeNumber(token.nonce());
     }
 
-    private static Ballot ballot(JsonParser cbor) throws IOException {
+    private static LeaseMessage ballot(JsonParser cbor) throws IOException {
         need(cbor.currentToken() == JsonToken.START_ARRAY);
-        Ballot.Op op = OPS[(int) whole(cbor, 0, OPS.length - 1)];
+        LeaseMessage.Op op = OPS[(int) whole(cbor, 0, OPS.length - 1)];
         int set = (int) whole(cbor, Integer.MIN_VALUE, Integer.MAX_VALUE);
         need(cbor.nextToken() == JsonToken.VALUE_STRING);
         LeaseName lease = new LeaseName(cbor.getText());
@@ -152,12 +152,12 @@
         long left = whole(cbor, 0, LONGEST_LEFT_MS);
         long count = whole(cbor, 0, Long.MAX_VALUE);
         long known = whole(cbor, -1, Long.MAX_VALUE);
-        Answers.Refusal why = REFUSALS[(int) whole(cbor, 0, REFUSALS.length - 1)];
+        VoterMessages.Refusal why = REFUSALS[(int) whole(cbor, 0, REFUSALS.length - 1)];
         need(cbor.nextToken() == JsonToken.END_ARRAY);
-        return new Ballot(op, set, lease, ballot, other, holder, left, count, known, why);
+        return new LeaseMessage(op, set, lease, ballot, other, holder, left, count, known, why);
     }
 
-    private static void write(CBORGenerator cbor, Announcement bulletin) throws IOException {
+    private static void encode(CBORGenerator cbor, Announcement bulletin) throws IOException {
         cbor.writeStartArray(null, BULLETIN_FIELDS + SIGHT_FIELDS * bulletin.observations().size());
         cbor.writeString(bulletin.member().text());
         cbor.writeNumber(bulletin.generation().start());
@@ -209,10 +209,10 @@
     }
 
     private static Token token(JsonParser cbor) throws IOException {
-        return new Token(whole(cbor, 0, Token.LAST), whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
+        return new Token(whole(cbor, 0, Token.MAX_ROUND), whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
     }
 
-    private static void write(CBORGenerator cbor, MemberEntry notice) throws IOException {
+    private static void encode(CBORGenerator cbor, MemberEntry notice) throws IOException {
         cbor.writeStartArray(null, 7);
         cbor.writeString(notice.name().text());
         byte[] address = ByteBuffer.allocate(ADDRESS_BYTES).put(notice.address().getAddress().getAddress())
@@ -233,20 +233,20 @@
     }
 
     /** Guards the membership against anything that is not exactly what a proxy sends. */
-    public Letter read(byte[] bytes, int length) throws Unreadable {
+    public FleetMessage decode(byte[] bytes, int length) throws InvalidDatagramException {
         if (length <= HEAD || length > LONGEST) {
-            throw new Unreadable(Why.SIZE);
+            throw new InvalidDatagramException(Why.SIZE);
         }
         if (bytes[0] != PROGRAM || bytes[1] != VERSION) {
-            throw new Unreadable(Why.VERSION);
+            throw new InvalidDatagramException(Why.VERSION);
         }
         if (ByteBuffer.wrap(bytes, 2, Integer.BYTES).getInt() != sum(bytes, length)) {
-            throw new Unreadable(Why.DAMAGED);
+            throw new InvalidDatagramException(Why.DAMAGED);
         }
         try (JsonParser cbor = format.createParser(bytes, HEAD, length - HEAD)) {
             need(cbor.nextToken() == JsonToken.START_ARRAY);
             if (whole(cbor, Integer.MIN_VALUE, Integer.MAX_VALUE) != fleet) {
-                throw new Unreadable(Why.FOREIGN);
+                throw new InvalidDatagramException(Why.FOREIGN);
             }
             Kind kind = KINDS[(int) whole(cbor, 0, KINDS.length - 1)];
             need(cbor.nextToken() == JsonToken.START_ARRAY);
@@ -264,21 +264,21 @@
             boolean answer = cbor.nextToken() == JsonToken.VALUE_TRUE;
             need(answer || cbor.currentToken() == JsonToken.VALUE_FALSE);
             int[] sums = cbor.nextToken() == JsonToken.VALUE_NULL ? null : sums(cbor);
-            Ballot ballot = cbor.nextToken() == JsonToken.VALUE_NULL ? null : ballot(cbor);
+            LeaseMessage ballot = cbor.nextToken() == JsonToken.VALUE_NULL ? null : ballot(cbor);
             List<Announcement> bulletins = kind == Kind.BULLETINS ? bulletins(cbor) : null;
             need(cbor.nextToken() == JsonToken.END_ARRAY && cbor.nextToken() == null);
             need((kind == Kind.BALLOT) == (ballot != null) && (kind == Kind.SUMS) == (sums != null) && (kind != Kind.ASK || about != null));
-            return new Letter(kind, self, number, target, about, news, answer, sums, ballot, bulletins);
-        } catch (Unreadable e) {
+            return new FleetMessage(kind, self, number, target, about, news, answer, sums, ballot, bulletins);
+        } catch (InvalidDatagramException e) {
             throw e;
         } catch (IOException | RuntimeException e) { // whatever the parser makes of garbage
-            throw new Unreadable(Why.MALFORMED);
+            throw new InvalidDatagramException(Why.MALFORMED);
         }
     }
 
-    private static void need(boolean sound) throws Unreadable {
+    private static void need(boolean sound) throws InvalidDatagramException {
         if (!sound) {
-            throw new Unreadable(Why.MALFORMED);
+            throw new InvalidDatagramException(Why.MALFORMED);
         }
     }
 
--- a/src/main/java/dappleseam/fleet/peers/SignalDesk.java
+++ b/src/main/java/dappleseam/fleet/peers/SignalExchange.java
@@ -29,7 +29,7 @@
 import java.util.stream.Collectors;
 
 /** This process's bulletin, all others', and what comes of them: words on caches, and its share. On the fleet's thread, or in simulated time. */
-public final class SignalDesk {
+public final class SignalExchange {
     /** Share of a period between looks, each of which tells so many members. */
     private static final double LOOK_SHARE = 0.25;
     private static final double LOOK_LEAST_MS = 100;
@@ -38,7 +38,7 @@
     private static final int AGAIN = 4;
 
     private final Membership membership;
-    private final Sightings sightings;
+    private final RouterAdapter sightings;
     private final BiConsumer<InetSocketAddress, List<Announcement>> out;
     private final RandomGenerator random;
     private final double lookMs;
@@ -54,7 +54,7 @@
     private double place = Double.NaN;
     private boolean toldAnew;
 
-    public SignalDesk(Membership membership, double periodMs, int most, int location, FleetFeatures choices, Sightings sightings, BiConsumer<InetSocketAddress, List<Announcement>> out,
+    public SignalExchange(Membership membership, double periodMs, int most, int location, FleetFeatures choices, RouterAdapter sightings, BiConsumer<InetSocketAddress, List<Announcement>> out,
                RandomGenerator random, double nowMs) {
         this.membership = membership;
         this.choices = choices;
@@ -80,7 +80,7 @@
         return choices.any() ? lookAt : Double.POSITIVE_INFINITY;
     }
 
-    public void heard(double nowMs, List<Announcement> bulletins) {
+    public void receive(double nowMs, List<Announcement> bulletins) {
         board.receive(nowMs, bulletins);
     }
 
@@ -100,7 +100,7 @@
             }
         }
         shares.retain(names);
-        double rate = sightings.ratePerS();
+        double rate = sightings.queriesPerS();
         if (!Double.isNaN(rate)) {
             own = choices.signals() || choices.turns() ? sights(nowMs) : List.of();
             double tellable = shares.announceableRate(nowMs, rate, names, missing, membership.fleetSize());
@@ -115,14 +115,14 @@
             share = choices.shares() ? shares.share(nowMs, names, membership.fleetSize(), membership.duplicate() != null) : Double.NaN;
             Map<MemberName, Double> traffic = choices.subsets() ? shares.localTraffic(names) : null;
             place = traffic == null ? Double.NaN : TrafficPosition.of(membership.self().name(), traffic);
-            sightings.stands(share, place);
+            sightings.onShare(share, place);
         }
     }
 
     private List<NodeObservation> sights(double nowMs) {
         MembershipStatus.Kind kind = membership.status().kind();
         boolean isWell = kind == MembershipStatus.Kind.WITH_ALL || kind == MembershipStatus.Kind.CUT_OFF;
-        return signals.localObservations(nowMs, sightings.seen().stream().filter(one -> isChosen(one.node())).toList(), isWell);
+        return signals.localObservations(nowMs, sightings.observations().stream().filter(one -> isChosen(one.node())).toList(), isWell);
     }
 
     private boolean isChosen(NodeId node) {
@@ -132,7 +132,7 @@
     private void sayWords() {
         List<PeerVerdict> now = signals.verdicts(this::turn).stream().filter(word -> isChosen(word.node())).toList();
         if (!now.equals(said) || ++looks % AGAIN == 0 && !now.isEmpty()) {
-            sightings.say(now);
+            sightings.onVerdicts(now);
         }
         said = now;
     }
--- a/src/main/java/dappleseam/fleet/peers/Snapshot.java
+++ b/src/main/java/dappleseam/fleet/peers/Snapshot.java
@@ -14,7 +14,7 @@
  * {@code share}: of the whole, what this proxy may take; {@code place}: where it stands among all; each NaN where it is not told.
  */
 public record Snapshot(double takenAtMs, List<MemberEntry> view, MembershipStatus standing, int counted, int health, MemberEntry twin, long sent,
-                       long received, Map<Unreadable.Why, Long> dropped, long flooded, long turnedAway, double busyMs,
+                       long received, Map<InvalidDatagramException.Why, Long> dropped, long flooded, long turnedAway, double busyMs,
                        List<HeldLease> leases, Boolean votes, List<PeerVerdict> said, double share, double place) {
     /** A lease that this process holds since that time. */
     public record HeldLease(LeaseName lease, Token token, double sinceMs) {}
--- a/src/main/java/dappleseam/fleet/peers/VoterFile.java
+++ b/src/main/java/dappleseam/fleet/peers/VoterFile.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import dappleseam.fleet.lease.LeaseName;
 import dappleseam.fleet.lease.Token;
-import dappleseam.fleet.lease.VoterDisk;
+import dappleseam.fleet.lease.VoterStorage;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.list.SealedFile;
 import java.io.IOException;
@@ -12,7 +12,7 @@
 import java.util.Map;
 
 /** A voter's promises in a file, replaced as a whole and forced to the disk; a line with the format's version and a sum proves it. */
-public final class VoterFile implements VoterDisk {
+public final class VoterFile implements VoterStorage {
     private static final String VERSION = "dappleseam-voter-1";
 
     private final Path file;
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public Kept read() throws IOException {
+    public VoterState read() throws IOException {
         try {
             JsonNode root = SealedFile.read(file, VERSION);
             Map<LeaseName, Vote> votes = new LinkedHashMap<>();
@@ -31,7 +31,7 @@
                 votes.put(new LeaseName(vote.path("lease").asText()), new Vote(token(vote.path("promised")), token(vote.path("accepted")),
                         holder.isEmpty() ? null : new MemberName(holder)));
             }
-            return new Kept(new MemberName(root.path("voter").asText()), root.path("set").asInt(), root.path("start").asLong(),
+            return new VoterState(new MemberName(root.path("voter").asText()), root.path("set").asInt(), root.path("start").asLong(),
                     root.path("closed").asBoolean(), votes);
         } catch (IllegalArgumentException e) {
             throw new IOException("damaged: " + e.getMessage(), e);
@@ -43,13 +43,13 @@
     }
 
     @Override
-    public void write(Kept kept) throws IOException {
+    public void write(VoterState kept) throws IOException {
         SealedFile.writeForced(file, VERSION, json -> {
             json.writeStartObject();
             json.writeStringField("voter", kept.voter().text());
-            json.writeNumberField("set", kept.set());
-            json.writeNumberField("start", kept.start());
-            json.writeBooleanField("closed", kept.closed());
+            json.writeNumberField("set", kept.configFingerprint());
+            json.writeNumberField("start", kept.startNumber());
+            json.writeBooleanField("closed", kept.cleanlyClosed());
             json.writeArrayFieldStart("votes");
             for (Map.Entry<LeaseName, Vote> entry : kept.votes().entrySet()) {
                 json.writeStartObject();
--- a/src/main/java/dappleseam/lab/fault/LinkTool.java
+++ b/src/main/java/dappleseam/lab/fault/LinkTool.java
@@ -2,9 +2,9 @@
 
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.MemberEntry;
-import dappleseam.fleet.peers.Envelope;
-import dappleseam.fleet.peers.Letter;
-import dappleseam.fleet.peers.Unreadable;
+import dappleseam.fleet.peers.MessageCodec;
+import dappleseam.fleet.peers.FleetMessage;
+import dappleseam.fleet.peers.InvalidDatagramException;
 import dappleseam.lab.fleet.Planted;
 import dappleseam.lab.scenario.FleetScenario.LinkFault;
 import dappleseam.lab.scenario.FleetScenario.LinkHow;
@@ -39,7 +39,7 @@
     /** Least second byte of a rehearsal's own address: 127.64.0.0/10, which nothing else is bound to. */
     private static final int OWN_FROM = 64;
 
-    private final Envelope envelope;
+    private final MessageCodec envelope;
     private final long seed;
     private final Planted planted;
     private final InetAddress host;
@@ -52,7 +52,7 @@
     private final ByteBuffer in = ByteBuffer.allocate(2048);
     /** Each proxy as it last wrote of itself, for letters that are made up. */
     private final Map<Integer, MemberEntry> lastSelf = new HashMap<>();
-    private final Map<Letter.Kind, Long> kinds = new EnumMap<>(Letter.Kind.class);
+    private final Map<FleetMessage.Kind, Long> kinds = new EnumMap<>(FleetMessage.Kind.class);
     private volatile List<LinkFault> script = List.of();
     private volatile long beganNanos;
     private volatile boolean over;
@@ -87,7 +87,7 @@
         byte[] own = ByteBuffer.allocate(Long.BYTES).putLong(new SplittableRandom(System.nanoTime() ^ ProcessHandle.current().pid() << 32).nextLong()).array();
         host = InetAddress.getByAddress(new byte[] {127, (byte) (OWN_FROM | own[0] & OWN_FROM - 1), own[1], (byte) (1 | own[2])});
         this.planted = planted;
-        envelope = new Envelope(fleet);
+        envelope = new MessageCodec(fleet);
         thread = new Thread(this::run, "links");
         thread.setDaemon(true);
     }
@@ -193,29 +193,29 @@
                 return;
             }
             try {
-                Letter letter = envelope.read(in.array(), in.position());
-                Place from = byPort.get(letter.self().address().getPort());
+                FleetMessage letter = envelope.decode(in.array(), in.position());
+                Place from = byPort.get(letter.sender().address().getPort());
                 if (from != null) {
                     // What comes from another port than its own is a try of a member that failed.
                     pass(from, to, letter, Arrays.copyOf(in.array(), in.position()), source.getPort() != from.bindPort);
                 }
-            } catch (Unreadable e) {
+            } catch (InvalidDatagramException e) {
                 continue; // no proxy of this rehearsal sends such
             }
         }
     }
 
-    private void pass(Place from, Place to, Letter letter, byte[] sent, boolean isCall) {
+    private void pass(Place from, Place to, FleetMessage letter, byte[] sent, boolean isCall) {
         byte[] bytes = sent;
         kinds.merge(letter.kind(), 1L, Long::sum);
         if (planted != Planted.NONE) {
-            lastSelf.put(from.number, letter.self());
+            lastSelf.put(from.number, letter.sender());
             planted.forged(letter, new MemberName("lab-" + to.number)).forEach(this::forge);
-            Letter left = planted.passed(letter, new MemberName("lab-" + to.number), isCall);
+            FleetMessage left = planted.passed(letter, new MemberName("lab-" + to.number), isCall);
             if (left == null) {
                 return;
             }
-            bytes = left.equals(letter) ? sent : envelope.write(left);
+            bytes = left.equals(letter) ? sent : envelope.encode(left);
         }
         double atS = (System.nanoTime() - beganNanos) / NANOS_PER_MS / 1000;
         SplittableRandom random = links.computeIfAbsent(((long) from.port << 32) + to.port, k -> new SplittableRandom(seed ^ from.number * 1_000_003L ^ to.number));
@@ -257,8 +257,8 @@
         Place to = placeOf(forged.to());
         MemberEntry self = from == null ? null : lastSelf.get(from.number);
         if (self != null && to != null) {
-            Letter letter = Letter.of(self, forged.ballot());
-            waiting.add(new Waiting(System.nanoTime(), count++, from, to, envelope.write(letter)));
+            FleetMessage letter = FleetMessage.of(self, forged.ballot());
+            waiting.add(new Waiting(System.nanoTime(), count++, from, to, envelope.encode(letter)));
         }
     }
 
@@ -288,7 +288,7 @@
     }
 
     /** Datagrams of each kind that came to the tool; after {@link #close}. */
-    public Map<Letter.Kind, Long> kinds() {
+    public Map<FleetMessage.Kind, Long> kinds() {
         return kinds;
     }
 
--- a/src/main/java/dappleseam/lab/fleet/Exploration.java
+++ b/src/main/java/dappleseam/lab/fleet/Exploration.java
@@ -7,8 +7,8 @@
 import dappleseam.fleet.membership.MemberEntry.State;
 import dappleseam.fleet.membership.MembershipStatus;
 import dappleseam.fleet.membership.MembershipConfig;
-import dappleseam.fleet.peers.Letter;
-import dappleseam.fleet.peers.LetterHost;
+import dappleseam.fleet.peers.FleetMessage;
+import dappleseam.fleet.peers.MessagingHost;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -112,9 +112,9 @@
         double now;
         String broken;
 
-        record Sent(int to, InetSocketAddress from, Letter letter) {
+        record Sent(int to, InetSocketAddress from, FleetMessage letter) {
             String text() {
-                return "\n" + to + from + letter.kind() + letter.self() + letter.target() + letter.about() + letter.news();
+                return "\n" + to + from + letter.kind() + letter.sender() + letter.target() + letter.subject() + letter.updates();
             }
         }
 
@@ -141,7 +141,7 @@
         void deliver(Sent sent) {
             Member to = members.get(sent.to);
             if (to.up) {
-                sent.letter.tell(sent.from, to.membership.receiver(now));
+                sent.letter.deliver(sent.from, to.membership.receiver(now));
             }
         }
 
@@ -260,7 +260,7 @@
         }
     }
 
-    private static final class Member extends LetterHost {
+    private static final class Member extends MessagingHost {
         final World world;
         final int number;
         final MemberName name;
@@ -288,10 +288,10 @@
         }
 
         @Override
-        protected void send(InetSocketAddress to, Letter letter) {
-            world.said.merge(letter.self().generation(), letter.self(), (a, b) -> a.compareTo(b) >= 0 ? a : b);
+        protected void send(InetSocketAddress to, FleetMessage letter) {
+            world.said.merge(letter.sender().generation(), letter.sender(), (a, b) -> a.compareTo(b) >= 0 ? a : b);
             for (Member other : world.members) {
-                Letter passed = world.planted.passed(letter, other.name, false);
+                FleetMessage passed = world.planted.passed(letter, other.name, false);
                 if (other.up && SimulatedFleet.address(other.number).equals(to) && passed != null) {
                     world.underWay.add(new World.Sent(other.number, SimulatedFleet.address(number), passed));
                 }
--- a/src/main/java/dappleseam/lab/fleet/LeaseCrowd.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseCrowd.java
@@ -1,10 +1,10 @@
 package dappleseam.lab.fleet;
 
-import dappleseam.fleet.lease.Answers;
+import dappleseam.fleet.lease.VoterMessages;
 import dappleseam.fleet.lease.Candidate;
-import dappleseam.fleet.lease.LeaseHost;
+import dappleseam.fleet.lease.CandidateHost;
 import dappleseam.fleet.lease.LeaseName;
-import dappleseam.fleet.lease.LeaseTerms;
+import dappleseam.fleet.lease.LeaseConfig;
 import dappleseam.fleet.lease.Ranking;
 import dappleseam.fleet.lease.Token;
 import dappleseam.fleet.lease.Voter;
@@ -36,7 +36,7 @@
     private final int members;
     private final double loss;
     private final SplittableRandom random;
-    private final LeaseTerms terms;
+    private final LeaseConfig terms;
     private final List<LeaseName> leases = new ArrayList<>();
     private final Map<MemberName, Node> nodes = new HashMap<>();
     private final List<Node> order = new ArrayList<>();
@@ -48,7 +48,7 @@
     private long sent;
     private long breaches;
 
-    private final class Node implements LeaseHost, Answers {
+    private final class Node implements CandidateHost, VoterMessages {
         final MemberName name;
         Candidate candidate;
         Voter voter;
@@ -109,8 +109,8 @@
         }
 
         @Override
-        public void told(MemberName peer, LeaseName lease, Token highest, Token held, MemberName holder, double leftMs) {
-            send(peer, to -> to.candidate.told(now, name, lease, highest, held, leftMs));
+        public void status(MemberName peer, LeaseName lease, Token highest, Token held, MemberName holder, double leftMs) {
+            send(peer, to -> to.candidate.status(now, name, lease, highest, held, leftMs));
         }
 
         @Override
@@ -124,12 +124,12 @@
         }
 
         @Override
-        public void recall(MemberName peer, int set, long start, long nonce) {
+        public void registerStart(MemberName peer, int set, long start, long nonce) {
             throw new IllegalStateException("no disk here");
         }
 
         @Override
-        public void recalled(MemberName peer, long start, long nonce, long known) {
+        public void startRegistered(MemberName peer, long start, long nonce, long known) {
             throw new IllegalStateException("no disk here");
         }
 
@@ -145,10 +145,10 @@
         }
 
         @Override
-        public void held(LeaseName lease, Token token, double untilMs) {
+        public void granted(LeaseName lease, Token token, double untilMs) {
             Node before = holders.put(lease, this);
             if (before != this) {
-                breaches += before != null && before.up && before.candidate.act(now, lease, 0) != null ? 1 : 0;
+                breaches += before != null && before.up && before.candidate.validToken(now, lease, 0) != null ? 1 : 0;
                 gaps.add(now - freeSince.getOrDefault(lease, now));
             }
         }
@@ -191,12 +191,12 @@
                 voters.add(node.name);
             }
         }
-        terms = new LeaseTerms(voters, 1, LeaseTerms.LEASE_MS, LeaseTerms.DRIFT);
+        terms = new LeaseConfig(voters, 1, LeaseConfig.DEFAULT_LEASE_MS, LeaseConfig.DEFAULT_DRIFT);
         for (int i = 0; i < leaseCount; i++) {
             leases.add(new LeaseName("lease-" + i));
         }
         order.forEach(node -> node.start(voters.contains(node.name), terms.leaseMs()));
-        order.forEach(node -> leases.forEach(lease -> node.candidate.want(now, lease)));
+        order.forEach(node -> leases.forEach(lease -> node.candidate.acquire(now, lease)));
     }
 
     private void sees(MemberName name, boolean present) {
@@ -242,7 +242,7 @@
             }
             holder.up = true;
             holder.start(holder.voter != null, 0);
-            leases.forEach(l -> holder.candidate.want(now, l));
+            leases.forEach(l -> holder.candidate.acquire(now, l));
             sees(holder.name, true);
             runFor(terms.leaseMs());
         }
@@ -265,7 +265,7 @@
         dies.up = true;
         dies.start(false, 0);
         sees(dies.name, true);
-        leases.forEach(l -> dies.candidate.want(now, l));
+        leases.forEach(l -> dies.candidate.acquire(now, l));
         runFor(6 * terms.leaseMs());
         long back = leases.stream().filter(l -> holders.get(l) != second.get(l)).count();
         Set<LeaseName> none = new HashSet<>(leases);
--- a/src/main/java/dappleseam/lab/fleet/LeaseWorld.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseWorld.java
@@ -1,13 +1,13 @@
 package dappleseam.lab.fleet;
 
-import dappleseam.fleet.lease.Answers;
+import dappleseam.fleet.lease.VoterMessages;
 import dappleseam.fleet.lease.Candidate;
-import dappleseam.fleet.lease.LeaseHost;
+import dappleseam.fleet.lease.CandidateHost;
 import dappleseam.fleet.lease.LeaseName;
-import dappleseam.fleet.lease.LeaseTerms;
+import dappleseam.fleet.lease.LeaseConfig;
 import dappleseam.fleet.lease.Token;
 import dappleseam.fleet.lease.Voter;
-import dappleseam.fleet.lease.VoterDisk;
+import dappleseam.fleet.lease.VoterStorage;
 import dappleseam.fleet.membership.MemberName;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -68,8 +68,8 @@
     private final Planted planted;
     private final boolean disks;
     private final boolean changing;
-    private final LeaseTerms before;
-    private final LeaseTerms after;
+    private final LeaseConfig before;
+    private final LeaseConfig after;
     private final List<VoterSeat> voters = new ArrayList<>();
     private final List<CandidateSeat> candidates = new ArrayList<>();
     private final List<Letter> underWay = new ArrayList<>();
@@ -120,13 +120,13 @@
         }
     }
 
-    private final class VoterSeat extends Clocked implements VoterDisk {
+    private final class VoterSeat extends Clocked implements VoterStorage {
         final int number;
         Voter voter;
-        LeaseTerms terms = before;
-        Kept onDisk;
+        LeaseConfig terms = before;
+        VoterState onDisk;
         /** Copies that somebody made: of the last writings, some of each age. */
-        final List<Kept> copies = new ArrayList<>();
+        final List<VoterState> copies = new ArrayList<>();
 
         VoterSeat(int number, double rate) {
             super(rate);
@@ -143,15 +143,15 @@
         }
 
         @Override
-        public Kept read() throws IOException {
+        public VoterState read() throws IOException {
             if (onDisk == null) {
                 throw new IOException("nothing there");
             }
-            return planted == Planted.EVER_CLOSED ? new Kept(onDisk.voter(), onDisk.set(), onDisk.start(), true, onDisk.votes()) : onDisk;
+            return planted == Planted.EVER_CLOSED ? new VoterState(onDisk.voter(), onDisk.configFingerprint(), onDisk.startNumber(), true, onDisk.votes()) : onDisk;
         }
 
         @Override
-        public void write(Kept kept) {
+        public void write(VoterState kept) {
             onDisk = kept;
             copies.add(kept);
             if (copies.size() > MOST_COPIES) {
@@ -160,10 +160,10 @@
         }
     }
 
-    private final class CandidateSeat extends Clocked implements LeaseHost {
+    private final class CandidateSeat extends Clocked implements CandidateHost {
         final int number;
         Candidate candidate;
-        LeaseTerms terms = before;
+        LeaseConfig terms = before;
         double wakeAt;
         Token holds;
         Token checked;
@@ -179,14 +179,14 @@
         void start() {
             wakeAt = Double.POSITIVE_INFINITY;
             holds = null;
-            LeaseTerms own = planted == Planted.NO_MARGIN ? new LeaseTerms(terms.voters(), terms.number(), terms.leaseMs(), 0) : terms;
+            LeaseConfig own = planted == Planted.NO_MARGIN ? new LeaseConfig(terms.voters(), terms.number(), terms.leaseMs(), 0) : terms;
             candidate = new Candidate(++nonces, own, this, new Counter(nonces * 1000));
-            candidate.want(clock(now), LEASE);
+            candidate.acquire(clock(now), LEASE);
         }
 
         /** One without a margin says that it has one, or the voters would refuse it. */
         private int told(int set) {
-            return planted == Planted.NO_MARGIN ? terms.sum() : set;
+            return planted == Planted.NO_MARGIN ? terms.fingerprint() : set;
         }
 
         private void send(MemberName to, String text, BiConsumer<VoterSeat, MemberName> what) {
@@ -224,7 +224,7 @@
         }
 
         @Override
-        public void held(LeaseName lease, Token token, double untilMs) {
+        public void granted(LeaseName lease, Token token, double untilMs) {
             if (token.equals(holds)) {
                 return; // renewed
             }
@@ -252,7 +252,7 @@
         }
     }
 
-    private final class FromVoter implements Answers {
+    private final class FromVoter implements VoterMessages {
         final int number;
 
         FromVoter(int number) {
@@ -280,8 +280,8 @@
         }
 
         @Override
-        public void told(MemberName peer, LeaseName lease, Token highest, Token held, MemberName holder, double leftMs) {
-            send(peer, "told" + highest + held + Math.round(leftMs), (c, from) -> c.candidate.told(c.clock(now), from, lease, highest, held, leftMs));
+        public void status(MemberName peer, LeaseName lease, Token highest, Token held, MemberName holder, double leftMs) {
+            send(peer, "told" + highest + held + Math.round(leftMs), (c, from) -> c.candidate.status(c.clock(now), from, lease, highest, held, leftMs));
         }
 
         @Override
@@ -295,13 +295,13 @@
         }
 
         @Override
-        public void recall(MemberName peer, int set, long start, long nonce) {
-            sendVoter(peer, "recall" + start + nonce, (v, from) -> v.voter.recall(from, set, start, nonce));
+        public void registerStart(MemberName peer, int set, long start, long nonce) {
+            sendVoter(peer, "recall" + start + nonce, (v, from) -> v.voter.registerStart(from, set, start, nonce));
         }
 
         @Override
-        public void recalled(MemberName peer, long start, long nonce, long known) {
-            sendVoter(peer, "recalled" + start + nonce + known, (v, from) -> v.voter.recalled(from, start, nonce, known));
+        public void startRegistered(MemberName peer, long start, long nonce, long known) {
+            sendVoter(peer, "recalled" + start + nonce + known, (v, from) -> v.voter.startRegistered(from, start, nonce, known));
         }
     }
 
@@ -310,8 +310,8 @@
         this.planted = planted;
         this.disks = disks;
         this.changing = changing;
-        before = new LeaseTerms(List.of(voterName(0), voterName(1), voterName(2)), 1, LEASE_MS, DRIFT);
-        after = new LeaseTerms(List.of(voterName(0), voterName(1), voterName(NEW)), 2, LEASE_MS, DRIFT);
+        before = new LeaseConfig(List.of(voterName(0), voterName(1), voterName(2)), 1, LEASE_MS, DRIFT);
+        after = new LeaseConfig(List.of(voterName(0), voterName(1), voterName(NEW)), 2, LEASE_MS, DRIFT);
         double apart = planted == Planted.OVER_BOUND ? 2 * DRIFT : DRIFT;
         for (int i = 0; i < VOTERS; i++) {
             voters.add(new VoterSeat(i, (fast >> i & 1) == 1 ? 1 + apart : 1 - apart));
@@ -516,12 +516,12 @@
             case CUT -> candidates.get(which).isCut = !candidates.get(which).isCut;
             case GIVE -> {
                 CandidateSeat seat = candidates.get(which);
-                seat.candidate.give(seat.clock(now), LEASE);
-                seat.candidate.want(seat.clock(now), LEASE);
+                seat.candidate.release(seat.clock(now), LEASE);
+                seat.candidate.acquire(seat.clock(now), LEASE);
             }
             case CHECK -> {
                 CandidateSeat seat = candidates.get(which);
-                seat.checked = seat.candidate.act(seat.clock(now), LEASE, 0);
+                seat.checked = seat.candidate.validToken(seat.clock(now), LEASE, 0);
                 seat.checkedAt = now;
             }
             case ACT -> act(candidates.get(which));
@@ -548,7 +548,7 @@
     private void check() {
         int acting = 0;
         for (CandidateSeat seat : candidates) {
-            boolean holds = seat.candidate.act(seat.clock(now), LEASE, 0) != null;
+            boolean holds = seat.candidate.validToken(seat.clock(now), LEASE, 0) != null;
             boolean thinks = planted == Planted.EARLY_CHECK && seat.checked != null && now < seat.checkedAt + OLD_CHECK_MS;
             acting += holds || thinks ? 1 : 0;
         }
@@ -579,7 +579,7 @@
             deliverAll();
             check();
         }
-        if (planted != Planted.OVER_BOUND && candidates.stream().noneMatch(c -> c.candidate.act(c.clock(now), LEASE, 0) != null)) {
+        if (planted != Planted.OVER_BOUND && candidates.stream().noneMatch(c -> c.candidate.validToken(c.clock(now), LEASE, 0) != null)) {
             breaks("nobody holds it after " + ms + " ms of quiet");
         }
     }
--- a/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
+++ b/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
@@ -6,10 +6,10 @@
 import dappleseam.fleet.membership.MemberEntry;
 import dappleseam.fleet.membership.MembershipStatus;
 import dappleseam.fleet.membership.MembershipConfig;
-import dappleseam.fleet.peers.Letter;
-import dappleseam.fleet.peers.LetterHost;
-import dappleseam.fleet.peers.Sightings;
-import dappleseam.fleet.peers.SignalDesk;
+import dappleseam.fleet.peers.FleetMessage;
+import dappleseam.fleet.peers.MessagingHost;
+import dappleseam.fleet.peers.RouterAdapter;
+import dappleseam.fleet.peers.SignalExchange;
 import dappleseam.fleet.share.Announcement;
 import dappleseam.fleet.share.FleetFeatures;
 import dappleseam.fleet.share.PeerVerdict;
@@ -67,7 +67,7 @@
     public long bytes;
 
     /** One member's place: its process may be killed, stopped and started anew. */
-    public final class Node extends LetterHost {
+    public final class Node extends MessagingHost {
         public final int number;
         public final MemberName name;
         public InetSocketAddress address;
@@ -82,7 +82,7 @@
         public long clockOffMs;
         /** Queries that it takes a second, as its proxy would tell; NaN where that is not known yet. */
         public double ratePerS = Double.NaN;
-        public SignalDesk desk;
+        public SignalExchange desk;
         public double upSince;
         public double downSince = Double.NaN;
         public MembershipStatus standing;
@@ -110,7 +110,7 @@
             };
             subject.begin(now, seeds);
             if (choices.any()) {
-                desk = new SignalDesk(membership(), terms.periodMs(), terms.maxMembers(), Announcement.NO_LOCATION, choices, new Rates(), (to, news) -> send(to, Letter.of(membership().self(), news)),
+                desk = new SignalExchange(membership(), terms.periodMs(), terms.maxMembers(), Announcement.NO_LOCATION, choices, new Rates(), (to, news) -> send(to, FleetMessage.of(membership().self(), news)),
                         random.split(), now);
                 wakeDesk(process);
             }
@@ -127,22 +127,22 @@
             });
         }
 
-        private final class Rates implements Sightings {
+        private final class Rates implements RouterAdapter {
             @Override
-            public Collection<LocalObservation> seen() {
+            public Collection<LocalObservation> observations() {
                 return List.of();
             }
 
             @Override
-            public double ratePerS() {
+            public double queriesPerS() {
                 return ratePerS;
             }
 
             @Override
-            public void say(List<PeerVerdict> words) { }
+            public void onVerdicts(List<PeerVerdict> words) { }
 
             @Override
-            public void stands(double share, double place) { }
+            public void onShare(double share, double place) { }
         }
 
         /** Of its process. */
@@ -197,18 +197,18 @@
         }
 
         @Override
-        protected void send(InetSocketAddress to, Letter letter) {
+        protected void send(InetSocketAddress to, FleetMessage letter) {
             send(to, letter, false);
         }
 
-        private void send(InetSocketAddress to, Letter sent, boolean isCall) {
+        private void send(InetSocketAddress to, FleetMessage sent, boolean isCall) {
             datagrams++;
             bytes += size(sent) + FRAME_BYTES;
             Node peer = at.get(to);
             if (peer == null || !passes(peer)) {
                 return;
             }
-            Letter letter = planted.passed(sent, peer.name, isCall);
+            FleetMessage letter = planted.passed(sent, peer.name, isCall);
             if (letter == null) {
                 return;
             }
@@ -221,9 +221,9 @@
                         return;
                     }
                     Runnable delivery = () -> {
-                        letter.tell(from, peer.subject.heard(now));
-                        if (letter.bulletins() != null && peer.desk != null) {
-                            peer.desk.heard(now, letter.bulletins());
+                        letter.deliver(from, peer.subject.heard(now));
+                        if (letter.announcements() != null && peer.desk != null) {
+                            peer.desk.receive(now, letter.announcements());
                         }
                     };
                     if (!peer.isStopped()) {
@@ -242,7 +242,7 @@
 
         @Override
         public void pingConnected(InetSocketAddress peer, MemberEntry self, long number, MemberName target, List<MemberEntry> news) {
-            send(peer, pingOf(self, number, target, news), true);
+            send(peer, pingMessage(self, number, target, news), true);
             Node there = nodeAt(peer);
             if (at.get(peer) == null && there != null && passes(there)) {
                 int mine = process;
@@ -304,13 +304,13 @@
         }
     }
 
-    private static int size(Letter letter) {
-        int size = letter.self().maxEncodedBytes() + (letter.about() == null ? 0 : letter.about().maxEncodedBytes())
-                + (letter.sums() == null ? 0 : Integer.BYTES * letter.sums().length);
-        for (MemberEntry notice : letter.news()) {
+    private static int size(FleetMessage letter) {
+        int size = letter.sender().maxEncodedBytes() + (letter.subject() == null ? 0 : letter.subject().maxEncodedBytes())
+                + (letter.digests() == null ? 0 : Integer.BYTES * letter.digests().length);
+        for (MemberEntry notice : letter.updates()) {
             size += notice.maxEncodedBytes();
         }
-        return size + (letter.bulletins() == null ? 0 : letter.bulletins().stream().mapToInt(Announcement::maxEncodedBytes).sum());
+        return size + (letter.announcements() == null ? 0 : letter.announcements().stream().mapToInt(Announcement::maxEncodedBytes).sum());
     }
 
     /** Another that goes by that one's name, by mistake; it is not started, and not one of those that have to agree. */
--- a/src/main/java/dappleseam/proxy/FleetLookout.java
+++ b/src/main/java/dappleseam/proxy/FleetLookout.java
@@ -1,6 +1,6 @@
 package dappleseam.proxy;
 
-import dappleseam.fleet.peers.Sightings;
+import dappleseam.fleet.peers.RouterAdapter;
 import dappleseam.fleet.share.PeerEjectionPolicy;
 import dappleseam.fleet.share.PeerEjectionPolicy.NodeState;
 import dappleseam.fleet.share.PeerEjectionPolicy.Ejection;
@@ -21,7 +21,7 @@
 import java.util.function.DoubleSupplier;
 
 /** Between the I/O thread, where queries are, and the fleet's: what this proxy saw of caches goes out, what others say comes in. */
-final class FleetLookout implements Lookout, Sightings {
+final class FleetLookout implements Lookout, RouterAdapter {
     private static final double NANOS_PER_MS = 1e6;
     private static final double MS_PER_S = 1000;
     /** Time in ms over which the rate of queries is smoothed. */
@@ -179,22 +179,22 @@
     }
 
     @Override
-    public Collection<LocalObservation> seen() {
+    public Collection<LocalObservation> observations() {
         return seen;
     }
 
     @Override
-    public double ratePerS() {
+    public double queriesPerS() {
         return ratePerS;
     }
 
     @Override
-    public void stands(double share, double place) {
+    public void onShare(double share, double place) {
         told = new Told(share, place, System.nanoTime() / NANOS_PER_MS);
     }
 
     @Override
-    public void say(List<PeerVerdict> words) {
+    public void onVerdicts(List<PeerVerdict> words) {
         loop.execute(() -> hear(nowMs.getAsDouble(), words));
     }
 }
--- a/src/main/java/dappleseam/proxy/InFleet.java
+++ b/src/main/java/dappleseam/proxy/InFleet.java
@@ -6,10 +6,10 @@
 import dappleseam.fleet.lastlist.LastListTask;
 import dappleseam.fleet.lastlist.ListStore;
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.peers.FleetText;
-import dappleseam.fleet.peers.Identity;
-import dappleseam.fleet.peers.PeerSocket;
-import dappleseam.fleet.peers.Sightings;
+import dappleseam.fleet.peers.FleetStatusWriter;
+import dappleseam.fleet.peers.FleetConfig;
+import dappleseam.fleet.peers.FleetAgent;
+import dappleseam.fleet.peers.RouterAdapter;
 import dappleseam.fleet.share.Announcement;
 import dappleseam.fleet.share.PeerVerdict;
 import dappleseam.fleet.share.LocalObservation;
@@ -29,7 +29,7 @@
 
 /** This proxy's place in its fleet, where the operator's file gives it one. Queries pass it by. */
 final class InFleet implements FleetDesk {
-    static final int DESCRIPTORS = PeerSocket.DESCRIPTORS;
+    static final int DESCRIPTORS = FleetAgent.DESCRIPTORS;
     private static final Logger LOG = System.getLogger(InFleet.class.getName());
     /** Age in ms from which a kept list says nothing any more: caches come and go by the hour. */
     private static final double OLDEST_MS = 3_600_000;
@@ -38,7 +38,7 @@
 
     private final Path file;
     private final ProxyConfig post;
-    private final PeerSocket socket;
+    private final FleetAgent socket;
     private volatile FleetLookout lookout;
     private final boolean isAsked;
     private final ListStore store;
@@ -50,36 +50,36 @@
     InFleet(Path file, ProxyConfig post, Path left, Supplier<NodeList> last) throws IOException {
         this.file = file;
         this.post = post;
-        Identity identity = read();
+        FleetConfig identity = read();
         store = identity.listStore() == null ? null : identity.listStore().startsWith("http:") ? new HttpStore(URI.create(identity.listStore()))
                 : new FolderStore(Path.of(identity.listStore()));
-        isAsked = identity.choices().any();
-        socket = new PeerSocket(identity, Math.max(Announcement.NO_LOCATION, Math.min(Announcement.MAX_LOCATION, post.settings().routerSettings().zone())), post.seed(), left, store == null ? List.of() : List.of(new LastListTask(last, store)), new Relay());
+        isAsked = identity.features().any();
+        socket = new FleetAgent(identity, Math.max(Announcement.NO_LOCATION, Math.min(Announcement.MAX_LOCATION, post.settings().routerSettings().zone())), post.seed(), left, store == null ? List.of() : List.of(new LastListTask(last, store)), new Relay());
     }
 
     /** What the fleet's thread asks for, also before there is a proxy. */
-    private final class Relay implements Sightings {
+    private final class Relay implements RouterAdapter {
         @Override
-        public Collection<LocalObservation> seen() {
-            return lookout == null ? List.of() : lookout.seen();
+        public Collection<LocalObservation> observations() {
+            return lookout == null ? List.of() : lookout.observations();
         }
 
         @Override
-        public double ratePerS() {
-            return lookout == null ? Double.NaN : lookout.ratePerS();
+        public double queriesPerS() {
+            return lookout == null ? Double.NaN : lookout.queriesPerS();
         }
 
         @Override
-        public void stands(double share, double place) {
+        public void onShare(double share, double place) {
             if (lookout != null) {
-                lookout.stands(share, place);
+                lookout.onShare(share, place);
             }
         }
 
         @Override
-        public void say(List<PeerVerdict> words) {
+        public void onVerdicts(List<PeerVerdict> words) {
             if (lookout != null) {
-                lookout.say(words);
+                lookout.onVerdicts(words);
             }
         }
     }
@@ -118,34 +118,34 @@
         socket.start();
     }
 
-    private Identity read() throws IOException {
+    private FleetConfig read() throws IOException {
         return FleetConfigReader.read(file, post.name(), (int) post.settings().routerSettings().proxyCount());
     }
 
     /** The file as it is now, checked; running it takes it into force. */
     Runnable readAgain() throws IOException {
-        Identity now = read();
-        return () -> socket.change(now);
+        FleetConfig now = read();
+        return () -> socket.reconfigure(now);
     }
 
     void end(boolean handOver) {
-        socket.end(handOver);
+        socket.stop(handOver);
     }
 
     @Override
     public String figures() {
-        return FleetText.figures(socket.snapshot());
+        return FleetStatusWriter.metrics(socket.snapshot());
     }
 
     @Override
     public String view() {
-        return FleetText.json(socket.snapshot(), System.nanoTime() / NANOS_PER_MS);
+        return FleetStatusWriter.json(socket.snapshot(), System.nanoTime() / NANOS_PER_MS);
     }
 
     @Override
     public boolean hasEnded(String name) {
         try {
-            socket.endedByWord(new MemberName(name));
+            socket.markEnded(new MemberName(name));
             return true;
         } catch (IllegalArgumentException e) {
             return false;
--- a/src/main/java/dappleseam/site/FleetConfigReader.java
+++ b/src/main/java/dappleseam/site/FleetConfigReader.java
@@ -2,10 +2,10 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import dappleseam.fleet.lease.LeaseTerms;
+import dappleseam.fleet.lease.LeaseConfig;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.MembershipConfig;
-import dappleseam.fleet.peers.Identity;
+import dappleseam.fleet.peers.FleetConfig;
 import dappleseam.fleet.share.FleetFeatures;
 import dappleseam.wire.Address;
 import dappleseam.wire.Json;
@@ -32,7 +32,7 @@
     private FleetConfigReader() {}
 
     /** {@code name} and {@code counted} are the deployment's own, for where the file says nothing. */
-    public static Identity read(Path file, String name, int counted) throws IOException {
+    public static FleetConfig read(Path file, String name, int counted) throws IOException {
         byte[] text;
         try {
             text = Files.readAllBytes(file);
@@ -72,12 +72,12 @@
         MembershipConfig terms = new MembershipConfig(number(root, "period_ms", MembershipConfig.DEFAULT_PERIOD_MS, 20, 60_000), (int) number(root, "counted", counted, 1, 20_000),
                 (int) number(root, "most", MembershipConfig.DEFAULT_MAX_MEMBERS, 2, 20_000), MS_PER_S * number(root, "forget_s", MembershipConfig.DEFAULT_FORGET_AFTER_MS / MS_PER_S, 10, 86_400),
                 true, MembershipConfig.DEFAULT_INDIRECT_PROBES);
-        return new Identity(name(root, "fleet", null).text(), name(root, "name", name), bind, advertise, List.copyOf(seeds), terms,
+        return new FleetConfig(name(root, "fleet", null).text(), name(root, "name", name), bind, advertise, List.copyOf(seeds), terms,
                 path(root, "record"), leases(root.path("leases")), path(root.path("leases"), "voter_file"),
                 listStore(root.path("leases")), new FleetFeatures(flag(root, "signals"), flag(root, "shares"), flag(root, "turns"), flag(root, "subsets")));
     }
 
-    private static LeaseTerms leases(JsonNode leases) {
+    private static LeaseConfig leases(JsonNode leases) {
         if (leases.isMissingNode()) {
             return null;
         }
@@ -103,8 +103,8 @@
         if (voters.stream().distinct().count() < voters.size()) {
             throw new InvalidConfigException("leases.voters", "names one twice");
         }
-        return new LeaseTerms(voters, (int) number(leases, "leases.", "number", 1, 0, 1_000_000),
-                number(leases, "leases.", "lease_ms", LeaseTerms.LEASE_MS, 500, 600_000), number(leases, "leases.", "drift", LeaseTerms.DRIFT, 0, 0.1));
+        return new LeaseConfig(voters, (int) number(leases, "leases.", "number", 1, 0, 1_000_000),
+                number(leases, "leases.", "lease_ms", LeaseConfig.DEFAULT_LEASE_MS, 500, 600_000), number(leases, "leases.", "drift", LeaseConfig.DEFAULT_DRIFT, 0, 0.1));
     }
 
     private static String listStore(JsonNode leases) {
--- a/src/test/java/dappleseam/fleet/lastlist/FolderStoreTest.java
+++ b/src/test/java/dappleseam/fleet/lastlist/FolderStoreTest.java
@@ -79,18 +79,18 @@
         };
         NodeList[] last = {null};
         LastListTask task = new LastListTask(() -> last[0], store);
-        task.act(permit);
+        task.run(permit);
         last[0] = Lists.list(3);
-        task.act(permit);
+        task.run(permit);
         assertThatThrownBy(store::read).as("no permit, no write").isInstanceOf(NoSuchFileException.class);
         token[0] = new Token(2, 2);
-        task.act(permit);
+        task.run(permit);
         assertThat(store.read().token()).isEqualTo(token[0]);
         store.write(new Token(3, 3), 1, 1, Lists.list(4));
-        task.act(permit);
+        task.run(permit);
         assertThat(fenced).as("it is the same list, and not written again").isEmpty();
         last[0] = Lists.list(5);
-        task.act(permit);
+        task.run(permit);
         assertThat(fenced).containsExactly(new Token(3, 3));
         assertThat(store.read().list().path("rev").asLong()).isEqualTo(4);
     }
--- a/src/test/java/dappleseam/fleet/lease/VoterTest.java
+++ b/src/test/java/dappleseam/fleet/lease/VoterTest.java
@@ -20,14 +20,14 @@
     private static final MemberName C = new MemberName("c");
     private static final MemberName ASKS = new MemberName("x");
     private static final LeaseName LEASE = new LeaseName("l");
-    private static final LeaseTerms TERMS = new LeaseTerms(List.of(A, B, C), 1, 1000, 0.01);
+    private static final LeaseConfig TERMS = new LeaseConfig(List.of(A, B, C), 1, 1000, 0.01);
 
     @TempDir
     Path folder;
     private final List<String> said = new ArrayList<>();
 
     /** What a voter says, in words; a candidate's calls are none of its. */
-    private final Answers out = (Answers) java.lang.reflect.Proxy.newProxyInstance(Answers.class.getClassLoader(), new Class<?>[] {Answers.class},
+    private final VoterMessages out = (VoterMessages) java.lang.reflect.Proxy.newProxyInstance(VoterMessages.class.getClassLoader(), new Class<?>[] {VoterMessages.class},
             (proxy, method, args) -> {
                 StringBuilder words = new StringBuilder(method.getName());
                 for (Object arg : args) {
@@ -37,11 +37,11 @@
                 return null;
             });
 
-    private Voter voter(VoterDisk disk, double nowMs) {
+    private Voter voter(VoterStorage disk, double nowMs) {
         return new Voter(A, 1, TERMS, out, disk, nowMs, 0);
     }
 
-    private VoterDisk disk() {
+    private VoterStorage disk() {
         return new VoterFile(folder.resolve("voter"));
     }
 
@@ -50,51 +50,51 @@
     }
 
     private static void known(Voter voter, long start, long before) {
-        voter.recalled(B, start, 1, before);
-        voter.recalled(C, start, 1, before);
+        voter.startRegistered(B, start, 1, before);
+        voter.startRegistered(C, start, 1, before);
     }
 
     @Test
     void withoutADiskItIsSilentForALease() {
         Voter voter = voter(null, 0);
-        voter.prepare(999, ASKS, TERMS.sum(), LEASE, new Token(5, 1));
+        voter.prepare(999, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1));
         assertThat(last()).contains("refused x l 5 ABSTAINS");
-        voter.prepare(1000, ASKS, TERMS.sum(), LEASE, new Token(5, 1));
+        voter.prepare(1000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1));
         assertThat(last()).startsWith("promised x l 5 0");
-        voter.propose(1001, ASKS, TERMS.sum(), LEASE, new Token(5, 1), 0);
-        voter.prepare(1500, B, TERMS.sum(), LEASE, new Token(6, 2));
+        voter.propose(1001, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1), 0);
+        voter.prepare(1500, B, TERMS.fingerprint(), LEASE, new Token(6, 2));
         assertThat(last()).isEqualTo("promised b l 6 5 x 501.0");
-        voter.propose(1501, ASKS, TERMS.sum(), LEASE, new Token(5, 1), 1);
+        voter.propose(1501, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1), 1);
         assertThat(last()).contains("refused x l 5 LOWER 6");
     }
 
     @Test
     void anotherSetIsRefusedByName() {
         Voter voter = voter(null, 0);
-        LeaseTerms other = new LeaseTerms(List.of(A, C, B), 1, 1000, 0.01);
-        voter.ask(2000, ASKS, other.sum(), LEASE);
+        LeaseConfig other = new LeaseConfig(List.of(A, C, B), 1, 1000, 0.01);
+        voter.ask(2000, ASKS, other.fingerprint(), LEASE);
         assertThat(last()).contains("OTHER_SET");
-        assertThat(new LeaseTerms(List.of(A, B, C), 2, 1000, 0.01).sum()).isNotEqualTo(TERMS.sum());
-        assertThat(new LeaseTerms(List.of(A, B, C), 1, 3000, 0.01).sum()).as("a holder that counts longer than its voters").isNotEqualTo(TERMS.sum());
-        assertThat(new LeaseTerms(List.of(A, B, C), 1, 1000, 0).sum()).isNotEqualTo(TERMS.sum());
+        assertThat(new LeaseConfig(List.of(A, B, C), 2, 1000, 0.01).fingerprint()).isNotEqualTo(TERMS.fingerprint());
+        assertThat(new LeaseConfig(List.of(A, B, C), 1, 3000, 0.01).fingerprint()).as("a holder that counts longer than its voters").isNotEqualTo(TERMS.fingerprint());
+        assertThat(new LeaseConfig(List.of(A, B, C), 1, 1000, 0).fingerprint()).isNotEqualTo(TERMS.fingerprint());
     }
 
     @Test
     void afterAnOrderlyEndItSpeaksAtOnceAndKnowsWhatItPromised() throws Exception {
         Voter first = voter(disk(), 0);
         known(first, 0, -1);
-        first.prepare(2000, ASKS, TERMS.sum(), LEASE, new Token(5, 1));
-        first.propose(2000, ASKS, TERMS.sum(), LEASE, new Token(5, 1), 0);
+        first.prepare(2000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1));
+        first.propose(2000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1), 0);
         first.close(2100);
-        first.prepare(2200, ASKS, TERMS.sum(), LEASE, new Token(9, 1));
+        first.prepare(2200, ASKS, TERMS.fingerprint(), LEASE, new Token(9, 1));
         assertThat(last()).as("closed").contains("ABSTAINS");
         Voter second = voter(disk(), 5000);
         assertThat(second.speaks(5000)).isFalse();
         known(second, 1, 0);
         assertThat(second.speaks(5000)).isTrue();
-        second.prepare(5001, B, TERMS.sum(), LEASE, new Token(4, 2));
+        second.prepare(5001, B, TERMS.fingerprint(), LEASE, new Token(4, 2));
         assertThat(last()).contains("refused b l 4 LOWER 5");
-        second.prepare(5001, B, TERMS.sum(), LEASE, new Token(6, 2));
+        second.prepare(5001, B, TERMS.fingerprint(), LEASE, new Token(6, 2));
         assertThat(last()).as("held for a whole lease from the start").isEqualTo("promised b l 6 5 x 999.0");
     }
 
@@ -102,12 +102,12 @@
     void afterACrashItIsSilentThoughItHasAFile() {
         Voter first = voter(disk(), 0);
         known(first, 0, -1);
-        first.prepare(2000, ASKS, TERMS.sum(), LEASE, new Token(5, 1));
+        first.prepare(2000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1));
         Voter second = voter(disk(), 5000);
         known(second, 1, 0);
         assertThat(second.speaks(5999)).isFalse();
         assertThat(second.speaks(6000)).isTrue();
-        second.prepare(6000, B, TERMS.sum(), LEASE, new Token(4, 2));
+        second.prepare(6000, B, TERMS.fingerprint(), LEASE, new Token(4, 2));
         assertThat(last()).as("rounds last").contains("LOWER 5");
     }
 
@@ -145,32 +145,32 @@
 
     @Test
     void whatCannotBeWrittenIsNotPromised() {
-        VoterDisk full = new VoterDisk() {
+        VoterStorage full = new VoterStorage() {
             @Override
-            public Kept read() throws IOException {
+            public VoterState read() throws IOException {
                 throw new IOException("none");
             }
 
             @Override
-            public void write(Kept kept) throws IOException {
+            public void write(VoterState kept) throws IOException {
                 throw new IOException("no space left");
             }
         };
         Voter voter = voter(full, 0);
         known(voter, 0, -1);
-        voter.prepare(2000, ASKS, TERMS.sum(), LEASE, new Token(5, 1));
+        voter.prepare(2000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1));
         assertThat(last()).contains("NOT_WRITTEN");
-        voter.propose(2000, ASKS, TERMS.sum(), LEASE, new Token(5, 1), 0);
+        voter.propose(2000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1), 0);
         assertThat(last()).contains("NOT_WRITTEN");
-        voter.ask(2000, ASKS, TERMS.sum(), LEASE);
-        assertThat(last()).startsWith("told x l 0 0");
+        voter.ask(2000, ASKS, TERMS.fingerprint(), LEASE);
+        assertThat(last()).startsWith("status x l 0 0");
     }
 
     @Test
     void leasesAreBounded() {
         Voter voter = voter(null, 0);
         for (int i = 0; i < Voter.MOST_LEASES + 5; i++) {
-            voter.prepare(2000, ASKS, TERMS.sum(), new LeaseName("l" + i), new Token(5, 1));
+            voter.prepare(2000, ASKS, TERMS.fingerprint(), new LeaseName("l" + i), new Token(5, 1));
         }
         assertThat(voter.leases()).isEqualTo(Voter.MOST_LEASES);
         assertThat(last()).contains("TOO_MANY");
--- a/src/test/java/dappleseam/fleet/peers/EnvelopeTest.java
+++ b/src/test/java/dappleseam/fleet/peers/EnvelopeTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.dataformat.cbor.CBORFactory;
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
-import dappleseam.fleet.lease.Answers;
+import dappleseam.fleet.lease.VoterMessages;
 import dappleseam.fleet.lease.LeaseName;
 import dappleseam.fleet.lease.Token;
 import dappleseam.fleet.membership.Generation;
@@ -14,8 +14,8 @@
 import dappleseam.fleet.membership.MemberEntry;
 import dappleseam.fleet.membership.MemberEntry.State;
 import dappleseam.fleet.membership.MembershipConfig;
-import dappleseam.fleet.peers.Letter.Kind;
-import dappleseam.fleet.peers.Unreadable.Why;
+import dappleseam.fleet.peers.FleetMessage.Kind;
+import dappleseam.fleet.peers.InvalidDatagramException.Why;
 import dappleseam.fleet.share.AnnouncementStore;
 import dappleseam.fleet.share.Announcement;
 import dappleseam.fleet.share.NodeObservation;
@@ -38,7 +38,7 @@
 class EnvelopeTest {
     private static final int HEAD = 6;
 
-    private final Envelope envelope = new Envelope("f");
+    private final MessageCodec envelope = new MessageCodec("f");
     private final SplittableRandom random = new SplittableRandom(1);
 
     private static MemberEntry notice(int number, String name, State state) {
@@ -46,7 +46,7 @@
                 state, Integer.MIN_VALUE);
     }
 
-    private static List<Letter> letters() {
+    private static List<FleetMessage> letters() {
         MemberEntry self = notice(1, "a".repeat(48), State.ALIVE);
         List<MemberEntry> news = new ArrayList<>();
         for (int room = Membership.MAX_UPDATE_BYTES, i = 0; ; i++) {
@@ -59,14 +59,14 @@
         }
         int[] sums = new int[Membership.DIGEST_BUCKETS];
         Arrays.setAll(sums, i -> i * 0x9E3779B1);
-        return List.of(new Letter(Kind.PING, self, Long.MAX_VALUE, self.name(), null, news, false, null),
-                new Letter(Kind.PING, self, 1, null, null, List.of(), false, null), new Letter(Kind.ACK, self, -1, null, self, news, false, null),
-                new Letter(Kind.NACK, self, 1, null, null, List.of(), false, null), new Letter(Kind.ASK, self, 1, null, self, news, false, null),
-                new Letter(Kind.SUMS, self, 0, null, null, List.of(), true, sums), new Letter(Kind.TELL, self, 0, null, null, news, false, null),
-                Letter.of(self, fullest()),
-                Letter.of(self, new Ballot(Ballot.Op.PROMISED, Integer.MIN_VALUE,
-                        new LeaseName("l".repeat(48)), new Token(Token.LAST, Long.MIN_VALUE), Token.NONE, self.name(), 86_400_000, Long.MAX_VALUE, -1,
-                        Answers.Refusal.TOO_MANY)));
+        return List.of(new FleetMessage(Kind.PING, self, Long.MAX_VALUE, self.name(), null, news, false, null),
+                new FleetMessage(Kind.PING, self, 1, null, null, List.of(), false, null), new FleetMessage(Kind.ACK, self, -1, null, self, news, false, null),
+                new FleetMessage(Kind.NACK, self, 1, null, null, List.of(), false, null), new FleetMessage(Kind.ASK, self, 1, null, self, news, false, null),
+                new FleetMessage(Kind.SUMS, self, 0, null, null, List.of(), true, sums), new FleetMessage(Kind.TELL, self, 0, null, null, news, false, null),
+                FleetMessage.of(self, fullest()),
+                FleetMessage.of(self, new LeaseMessage(LeaseMessage.Op.PROMISED, Integer.MIN_VALUE,
+                        new LeaseName("l".repeat(48)), new Token(Token.MAX_ROUND, Long.MIN_VALUE), Token.NONE, self.name(), 86_400_000, Long.MAX_VALUE, -1,
+                        VoterMessages.Refusal.TOO_MANY)));
     }
 
     private static List<Announcement> fullest() {
@@ -91,34 +91,34 @@
 
     private Why why(byte[] bytes, int length) {
         try {
-            envelope.read(bytes, length);
+            envelope.decode(bytes, length);
             return null;
-        } catch (Unreadable e) {
+        } catch (InvalidDatagramException e) {
             return e.why();
         }
     }
 
     @Test
     void whatGoesOutComesInAndFitsEvenAtItsLongest() throws Exception {
-        for (Letter letter : letters()) {
-            byte[] bytes = envelope.write(letter);
-            assertThat(bytes.length).isLessThanOrEqualTo(Envelope.LONGEST);
-            Letter read = envelope.read(bytes, bytes.length);
+        for (FleetMessage letter : letters()) {
+            byte[] bytes = envelope.encode(letter);
+            assertThat(bytes.length).isLessThanOrEqualTo(MessageCodec.LONGEST);
+            FleetMessage read = envelope.decode(bytes, bytes.length);
             assertThat(read).usingRecursiveComparison().isEqualTo(letter);
-            assertThat(letter.news().stream().mapToInt(MemberEntry::maxEncodedBytes).sum()).as("what is reckoned with").isLessThanOrEqualTo(Membership.MAX_UPDATE_BYTES);
+            assertThat(letter.updates().stream().mapToInt(MemberEntry::maxEncodedBytes).sum()).as("what is reckoned with").isLessThanOrEqualTo(Membership.MAX_UPDATE_BYTES);
         }
     }
 
     @Test
     void eachKindOfUnreadableIsTold() {
-        byte[] bytes = envelope.write(letters().get(1));
-        byte[] other = new Envelope("g").write(letters().get(1));
+        byte[] bytes = envelope.encode(letters().get(1));
+        byte[] other = new MessageCodec("g").encode(letters().get(1));
         byte[] newer = bytes.clone();
         newer[1]++;
         byte[] damaged = bytes.clone();
         damaged[20] ^= 1;
         assertThat(why(bytes, HEAD)).isEqualTo(Why.SIZE);
-        assertThat(why(new byte[Envelope.LONGEST + 1], Envelope.LONGEST + 1)).isEqualTo(Why.SIZE);
+        assertThat(why(new byte[MessageCodec.LONGEST + 1], MessageCodec.LONGEST + 1)).isEqualTo(Why.SIZE);
         assertThat(why(newer, newer.length)).isEqualTo(Why.VERSION);
         assertThat(why(damaged, damaged.length)).isEqualTo(Why.DAMAGED);
         assertThat(why(other, other.length)).isEqualTo(Why.FOREIGN);
@@ -138,8 +138,8 @@
                 cbor.writeEndArray();
             }
         }
-        byte[] bytes = Arrays.copyOf(out.toByteArray(), Envelope.LONGEST);
-        System.arraycopy(envelope.write(letters().get(1)), 0, bytes, 0, 2);
+        byte[] bytes = Arrays.copyOf(out.toByteArray(), MessageCodec.LONGEST);
+        System.arraycopy(envelope.encode(letters().get(1)), 0, bytes, 0, 2);
         assertThat(why(sealed(bytes, bytes.length), bytes.length)).isEqualTo(Why.MALFORMED);
     }
 
@@ -148,7 +148,7 @@
         assertThatThrownBy(() -> new Generation(Generation.MAX_START + 1, 0)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new Generation(-1, 0)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new MemberName("a b")).isInstanceOf(IllegalArgumentException.class);
-        MemberEntry self = letters().get(0).self();
+        MemberEntry self = letters().get(0).sender();
         assertThatThrownBy(() -> new MemberEntry(self.name(), self.address(), self.generation(), -1, State.ALIVE, 0)).isInstanceOf(IllegalArgumentException.class);
     }
 
@@ -160,7 +160,7 @@
         Membership told = fleet.node(0).membership();
         Set<Why> seen = EnumSet.noneOf(Why.class);
         int read = 0;
-        List<byte[]> sound = letters().stream().map(envelope::write).toList();
+        List<byte[]> sound = letters().stream().map(envelope::encode).toList();
         for (int i = 0; i < 60_000; i++) {
             byte[] bytes = sound.get(i % sound.size()).clone();
             int length = bytes.length;
@@ -178,9 +178,9 @@
                 }
             }
             try {
-                envelope.read(sealed(bytes, length), length).tell(SimulatedFleet.address(9), told.receiver(i));
+                envelope.decode(sealed(bytes, length), length).deliver(SimulatedFleet.address(9), told.receiver(i));
                 read++;
-            } catch (Unreadable e) {
+            } catch (InvalidDatagramException e) {
                 seen.add(e.why());
             }
         }
--- a/src/test/java/dappleseam/fleet/peers/LeaseDeskTest.java
+++ b/src/test/java/dappleseam/fleet/peers/LeaseDeskTest.java
@@ -4,9 +4,9 @@
 
 import dappleseam.fleet.lease.FleetTask;
 import dappleseam.fleet.lease.LeaseName;
-import dappleseam.fleet.lease.LeaseTerms;
+import dappleseam.fleet.lease.LeaseConfig;
 import dappleseam.fleet.lease.Token;
-import dappleseam.fleet.lease.VoterDisk;
+import dappleseam.fleet.lease.VoterStorage;
 import dappleseam.fleet.membership.MembershipHost;
 import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
@@ -40,27 +40,27 @@
         start(task, null);
     }
 
-    private void start(FleetTask task, VoterDisk disk) {
-        double now = PeerSocket.nowMs();
+    private void start(FleetTask task, VoterStorage disk) {
+        double now = FleetAgent.nowMs();
         MemberEntry self = new MemberEntry(SELF, SimulatedFleet.address(1), new Generation(1, 1), 0, MemberEntry.State.ALIVE, 0);
         MembershipHost nobody = (MembershipHost) java.lang.reflect.Proxy.newProxyInstance(MembershipHost.class.getClassLoader(), new Class<?>[] {MembershipHost.class},
                 (proxy, method, args) -> null);
         Membership membership = new Membership(MembershipConfig.defaults(1), self, nobody, new SplittableRandom(1), now);
         membership.begin(now, List.of());
-        desk = new LeaseDesk(membership, new LeaseTerms(List.of(SELF), 1, LEASE_MS, 0.01), disk, List.of(task), (to, ballot) -> { }, posted::add,
+        desk = new LeaseDesk(membership, new LeaseConfig(List.of(SELF), 1, LEASE_MS, 0.01), disk, List.of(task), (to, ballot) -> { }, posted::add,
                 new ViewRecord(null), new SplittableRandom(1), now);
     }
 
     /** Runs the desk on this thread, as the fleet's would, until that holds. */
     private void until(BooleanSupplier what) throws InterruptedException {
-        double most = PeerSocket.nowMs() + PATIENCE_MS;
+        double most = FleetAgent.nowMs() + PATIENCE_MS;
         while (!what.getAsBoolean()) {
-            assertThat(PeerSocket.nowMs()).as("in time").isLessThan(most);
+            assertThat(FleetAgent.nowMs()).as("in time").isLessThan(most);
             for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
                 task.run();
             }
-            if (PeerSocket.nowMs() >= desk.wakeAt()) {
-                desk.woken(PeerSocket.nowMs());
+            if (FleetAgent.nowMs() >= desk.wakeAt()) {
+                desk.woken(FleetAgent.nowMs());
             }
             Thread.sleep(2);
         }
@@ -77,12 +77,12 @@
         }
 
         @Override
-        public double everyMs() {
+        public double intervalMs() {
             return 5;
         }
 
         @Override
-        public void act(Permit permit) throws Exception {
+        public void run(Permit permit) throws Exception {
             acts.act(permit);
         }
     }
@@ -92,11 +92,11 @@
         Queue<Token> tokens = new ConcurrentLinkedQueue<>();
         start(new Task(permit -> tokens.add(permit.token(1))));
         until(() -> tokens.size() > 5);
-        double from = PeerSocket.nowMs();
-        until(() -> PeerSocket.nowMs() > from + 3 * LEASE_MS);
+        double from = FleetAgent.nowMs();
+        until(() -> FleetAgent.nowMs() > from + 3 * LEASE_MS);
         assertThat(tokens.stream().distinct()).hasSize(1).doesNotContainNull();
         assertThat(desk.held()).hasSize(1);
-        desk.end(PeerSocket.nowMs());
+        desk.end(FleetAgent.nowMs());
         assertThat(desk.held()).isEmpty();
     }
 
@@ -112,7 +112,7 @@
         until(() -> desk.held().isEmpty());
         until(() -> acts.get() > 5);
         assertThat(desk.held()).hasSize(1);
-        desk.end(PeerSocket.nowMs());
+        desk.end(FleetAgent.nowMs());
     }
 
     @Test
@@ -124,8 +124,8 @@
                 return;
             }
             hangs.countDown();
-            double until = PeerSocket.nowMs() + 4 * LEASE_MS;
-            while (PeerSocket.nowMs() < until) {
+            double until = FleetAgent.nowMs() + 4 * LEASE_MS;
+            while (FleetAgent.nowMs() < until) {
                 Thread.onSpinWait(); // deaf to interrupts
             }
             after.add(String.valueOf(permit.token(0)));
@@ -134,13 +134,13 @@
         until(() -> desk.held().isEmpty());
         until(() -> !after.isEmpty());
         assertThat(after).containsExactly("null");
-        desk.end(PeerSocket.nowMs());
+        desk.end(FleetAgent.nowMs());
     }
 
     @Test
     void aTaskThatIsFencedStopsAndAnotherTokenIsAboveTheOneSeen() throws Exception {
         Queue<Token> tokens = new ConcurrentLinkedQueue<>();
-        Token seen = new Token(Token.LAST / 2, 7);
+        Token seen = new Token(Token.MAX_ROUND / 2, 7);
         start(new Task(permit -> {
             Token token = permit.token(0);
             if (token != null) {
@@ -151,7 +151,7 @@
             }
         }));
         until(() -> tokens.stream().anyMatch(seen::isBelow));
-        desk.end(PeerSocket.nowMs());
+        desk.end(FleetAgent.nowMs());
     }
 
     /** A disk that takes long holds up its voter's answers, and nothing else on the fleet's thread. */
@@ -160,14 +160,14 @@
         CountDownLatch slow = new CountDownLatch(1);
         AtomicInteger writes = new AtomicInteger();
         Queue<Token> tokens = new ConcurrentLinkedQueue<>();
-        start(new Task(permit -> tokens.add(permit.token(1))), new VoterDisk() {
+        start(new Task(permit -> tokens.add(permit.token(1))), new VoterStorage() {
             @Override
-            public Kept read() throws IOException {
+            public VoterState read() throws IOException {
                 throw new NoSuchFileException("none");
             }
 
             @Override
-            public void write(Kept kept) throws IOException {
+            public void write(VoterState kept) throws IOException {
                 try {
                     if (writes.getAndIncrement() > 0 && !slow.await(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
                         throw new IOException("the fleet's thread never came to say so");
@@ -181,6 +181,6 @@
         assertThat(tokens).isEmpty();
         slow.countDown();
         until(() -> !tokens.isEmpty());
-        desk.end(PeerSocket.nowMs());
+        desk.end(FleetAgent.nowMs());
     }
 }
--- a/src/test/java/dappleseam/fleet/peers/SignalDeskTest.java
+++ b/src/test/java/dappleseam/fleet/peers/SignalDeskTest.java
@@ -27,42 +27,42 @@
     private final List<Double> shares = new ArrayList<>();
     private double now = 1000;
 
-    private SignalDesk desk(FleetFeatures choices) {
+    private SignalExchange desk(FleetFeatures choices) {
         MemberEntry self = new MemberEntry(new MemberName("a"), SimulatedFleet.address(1), new Generation(1, 1), 0, MemberEntry.State.ALIVE, 0);
         MembershipHost nobody = (MembershipHost) java.lang.reflect.Proxy.newProxyInstance(MembershipHost.class.getClassLoader(), new Class<?>[] {MembershipHost.class},
                 (proxy, method, args) -> null);
         Membership membership = new Membership(MembershipConfig.defaults(4), self, nobody, new SplittableRandom(1), now);
         membership.begin(now, List.of());
-        Sightings seen = new Sightings() {
+        RouterAdapter seen = new RouterAdapter() {
             @Override
-            public Collection<LocalObservation> seen() {
+            public Collection<LocalObservation> observations() {
                 return List.of(new LocalObservation(new NodeId(7), 5, true, now, NEVER), new LocalObservation(ListRetrySchedule.LIST_SERVICE, 0, true, now, NEVER));
             }
 
             @Override
-            public double ratePerS() {
+            public double queriesPerS() {
                 return 10;
             }
 
             @Override
-            public void say(List<PeerVerdict> words) { }
+            public void onVerdicts(List<PeerVerdict> words) { }
 
             @Override
-            public void stands(double share, double place) {
+            public void onShare(double share, double place) {
                 shares.add(share);
             }
         };
-        return new SignalDesk(membership, 1000, 100, 2, choices, seen, (to, news) -> { }, new SplittableRandom(1), now);
+        return new SignalExchange(membership, 1000, 100, 2, choices, seen, (to, news) -> { }, new SplittableRandom(1), now);
     }
 
-    private void look(SignalDesk desk) {
+    private void look(SignalExchange desk) {
         now += 300;
         desk.woken(now);
     }
 
     @Test
     void aChoiceThatIsTurnedOffEndsAtOnce() {
-        SignalDesk desk = desk(new FleetFeatures(true, true, false, false));
+        SignalExchange desk = desk(new FleetFeatures(true, true, false, false));
         look(desk);
         assertThat(shares).singleElement().satisfies(share -> assertThat(share).isBetween(0.0, 0.25 + 1e-9));
         assertThat(desk.said()).isNotNull();
@@ -78,7 +78,7 @@
 
     @Test
     void sharesAloneSayNothingOfCaches() {
-        SignalDesk desk = desk(new FleetFeatures(false, true, false, false));
+        SignalExchange desk = desk(new FleetFeatures(false, true, false, false));
         look(desk);
         assertThat(desk.said()).isNull();
     }
--- a/src/test/java/dappleseam/proxy/FleetLookoutTest.java
+++ b/src/test/java/dappleseam/proxy/FleetLookoutTest.java
@@ -44,7 +44,7 @@
     private final FleetLookout lookout = new FleetLookout(1, orders::addAll, whole, Runnable::run, () -> now);
 
     private LocalObservation one() {
-        return lookout.seen().stream().filter(s -> s.node().equals(ONE)).findFirst().orElseThrow();
+        return lookout.observations().stream().filter(s -> s.node().equals(ONE)).findFirst().orElseThrow();
     }
 
     private void look(Map<NodeId, Double> caches, NodeHealth... learnt) {
@@ -55,7 +55,7 @@
     @Test
     void whatIsToldOfItsShareBecomesTheProxysByStepsUpAndSoonDown() {
         look(CACHES);
-        lookout.stands(0.05, 0.3);
+        lookout.onShare(0.05, 0.3);
         look(CACHES);
         now += 500;
         look(CACHES);
@@ -64,7 +64,7 @@
         look(CACHES);
         assertThat(proxies).isCloseTo(20, within(1e-9));
         assertThat(place).isEqualTo(0.3);
-        lookout.stands(0.2, 0.3);
+        lookout.onShare(0.2, 0.3);
         for (int seconds = 1; seconds <= 12; seconds++) {
             now += 1000;
             double before = proxies;
@@ -72,7 +72,7 @@
             assertThat(before / proxies).isBetween(1.0, 1.2 + 1e-9);
         }
         assertThat(proxies).isCloseTo(5, within(0.11));
-        lookout.stands(Double.NaN, Double.NaN); // turned off
+        lookout.onShare(Double.NaN, Double.NaN); // turned off
         for (int seconds = 1; seconds <= 12; seconds++) {
             now += 1000;
             look(CACHES);
@@ -87,16 +87,16 @@
         assertThat(lookout.listAgainMs(now, 300)).isEqualTo(300);
         lookout.listCalled(now, false);
         look(CACHES);
-        assertThat(lookout.seen()).anyMatch(s -> s.node().equals(ListRetrySchedule.LIST_SERVICE) && s.failing());
-        lookout.say(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.FAILS, 4, 0, 7)));
+        assertThat(lookout.observations()).anyMatch(s -> s.node().equals(ListRetrySchedule.LIST_SERVICE) && s.failing());
+        lookout.onVerdicts(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.FAILS, 4, 0, 7)));
         assertThat(lookout.listAgainMs(now, 300)).isEqualTo(900);
-        lookout.say(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.WORKS, 3, 1, 8)));
+        lookout.onVerdicts(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.WORKS, 3, 1, 8)));
         assertThat(calls).containsExactly(800.0);
         assertThat(lookout.listAgainMs(now, 300)).isEqualTo(300);
         lookout.listCalled(now, true);
-        lookout.say(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.WORKS, 3, 1, 8)));
+        lookout.onVerdicts(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.WORKS, 3, 1, 8)));
         assertThat(calls).as("its own was answered").hasSize(1);
-        lookout.say(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.FAILS, 4, 0, 9000)));
+        lookout.onVerdicts(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.FAILS, 4, 0, 9000)));
         assertThat(lookout.listAgainMs(now, 300)).as("bounded").isEqualTo(4300);
         assertThat(lookout.listAgainMs(now + 6000, 300)).as("news that has grown old").isEqualTo(300);
     }
@@ -127,7 +127,7 @@
     @Test
     void whatItDoesByHearsayIsNoSightOfItsOwn() {
         look(CACHES);
-        lookout.say(List.of(new PeerVerdict(ONE, 5, VerdictKind.FAILS, 2, 0, 0)));
+        lookout.onVerdicts(List.of(new PeerVerdict(ONE, 5, VerdictKind.FAILS, 2, 0, 0)));
         assertThat(orders).hasSize(1).allMatch(o -> o.ejectedUntilMs() > now);
         look(CACHES, orders.get(0));
         assertThat(one().failing()).isFalse();
@@ -138,7 +138,7 @@
     @Test
     void aWordOnAnotherProcessOrAnUnknownCacheDoesNothing() {
         look(CACHES);
-        lookout.say(List.of(new PeerVerdict(ONE, 6, VerdictKind.FAILS, 2, 0, 0), new PeerVerdict(new NodeId(9), 5, VerdictKind.FAILS, 2, 0, 0)));
+        lookout.onVerdicts(List.of(new PeerVerdict(ONE, 6, VerdictKind.FAILS, 2, 0, 0), new PeerVerdict(new NodeId(9), 5, VerdictKind.FAILS, 2, 0, 0)));
         assertThat(orders).isEmpty();
     }
 }
--- a/src/test/java/dappleseam/proxy/InFleetTest.java
+++ b/src/test/java/dappleseam/proxy/InFleetTest.java
@@ -7,8 +7,8 @@
 import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.MemberEntry;
-import dappleseam.fleet.peers.Envelope;
-import dappleseam.fleet.peers.Letter;
+import dappleseam.fleet.peers.MessageCodec;
+import dappleseam.fleet.peers.FleetMessage;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -85,7 +85,7 @@
         Sockets.awaitAnswer(sockets.control, "GET /control/counters", "app_fleet_joined 1\n");
         SplittableRandom random = new SplittableRandom(1);
         MemberEntry self = new MemberEntry(new MemberName("x"), new InetSocketAddress("127.0.0.1", 9), new Generation(1, 1), 0, MemberEntry.State.ALIVE, 0);
-        byte[] sound = new Envelope("f").write(new Letter(Letter.Kind.NACK, self, 1, null, null, List.of(), false, null));
+        byte[] sound = new MessageCodec("f").encode(new FleetMessage(FleetMessage.Kind.NACK, self, 1, null, null, List.of(), false, null));
         try (DatagramSocket from = new DatagramSocket()) {
             for (int i = 0; i < 6000; i++) {
                 byte[] bytes = new byte[1 + random.nextInt(1600)];
--- a/src/test/java/dappleseam/site/FleetFileReaderTest.java
+++ b/src/test/java/dappleseam/site/FleetFileReaderTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import dappleseam.fleet.peers.Identity;
+import dappleseam.fleet.peers.FleetConfig;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
@@ -17,17 +17,17 @@
     @TempDir
     Path folder;
 
-    private Identity read(String text) throws Exception {
+    private FleetConfig read(String text) throws Exception {
         return FleetConfigReader.read(Files.writeString(folder.resolve("fleet.json"), text), "n1", 7);
     }
 
     @Test
     void theExampleIsSoundAndLeavesDefaults() throws Exception {
-        Identity read = FleetConfigReader.read(SHIPPED, "n1", 7);
+        FleetConfig read = FleetConfigReader.read(SHIPPED, "n1", 7);
         assertThat(read.name().text()).isEqualTo("n1");
-        assertThat(read.terms().initialFleetSize()).isEqualTo(7);
+        assertThat(read.membershipConfig().initialFleetSize()).isEqualTo(7);
         assertThat(read.advertise()).isEqualTo(read.bind());
-        assertThat(read.record()).isNull();
+        assertThat(read.recordFile()).isNull();
     }
 
     @ParameterizedTest
