--- a/src/main/java/dappleseam/diagnostics/ThreadTimes.java
+++ b/src/main/java/dappleseam/diagnostics/ThreadTimes.java
@@ -13,7 +13,7 @@
     private static final ThreadTimes UNKNOWN = new ThreadTimes(Double.NaN, Double.NaN);
 
     /** Of the thread that calls; NaN where the system does not tell. */
-    public static ThreadTimes ofCaller() {
+    public static ThreadTimes ofCurrentThread() {
         try {
             return parse(Files.readString(OF_CALLER, StandardCharsets.US_ASCII));
         } catch (IOException | RuntimeException e) {
--- a/src/main/java/dappleseam/lab/Metronome.java
+++ b/src/main/java/dappleseam/lab/Metronome.java
@@ -20,7 +20,7 @@
     @Override
     public void run() {
         try {
-            ThreadTimes times = ThreadTimes.ofCaller();
+            ThreadTimes times = ThreadTimes.ofCurrentThread();
             double collected = collectedMs();
             while (true) {
                 double before = ledger.nowMs();
@@ -29,7 +29,7 @@
                 double lateMs = now - before - BEAT_MS;
                 ledger.late(lateMs);
                 if (lateMs >= Ledger.HELD_UP_MS) {
-                    ThreadTimes timesNow = ThreadTimes.ofCaller();
+                    ThreadTimes timesNow = ThreadTimes.ofCurrentThread();
                     double collectedNow = collectedMs();
                     ledger.heldUps.add(new Ledger.HeldUp(now, lateMs, timesNow.since(times).waitedMs(), collectedNow - collected));
                     times = timesNow;
--- a/src/main/java/dappleseam/lab/emulator/Peer.java
+++ b/src/main/java/dappleseam/lab/emulator/Peer.java
@@ -35,7 +35,7 @@
         ServerSocket listening = server;
         Blocking.start("accept", () -> {
             while (!listening.isClosed()) {
-                ThreadTimes before = ThreadTimes.ofCaller();
+                ThreadTimes before = ThreadTimes.ofCurrentThread();
                 Socket socket = listening.accept();
                 long openedNanos = TimedInput.nanosLess(before);
                 socket.setTcpNoDelay(true);
--- a/src/main/java/dappleseam/lab/peer/TimedInput.java
+++ b/src/main/java/dappleseam/lab/peer/TimedInput.java
@@ -25,7 +25,7 @@
 
     /** Now, less what the calling thread has waited for a processor since those times were taken. */
     public static long nanosLess(ThreadTimes before) {
-        double waitedMs = ThreadTimes.ofCaller().since(before).waitedMs();
+        double waitedMs = ThreadTimes.ofCurrentThread().since(before).waitedMs();
         return System.nanoTime() - (Double.isNaN(waitedMs) ? 0 : Math.round(waitedMs * NANOS_PER_MS));
     }
 
@@ -51,7 +51,7 @@
         @Override
         public int read(byte[] bytes, int from, int length) throws IOException {
             boolean isThere = available() > 0;
-            ThreadTimes before = ThreadTimes.ofCaller();
+            ThreadTimes before = ThreadTimes.ofCurrentThread();
             int count = in.read(bytes, from, length);
             receivedNanos = isThere ? emptyNanos : Math.max(emptyNanos, nanosLess(before));
             emptyNanos = receivedNanos; // what comes next comes after this
--- a/src/main/java/dappleseam/proxy/EventLoopMonitor.java
+++ b/src/main/java/dappleseam/proxy/EventLoopMonitor.java
@@ -23,7 +23,7 @@
         if (!isHeldUp && nowMs < sampledAtMs + SAMPLE_MS) {
             return;
         }
-        ThreadTimes times = ThreadTimes.ofCaller();
+        ThreadTimes times = ThreadTimes.ofCurrentThread();
         if (isHeldUp && sampled != null) {
             ThreadTimes spent = times.since(sampled);
             LOG.log(Level.WARNING, "the I/O thread is {0} ms late: of the last {1} ms it worked {2} and waited {3} for a processor", Math.round(nowMs - dueMs),
--- a/src/test/java/dappleseam/diagnostics/ThreadTimesTest.java
+++ b/src/test/java/dappleseam/diagnostics/ThreadTimesTest.java
@@ -14,12 +14,12 @@
 
     @Test
     void workOfTheCallerIsCounted() {
-        ThreadTimes before = ThreadTimes.ofCaller();
+        ThreadTimes before = ThreadTimes.ofCurrentThread();
         long until = System.nanoTime() + 20_000_000;
         while (System.nanoTime() < until) {
             Thread.onSpinWait();
         }
-        ThreadTimes spent = ThreadTimes.ofCaller().since(before);
+        ThreadTimes spent = ThreadTimes.ofCurrentThread().since(before);
         assertThat(spent.ranMs() + spent.waitedMs()).isGreaterThan(15);
     }
 }
