--- a/src/main/java/dappleseam/clients/ClientConnection.java
+++ b/src/main/java/dappleseam/clients/ClientConnection.java
@@ -1,11 +1,11 @@
 package dappleseam.clients;
 
 import dappleseam.query.Command;
-import dappleseam.wire.Chain;
-import dappleseam.wire.Large;
+import dappleseam.wire.BufferChain;
+import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
-import dappleseam.wire.Progress;
+import dappleseam.wire.IoLoop;
+import dappleseam.wire.ParseStatus;
 import dappleseam.wire.RespMessage;
 import dappleseam.wire.RespReader;
 import java.nio.ByteBuffer;
@@ -16,7 +16,7 @@
 import org.xnio.StreamConnection;
 
 /** One client's connection: commands in, answers out in the order of the commands. */
-final class ClientConnection implements Link.Events {
+final class ClientConnection implements Link.Listener {
     /** Commands owed an answer, and bytes the client has not taken, at which nothing more is read from it. */
     private static final int MOST_OWED = 128;
     private static final long MOST_UNREAD = 128 << 10;
@@ -43,18 +43,18 @@
             Comparator.comparingInt(ClientConnection::use).thenComparingDouble(c -> c.quietSince);
 
     /** A query that has come, and what it is owed. */
-    private record Asked(Command command, Owed owed) {}
+    private record Asked(Command command, PendingReply owed) {}
 
-    private final Loop loop;
-    private final Queries queries;
-    private final ClientFront front;
+    private final IoLoop loop;
+    private final QueryHandler queries;
+    private final ClientFrontend front;
     private final RespReader reader;
     private final Link link;
-    private final ArrayDeque<Owed> owed = new ArrayDeque<>();
+    private final ArrayDeque<PendingReply> owed = new ArrayDeque<>();
     /** Read, and not handed on yet: an end may be right behind them. */
     private final ArrayDeque<Asked> asked = new ArrayDeque<>();
-    private Loop.Deadline stallWatch;
-    private Loop.Deadline silence = () -> { };
+    private IoLoop.PendingTask stallWatch;
+    private IoLoop.PendingTask silence = () -> { };
     /** When the last answer was written, at first when the connection came. */
     private double quietSince;
     /** When the command began that is not whole yet, and when its last part came. */
@@ -68,7 +68,7 @@
     private double heldSince = Double.NaN;
     /** Since when more waits than can be read ahead, of which nobody knows how old it is; NaN where it does not. */
     private double blindSince = Double.NaN;
-    private Loop.Deadline lookAgain = () -> { };
+    private IoLoop.PendingTask lookAgain = () -> { };
     /** Queries are being handed on, some of which may be answered at once. */
     private boolean handsOn;
     /** How long the commands that are read now may have waited. */
@@ -76,12 +76,12 @@
     /** Nothing more is taken; the connection ends once what is owed is written. */
     private boolean last;
 
-    ClientConnection(Loop loop, StreamConnection connection, Queries queries, ClientFront front) {
+    ClientConnection(IoLoop loop, StreamConnection connection, QueryHandler queries, ClientFrontend front) {
         this.loop = loop;
         this.queries = queries;
         this.front = front;
-        reader = new RespReader(loop.pool(), Large.LONGEST);
-        link = loop.link(connection, this);
+        reader = new RespReader(loop.pool(), LargeValueHandler.MAX_BYTES);
+        link = loop.createLink(connection, this);
         quietSince = loop.nowMs();
     }
 
@@ -90,7 +90,7 @@
         this.slot = slot;
         waitedMs = mayHaveWaitedMs;
         link.resume();
-        link.readable();
+        link.readAvailable();
         waitedMs = 0;
         watchForSilence();
     }
@@ -99,8 +99,8 @@
     private void watchForSilence() {
         if (!link.isClosed()) {
             double now = loop.nowMs();
-            silence = loop.at(Math.min(Math.max(silentAt(), now + SILENT_MS / 10), now + IDLE_MS), () -> {
-                link.readable();
+            silence = loop.scheduleAt(Math.min(Math.max(silentAt(), now + SILENT_MS / 10), now + IDLE_MS), () -> {
+                link.readAvailable();
                 if (!link.isClosed() && silentAt() <= loop.nowMs()) {
                     closeSilent();
                 }
@@ -127,13 +127,13 @@
     private void refuse(String line) {
         takeNothingBehind();
         reader.release();
-        oweOne().line(line);
+        oweOne().replyLine(line);
     }
 
     /** What is read from here on is dropped. Where it goes on and on, the queries before it are answered all the same. */
     private void takeNothingBehind() {
         last = true;
-        loop.at(loop.nowMs() + BUFFERS_AGAIN_MS, this::rejectAsked);
+        loop.scheduleAt(loop.nowMs() + BUFFERS_AGAIN_MS, this::rejectAsked);
     }
 
     @Override
@@ -141,11 +141,11 @@
         while (bytes.hasRemaining() && !last && !link.isClosed()) {
             heardAt = loop.nowMs();
             begunAt = reader.isBetweenMessages() ? heardAt : begunAt;
-            Progress progress = reader.read(bytes);
-            if (progress == Progress.BAD) {
+            ParseStatus progress = reader.read(bytes);
+            if (progress == ParseStatus.MALFORMED) {
                 refuse("-ERR Protocol error");
-            } else if (progress == Progress.DONE) {
-                command(reader.take());
+            } else if (progress == ParseStatus.DONE) {
+                command(reader.takeMessage());
                 giveGrantBack();
             }
         }
@@ -154,12 +154,12 @@
 
     /** Guards the buffers against more long values than they can hold: who has no grant is not read. */
     private boolean lacksGrant() {
-        if (granted == 0 && reader.bulkLeft() >= Large.FROM) {
+        if (granted == 0 && reader.bulkLeft() >= LargeValueHandler.MIN_BYTES) {
             granted = front.grant(reader.bulkLeft());
             begunAt = loop.nowMs();
             heardAt = begunAt; // it is not the client that keeps us waiting
         }
-        return granted == 0 && reader.bulkLeft() >= Large.FROM;
+        return granted == 0 && reader.bulkLeft() >= LargeValueHandler.MIN_BYTES;
     }
 
     private void giveGrantBack() {
@@ -167,40 +167,40 @@
         granted = 0;
     }
 
-    private Owed oweOne() {
-        Owed one = new Owed(this);
+    private PendingReply oweOne() {
+        PendingReply one = new PendingReply(this);
         owed.add(one);
         return one;
     }
 
     private void command(RespMessage message) {
-        Owed one = oweOne();
-        Chain first = message.sign == '*' ? message.bulk(0) : null;
+        PendingReply one = oweOne();
+        BufferChain first = message.type == '*' ? message.bulk(0) : null;
         String verb = first == null || first.size() > 16 ? "" : first.text().toUpperCase(Locale.ROOT);
         switch (verb) {
             case "C.GET" -> query(message, 4, one);
             case "C.SET" -> query(message, 5, one);
-            case "PING" -> one.line(front.sendsAway() ? "-ERR out of service" : "+PONG");
-            case "CLIENT", "SELECT" -> one.line("+OK");
+            case "PING" -> one.replyLine(front.isOutOfService() ? "-ERR out of service" : "+PONG");
+            case "CLIENT", "SELECT" -> one.replyLine("+OK");
             case "QUIT" -> {
                 takeNothingBehind();
-                one.line("+OK");
+                one.replyLine("+OK");
             }
-            default -> one.line("-ERR unknown command");
+            default -> one.replyLine("-ERR unknown command");
         }
         message.release();
     }
 
-    private void query(RespMessage message, int parts, Owed one) {
+    private void query(RespMessage message, int parts, PendingReply one) {
         String key = text(message, 1, 128);
         String id = text(message, 2, 128);
         String facts = text(message, 3, LONGEST_FACTS);
         if (message.bulks.size() != parts || message.bulk(parts - 1) == null) {
-            one.line("-ERR wrong number of arguments");
+            one.replyLine("-ERR wrong number of arguments");
         } else if (!NAME.matcher(key).matches() || !NAME.matcher(id).matches()) {
-            one.line("-ERR malformed key or id");
+            one.replyLine("-ERR malformed key or id");
         } else if (!FACTS.matcher(facts).matches()) {
-            one.line("-ERR malformed list of names and values");
+            one.replyLine("-ERR malformed list of names and values");
         } else {
             Command command = new Command(key, id, facts, parts == 5 ? message.takeBulk(4) : null);
             if (!hasAsked) {
@@ -213,9 +213,9 @@
 
     /** Guards nodes against queries of a client that has closed behind them, as one that sends much at once and goes. */
     @Override
-    public void caughtUp() {
+    public void readComplete() {
         handsOn = true;
-        if (link.isBlind()) {
+        if (link.hasUnreadInput()) {
             rejectAsked();
         } else {
             takeAsked();
@@ -228,7 +228,7 @@
         blindSince = Double.NaN;
         while (!asked.isEmpty()) {
             Asked next = asked.poll();
-            next.owed.belongsTo(queries.take(next.command, next.owed, waited));
+            next.owed.belongsTo(queries.submit(next.command, next.owed, waited));
         }
     }
 
@@ -241,7 +241,7 @@
     }
 
     private static String text(RespMessage message, int at, int longest) {
-        Chain bulk = message.bulk(at);
+        BufferChain bulk = message.bulk(at);
         return bulk == null || bulk.size() > longest ? "" : bulk.text();
     }
 
@@ -251,7 +251,7 @@
 
     /** What is read ahead is owed an answer, too. */
     boolean owesNothing() {
-        return owed.isEmpty() && link.out().size() == 0 && !link.hasReadAhead();
+        return owed.isEmpty() && link.out().size() == 0 && !link.hasUndeliveredInput();
     }
 
     private boolean isIdle() {
@@ -278,7 +278,7 @@
 
     /** Ends the connection, where nothing is owed on it, for one that is more likely to be of use. */
     void makeWay() {
-        link.readable();
+        link.readAvailable();
         if (!link.isClosed() && owesNothing()) {
             close();
         }
@@ -324,13 +324,13 @@
     /** Guards the buffers against a client that takes nothing of its answers any more. */
     private void watchForStall() {
         if (link.out().size() > 0 && stallWatch == null) {
-            long before = link.written();
-            stallWatch = loop.at(loop.nowMs() + STALL_MS, () -> {
+            long before = link.bytesWritten();
+            stallWatch = loop.scheduleAt(loop.nowMs() + STALL_MS, () -> {
                 stallWatch = null;
                 if (link.isClosed()) {
                     return;
                 }
-                if (link.written() == before) {
+                if (link.bytesWritten() == before) {
                     close();
                 } else {
                     watchForStall();
@@ -340,7 +340,7 @@
     }
 
     @Override
-    public void drained() {
+    public void flushed() {
         if (!owed.isEmpty() && owed.peekFirst().isAnswered()) {
             flushAnswers(); // the next part of a long value
         }
@@ -350,7 +350,7 @@
         if (last && owed.isEmpty()) {
             close();
         } else if (front.closesIdle() && isIdle()) {
-            loop.at(loop.nowMs(), this::closeIfIdle); // not now: bytes of this connection may be in hand
+            loop.scheduleAt(loop.nowMs(), this::closeIfIdle); // not now: bytes of this connection may be in hand
         } else if (isHeld() && !isFull() && !handsOn) {
             resume();
         } // else at the next look: each answer at once would read more, on one stack
@@ -369,22 +369,22 @@
     private void pauseIfFull() {
         if (!isHeld() && !link.isClosed() && isFull()) {
             heldSince = loop.nowMs();
-            link.hold();
-            lookAgain = loop.at(loop.nowMs() + BUFFERS_AGAIN_MS, this::resume);
+            link.pauseDelivery();
+            lookAgain = loop.scheduleAt(loop.nowMs() + BUFFERS_AGAIN_MS, this::resume);
         }
     }
 
     private void resume() {
-        lookAgain.callOff(); // one at a time, however often it is held
+        lookAgain.cancelTask(); // one at a time, however often it is held
         if (!isHeld() || link.isClosed() || last) {
             return;
         }
         if (isFull()) {
-            lookAgain = loop.at(loop.nowMs() + BUFFERS_AGAIN_MS, this::resume);
+            lookAgain = loop.scheduleAt(loop.nowMs() + BUFFERS_AGAIN_MS, this::resume);
             return;
         }
         waitedMs = loop.nowMs() - heldSince;
-        if (link.isBlind() && Double.isNaN(blindSince)) {
+        if (link.hasUnreadInput() && Double.isNaN(blindSince)) {
             blindSince = heldSince;
         }
         heldSince = Double.NaN;
@@ -396,22 +396,22 @@
 
     /** Whether its client is still there, as far as can be known now; not known where more waits than is read ahead. */
     boolean isClientHere() {
-        link.look();
-        return !link.isClosed() && !link.isBlind();
+        link.readAvailableNested();
+        return !link.isClosed() && !link.hasUnreadInput();
     }
 
     @Override
-    public void ended(String cause) {
+    public void disconnected(String cause) {
         gone();
     }
 
     /** Ends the connection if nothing has come on it and nothing is owed. */
     void closeIfIdle() {
         if (!link.isClosed() && !last) {
-            link.readable(); // what is read now is answered; a close with it unread would lose it
+            link.readAvailable(); // what is read now is answered; a close with it unread would lose it
         }
         if (!link.isClosed() && isIdle()) {
-            link.closeAtOnce();
+            link.closeImmediately();
             gone();
         }
     }
@@ -422,14 +422,14 @@
             return;
         }
         if (!link.isClosed()) {
-            link.readable();
+            link.readAvailable();
         }
         if (!link.isClosed()) {
             last = true;
-            link.pause();
+            link.pauseReading();
             rejectAsked();
             if (!link.isClosed() && owesNothing()) { // half a command is not taken
-                link.closeAtOnce();
+                link.closeImmediately();
                 gone();
             }
         }
@@ -441,12 +441,12 @@
     }
 
     private void gone() {
-        silence.callOff();
+        silence.cancelTask();
         reader.release();
         giveGrantBack();
         asked.forEach(one -> one.command.release());
         asked.clear();
-        for (Owed one : owed) {
+        for (PendingReply one : owed) {
             one.release();
             if (!one.isAnswered() && one.query() != null) {
                 queries.clientLeft(one.query());
--- a/src/main/java/dappleseam/clients/ClientFront.java
+++ b/src/main/java/dappleseam/clients/ClientFrontend.java
@@ -1,7 +1,7 @@
 package dappleseam.clients;
 
 import dappleseam.query.Slots;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -9,11 +9,11 @@
 import org.xnio.IoUtils;
 import org.xnio.StreamConnection;
 import org.xnio.XnioWorker;
-import org.xnio.nio.SharedPort;
+import org.xnio.nio.ReusePortListener;
 
 /** Where clients connect. */
-public final class ClientFront {
-    private static final Logger LOG = System.getLogger(ClientFront.class.getName());
+public final class ClientFrontend {
+    private static final Logger LOG = System.getLogger(ClientFrontend.class.getName());
     private static final int BACKLOG = 512;
     /** Share of the buffers for long values on their way in. */
     private static final double SHARE_FOR_LONG = 0.3;
@@ -34,8 +34,8 @@
     /** Time in ms after that from which nothing more is read of clients that have asked: one that is never idle would stay for good. */
     private static final double LAST_READ_MS = 1000;
 
-    private final Loop loop;
-    private final Queries queries;
+    private final IoLoop loop;
+    private final QueryHandler queries;
     private int most;
     private final int roomToAsk;
     private int asking;
@@ -43,18 +43,18 @@
     /** Bytes of buffers that long values may take which have begun to come. */
     private long granted;
     private final Slots<ClientConnection> connections = new Slots<>();
-    private SharedPort port;
+    private ReusePortListener port;
     private boolean isStopping;
     /** Since when connections may wait to be accepted; NaN where none does. */
     private double backlogSince = Double.NaN;
     private double acceptAgainMs = ACCEPT_AGAIN_MS;
     private double acceptLoggedAt = Double.NEGATIVE_INFINITY;
-    private boolean sendsAway;
+    private boolean isOutOfService;
     /** When clients are to be closed as they fall idle. */
     private double closesFrom = Double.POSITIVE_INFINITY;
 
     /** Takes {@code most} connections at once, more wait to be accepted; clients open {@code mostAsking} for queries. */
-    public ClientFront(Loop loop, Queries queries, int most, int mostAsking) {
+    public ClientFrontend(IoLoop loop, QueryHandler queries, int most, int mostAsking) {
         this.loop = loop;
         this.queries = queries;
         this.most = most;
@@ -62,10 +62,10 @@
     }
 
     /** Takes so many connections at once from now on; those it has beyond that stay. */
-    public void limit(int newMost) {
+    public void setMaxConnections(int newMost) {
         most = newMost;
         if (isListening() && !isStopping) {
-            port.limit(newMost);
+            port.setMaxConnections(newMost);
         }
     }
 
@@ -74,14 +74,14 @@
     }
 
     public void listen(XnioWorker worker, InetSocketAddress address) throws IOException {
-        port = SharedPort.open(worker, address, BACKLOG, most, this::acceptWaiting);
+        port = ReusePortListener.open(worker, address, BACKLOG, most, this::acceptWaiting);
     }
 
     /** Takes all connections that wait. Where accept fails, which passes, they go on waiting and it is tried again soon. */
     private void acceptWaiting() {
         try {
             for (StreamConnection next = port.accept(); next != null; next = port.accept()) {
-                opened(next, backlogAgeMs());
+                addClient(next, backlogAgeMs());
             }
         } catch (IOException e) {
             acceptLater(e);
@@ -105,7 +105,7 @@
             LOG.log(Level.WARNING, "accepting a client failed: {0}", cause.getMessage());
         }
         port.suspendAccepts(); // else the thread would spin on it
-        loop.at(loop.nowMs() + acceptAgainMs, () -> {
+        loop.scheduleAt(loop.nowMs() + acceptAgainMs, () -> {
             if (port.isOpen()) {
                 port.resumeAccepts();
                 acceptWaiting();
@@ -127,11 +127,11 @@
     }
 
     /** A client has connected. */
-    public void opened(StreamConnection connection) {
-        opened(connection, 0);
+    public void addClient(StreamConnection connection) {
+        addClient(connection, 0);
     }
 
-    private void opened(StreamConnection connection, double waitedMs) {
+    private void addClient(StreamConnection connection, double waitedMs) {
         if (connections.isFull(most)) {
             IoUtils.safeClose(connection);
             return;
@@ -151,7 +151,7 @@
 
     /** Room for a long value of so many bytes: the same again, or 0 while there is none. */
     long grant(long bytes) {
-        long room = (long) (SHARE_FOR_LONG * loop.pool().all()) - granted;
+        long room = (long) (SHARE_FOR_LONG * loop.pool().totalBytes()) - granted;
         boolean onlyOne = granted == 0 && loop.pool().free() >= bytes;
         if (bytes > room && !onlyOne || loop.pool().free() - granted < bytes) {
             return 0;
@@ -182,7 +182,7 @@
     void fellIdle() {
         if (asking > roomToAsk && !makingRoom) {
             makingRoom = true;
-            loop.at(loop.nowMs() + LOOK_AGAIN_MS, () -> {
+            loop.scheduleAt(loop.nowMs() + LOOK_AGAIN_MS, () -> {
                 makingRoom = false;
                 connections.all().stream().filter(ClientConnection::hasSettled)
                         .sorted(ClientConnection.BY_USE).limit(Math.max(0, asking - roomToAsk))
@@ -205,27 +205,27 @@
     /** Accepts no more, but for what has connected already: what is queued at a listener that closes is reset. */
     public void stopListening() {
         isStopping = true;
-        port.limit(Integer.MAX_VALUE);
+        port.setMaxConnections(Integer.MAX_VALUE);
         acceptWaiting();
     }
 
     /** Sends clients away from now on: a PING is answered no, and connections close as they fall idle. */
-    public void outOfService() {
-        if (!sendsAway) {
-            sendsAway = true;
+    public void takeOutOfService() {
+        if (!isOutOfService) {
+            isOutOfService = true;
             closesFrom = loop.nowMs() + SENT_MORE_MS;
-            loop.at(closesFrom, this::closeIdleWhileAway);
+            loop.scheduleAt(closesFrom, this::closeIdleWhileAway);
         }
     }
 
     /** Takes clients again. */
-    public void inService() {
-        sendsAway = false;
+    public void returnToService() {
+        isOutOfService = false;
         closesFrom = Double.POSITIVE_INFINITY;
     }
 
-    public boolean sendsAway() {
-        return sendsAway;
+    public boolean isOutOfService() {
+        return isOutOfService;
     }
 
     /** Whether a client is closed as soon as nothing is owed to it. */
@@ -239,7 +239,7 @@
             if (loop.nowMs() >= closesFrom + LAST_READ_MS) {
                 connections.all().stream().filter(ClientConnection::hasAsked).forEach(ClientConnection::takeNoMore);
             }
-            loop.at(loop.nowMs() + LOOK_AGAIN_MS, this::closeIdleWhileAway);
+            loop.scheduleAt(loop.nowMs() + LOOK_AGAIN_MS, this::closeIdleWhileAway);
         }
     }
 
@@ -249,7 +249,7 @@
     }
 
     /** From now on no query is taken of any client; what is owed is still written. */
-    public void takeNoMore() {
+    public void stopReading() {
         connections.all().forEach(ClientConnection::takeNoMore);
     }
 
--- a/src/main/java/dappleseam/clients/Owed.java
+++ b/src/main/java/dappleseam/clients/PendingReply.java
@@ -2,24 +2,24 @@
 
 import dappleseam.query.Transfer;
 import dappleseam.router.QueryId;
-import dappleseam.wire.Chain;
+import dappleseam.wire.BufferChain;
 import dappleseam.wire.RespWriter;
 
 /** The answer that one command is owed; it goes out once those before it on the connection have. */
-public final class Owed {
+public final class PendingReply {
     /** Bytes of a long value put out at once; the next when the client has taken them. */
     private static final int MOST_PUT_OUT = 64 << 10;
 
     private final ClientConnection connection;
     /** One of the three, once the answer is there. */
-    private Chain value;
-    private String line;
+    private BufferChain replyValue;
+    private String replyLine;
     private Transfer transfer;
     private boolean headWritten;
     /** Null for a command that is no query. */
     private QueryId query;
 
-    Owed(ClientConnection connection) {
+    PendingReply(ClientConnection connection) {
         this.connection = connection;
     }
 
@@ -32,21 +32,21 @@
     }
 
     boolean isAnswered() {
-        return value != null || line != null || transfer != null;
+        return replyValue != null || replyLine != null || transfer != null;
     }
 
     /** Answers with the value, and takes it over. */
-    public void value(Chain whole) {
+    public void replyValue(BufferChain whole) {
         if (isAnswered() || connection.isClosed()) {
             whole.release();
             return;
         }
-        value = whole;
+        replyValue = whole;
         connection.flushAnswers();
     }
 
     /** Answers with a long value as it comes. */
-    public void begun(Transfer onItsWay) {
+    public void replyTransfer(Transfer onItsWay) {
         if (isAnswered() || connection.isClosed()) {
             onItsWay.abandon();
             return;
@@ -56,44 +56,44 @@
     }
 
     /** There is more of the long value that it is answered with. */
-    public void more() {
+    public void transferAdvanced() {
         if (!connection.isClosed()) {
             connection.flushAnswers();
         }
     }
 
     /** Whether its client is still there: asked just before something more is done for it. */
-    public boolean isClientHere() {
+    public boolean isClientConnected() {
         return connection.isClientHere();
     }
 
     /** Trying again is harmless, after so many ms where that is over 0. */
-    public void busy(double comeBackMs) {
-        line(comeBackMs > 0 ? "-BUSY " + (long) Math.ceil(comeBackMs) : "-BUSY");
+    public void replyBusy(double comeBackMs) {
+        replyLine(comeBackMs > 0 ? "-BUSY " + (long) Math.ceil(comeBackMs) : "-BUSY");
     }
 
     /** An answer of one line, with its sign in front. */
-    public void line(String signed) {
+    public void replyLine(String signed) {
         if (!isAnswered() && !connection.isClosed()) {
-            line = signed;
+            replyLine = signed;
             connection.flushAnswers();
         }
     }
 
     /** Puts out what there is, within bounds; says whether that was all of it. */
-    boolean writeTo(Chain out) {
+    boolean writeTo(BufferChain out) {
         if (transfer != null) {
             return writePartTo(out);
         }
-        if (line != null) {
-            RespWriter.line(out, line);
+        if (replyLine != null) {
+            RespWriter.line(out, replyLine);
         } else {
-            RespWriter.bulkMoved(out, value);
+            RespWriter.bulkMoved(out, replyValue);
         }
         return true;
     }
 
-    private boolean writePartTo(Chain out) {
+    private boolean writePartTo(BufferChain out) {
         if (!headWritten) {
             headWritten = true;
             out.put("$" + transfer.length + "\r\n");
@@ -113,8 +113,8 @@
     }
 
     void release() {
-        if (value != null) {
-            value.release();
+        if (replyValue != null) {
+            replyValue.release();
         }
         if (transfer != null) {
             transfer.abandon();
--- a/src/main/java/dappleseam/fleet/lastlist/FolderStore.java
+++ b/src/main/java/dappleseam/fleet/lastlist/FolderStore.java
@@ -3,7 +3,7 @@
 import dappleseam.fleet.lease.Token;
 import dappleseam.list.ListFile;
 import dappleseam.list.NodeList;
-import dappleseam.list.SealedFile;
+import dappleseam.list.ChecksummedFile;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -34,7 +34,7 @@
             if (seen != null && !seen.isBefore(token, number)) {
                 throw new FencedException(seen.token());
             }
-            SealedFile.writeForced(file(), VERSION, json -> ListStore.write(json, token, number, nowMs, list));
+            ChecksummedFile.writeDurably(file(), VERSION, json -> ListStore.write(json, token, number, nowMs, list));
         }
     }
 
@@ -44,7 +44,7 @@
             return read();
         } catch (NoSuchFileException e) {
             return null;
-        } catch (SealedFile.DamagedException e) {
+        } catch (ChecksummedFile.DamagedException e) {
             return null;
         }
     }
@@ -52,9 +52,9 @@
     @Override
     public Stored read() throws IOException {
         try {
-            return Stored.of(SealedFile.read(file(), VERSION));
+            return Stored.of(ChecksummedFile.read(file(), VERSION));
         } catch (IllegalArgumentException e) {
-            throw new SealedFile.DamagedException(e.getMessage());
+            throw new ChecksummedFile.DamagedException(e.getMessage());
         }
     }
 }
--- a/src/main/java/dappleseam/fleet/peers/KnownFile.java
+++ b/src/main/java/dappleseam/fleet/peers/KnownFile.java
@@ -1,7 +1,7 @@
 package dappleseam.fleet.peers;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dappleseam.list.SealedFile;
+import dappleseam.list.ChecksummedFile;
 import dappleseam.wire.Address;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -17,7 +17,7 @@
     private KnownFile() {}
 
     static void write(Path file, String fleet, List<InetSocketAddress> known) throws IOException {
-        SealedFile.write(file, VERSION, json -> {
+        ChecksummedFile.write(file, VERSION, json -> {
             json.writeStartObject();
             json.writeStringField("fleet", fleet);
             json.writeArrayFieldStart("known");
@@ -31,7 +31,7 @@
 
     /** An exception says why there is nothing to be had. */
     static List<InetSocketAddress> read(Path file, String fleet) throws IOException {
-        JsonNode root = SealedFile.read(file, VERSION);
+        JsonNode root = ChecksummedFile.read(file, VERSION);
         if (!root.path("fleet").asText().equals(fleet)) {
             throw new IOException("of another fleet");
         }
--- a/src/main/java/dappleseam/fleet/peers/VoterFile.java
+++ b/src/main/java/dappleseam/fleet/peers/VoterFile.java
@@ -5,7 +5,7 @@
 import dappleseam.fleet.lease.Token;
 import dappleseam.fleet.lease.VoterStorage;
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.list.SealedFile;
+import dappleseam.list.ChecksummedFile;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
@@ -24,7 +24,7 @@
     @Override
     public VoterState read() throws IOException {
         try {
-            JsonNode root = SealedFile.read(file, VERSION);
+            JsonNode root = ChecksummedFile.read(file, VERSION);
             Map<LeaseName, Vote> votes = new LinkedHashMap<>();
             for (JsonNode vote : root.path("votes")) {
                 String holder = vote.path("holder").asText();
@@ -44,7 +44,7 @@
 
     @Override
     public void write(VoterState kept) throws IOException {
-        SealedFile.writeForced(file, VERSION, json -> {
+        ChecksummedFile.writeDurably(file, VERSION, json -> {
             json.writeStartObject();
             json.writeStringField("voter", kept.voter().text());
             json.writeNumberField("set", kept.configFingerprint());
--- a/src/main/java/dappleseam/list/SealedFile.java
+++ b/src/main/java/dappleseam/list/ChecksummedFile.java
@@ -17,11 +17,11 @@
 import java.util.zip.CRC32;
 
 /** JSON that one process leaves for the next, behind a line with its version and a sum that proves it. */
-public final class SealedFile {
+public final class ChecksummedFile {
     private static final int LONGEST = 4 << 20;
     private static final int LONGEST_FIRST_LINE = 64;
 
-    private SealedFile() {}
+    private ChecksummedFile() {}
 
     /** What is there was never written so. */
     public static final class DamagedException extends IOException {
@@ -43,7 +43,7 @@
     }
 
     /** Returns once file and folder are on the disk. */
-    public static void writeForced(Path file, String version, Content content) throws IOException {
+    public static void writeDurably(Path file, String version, Content content) throws IOException {
         write(file, version, content, true);
         try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
             folder.force(true);
--- a/src/main/java/dappleseam/list/ListFile.java
+++ b/src/main/java/dappleseam/list/ListFile.java
@@ -14,26 +14,26 @@
     private ListFile() {}
 
     public static void write(Path file, NodeList list) throws IOException {
-        SealedFile.write(file, VERSION, json -> write(json, list));
+        ChecksummedFile.write(file, VERSION, json -> write(json, list));
     }
 
     /** The list in the file; an exception says why it is of no use. */
     public static JsonNode read(Path file) throws IOException {
-        return SealedFile.read(file, VERSION);
+        return ChecksummedFile.read(file, VERSION);
     }
 
     /** In the list service's form, as one object. */
     public static void write(JsonGenerator json, NodeList list) throws IOException {
         json.writeStartObject();
         json.writeNumberField("rev", list.version());
-        json.writeBooleanField("all", list.whole());
+        json.writeBooleanField("all", list.full());
         json.writeArrayFieldStart("targets");
-        for (Listed entry : list.entries()) {
+        for (ListEntry entry : list.entries()) {
             json.writeStartObject();
             json.writeStringField("uid", entry.uid());
             json.writeStringField("endpoint", entry.endpoint().getHostString() + ':' + entry.endpoint().getPort());
             json.writeStringField("az", entry.zone());
-            json.writeStringField("model", entry.machine());
+            json.writeStringField("model", entry.modelName());
             json.writeNumberField("pod_group", entry.member().cell());
             json.writeStringField("state", entry.member().state().name().toLowerCase(Locale.ROOT));
             json.writeNumberField("capacity_hint", entry.member().weight());
--- a/src/main/java/dappleseam/list/ListReader.java
+++ b/src/main/java/dappleseam/list/ListReader.java
@@ -48,7 +48,7 @@
     private NodeList list(JsonParser parser) throws IOException {
         Long version = null;
         boolean whole = false;
-        List<Listed> entries = null;
+        List<ListEntry> entries = null;
         parser.nextToken();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String key = parser.currentName();
@@ -68,8 +68,8 @@
         return new NodeList(version, whole, entries);
     }
 
-    private List<Listed> entries(JsonParser parser) throws IOException {
-        List<Listed> entries = new ArrayList<>();
+    private List<ListEntry> entries(JsonParser parser) throws IOException {
+        List<ListEntry> entries = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             entries.add(entry(parser));
         }
@@ -102,7 +102,7 @@
         }
     }
 
-    private Listed entry(JsonParser parser) throws IOException {
+    private ListEntry entry(JsonParser parser) throws IOException {
         Fields fields = new Fields();
         while (parser.currentToken() != JsonToken.END_OBJECT && parser.nextToken() == JsonToken.FIELD_NAME) {
             String key = parser.currentName();
@@ -122,7 +122,7 @@
         };
         int zone = zones.computeIfAbsent(fields.zone, z -> zones.size());
         Member member = new Member(new NodeId(hash(fields.uid)), state, machines.indexOf(fields.machine), fields.group, zone, fields.scale, fields.bootMs);
-        return new Listed(fields.uid, member, address(fields.endpoint), fields.zone, fields.machine);
+        return new ListEntry(fields.uid, member, address(fields.endpoint), fields.zone, fields.machine);
     }
 
     /** What is gone needs no address. */
--- a/src/main/java/dappleseam/list/ListWatch.java
+++ b/src/main/java/dappleseam/list/ListWatch.java
@@ -1,10 +1,10 @@
 package dappleseam.list;
 
-import dappleseam.wire.Chain;
-import dappleseam.wire.HttpReader;
+import dappleseam.wire.BufferChain;
+import dappleseam.wire.HttpResponseReader;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
-import dappleseam.wire.Progress;
+import dappleseam.wire.IoLoop;
+import dappleseam.wire.ParseStatus;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -39,7 +39,7 @@
     private static final double AGAIN_MS = 100;
     private static final double AGAIN_MOST_MS = 250;
 
-    private final Loop loop;
+    private final IoLoop loop;
     private InetSocketAddress service;
     private ListReader lists;
     private final Consumer<NodeList> news;
@@ -53,7 +53,7 @@
     private Call call;
 
     /** {@code again}: what comes of the time in ms until a failed call is made again. */
-    public ListWatch(Loop loop, InetSocketAddress service, ListReader lists, long version,
+    public ListWatch(IoLoop loop, InetSocketAddress service, ListReader lists, long version,
                      Consumer<NodeList> news, Consumer<String> failed, DoubleUnaryOperator again, RandomGenerator random) {
         this.loop = loop;
         this.service = service;
@@ -66,7 +66,7 @@
     }
 
     /** Begins to follow, unless a call is out already. The first call does not wait: it tells what was missed. */
-    public void follow() {
+    public void startWatching() {
         if (call == null) {
             begin(0, false);
         }
@@ -78,9 +78,9 @@
     }
 
     /** Follows from now on without being asked, as where the list is pushed to a proxy. */
-    public void followAlways() {
+    public void watchPermanently() {
         always = true;
-        follow();
+        startWatching();
     }
 
     /** Follows at another address from now on, from the version last heard; what was missed comes first. */
@@ -90,17 +90,17 @@
             if (call != null) {
                 call.end();
             }
-            follow();
+            startWatching();
         }
     }
 
     /** Asks for the whole list again, to read it in another way. */
-    public void readAnew(ListReader otherLists) {
+    public void refetchWith(ListReader otherLists) {
         lists = otherLists;
         version = 0;
         if (call != null) {
             call.end();
-            follow();
+            startWatching();
         }
     }
 
@@ -109,13 +109,13 @@
         call.dial();
     }
 
-    private final class Call implements Link.Events {
-        private final HttpReader reader = new HttpReader(loop.pool(), LONGEST_LIST);
-        private Loop.Deadline late = () -> { };
-        private final List<Loop.Deadline> dials = new ArrayList<>();
+    private final class Call implements Link.Listener {
+        private final HttpResponseReader reader = new HttpResponseReader(loop.pool(), LONGEST_LIST);
+        private IoLoop.PendingTask late = () -> { };
+        private final List<IoLoop.PendingTask> dials = new ArrayList<>();
         /** Dials that are neither up nor failed. */
         private int hanging;
-        private Loop.Deadline dialAgain = () -> { };
+        private IoLoop.PendingTask dialAgain = () -> { };
         private final long firstHoldMs;
         private Link link;
         /** Whether it goes on from an answer: the service was well then, and may be. */
@@ -128,18 +128,18 @@
 
         void dial() {
             hanging++;
-            dials.add(loop.dialKept(service, CONNECT_MS, this::up, this::dialFailed));
-            dialAgain = loop.at(loop.nowMs() + DIAL_AGAIN_MS, this::dialBeside);
+            dials.add(loop.connectReserved(service, CONNECT_MS, this::up, this::dialFailed));
+            dialAgain = loop.scheduleAt(loop.nowMs() + DIAL_AGAIN_MS, this::dialBeside);
         }
 
         /** One connection that hangs says nothing of the service; not where nodes and clients hold all descriptors. */
         private void dialBeside() {
-            if (loop.mayDial()) {
+            if (loop.mayConnect()) {
                 hanging++;
-                dials.add(loop.dial(service, CONNECT_MS, this::up, this::dialFailed));
+                dials.add(loop.connect(service, CONNECT_MS, this::up, this::dialFailed));
             }
             if (dials.size() < MOST_DIALS) {
-                dialAgain = loop.at(loop.nowMs() + DIAL_AGAIN_MS, this::dialBeside);
+                dialAgain = loop.scheduleAt(loop.nowMs() + DIAL_AGAIN_MS, this::dialBeside);
             }
         }
 
@@ -151,16 +151,16 @@
         }
 
         private void up(StreamConnection connection) {
-            dialAgain.callOff();
-            dials.forEach(Loop.Deadline::callOff);
-            link = loop.link(connection, this);
+            dialAgain.cancelTask();
+            dials.forEach(IoLoop.PendingTask::cancelTask);
+            link = loop.createLink(connection, this);
             link.resume();
             ask(firstHoldMs);
         }
 
         private void ask(long holdMs) {
-            late.callOff();
-            late = loop.at(loop.nowMs() + holdMs + LATE_MS, () -> fail("no answer in time"));
+            late.cancelTask();
+            late = loop.scheduleAt(loop.nowMs() + holdMs + LATE_MS, () -> fail("no answer in time"));
             link.out().put("GET /registry/instances?from=" + version + "&hold_ms=" + holdMs
                     + " HTTP/1.1\r\nHost: list\r\n\r\n");
             link.flush();
@@ -168,17 +168,17 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            Progress progress = reader.read(bytes);
-            if (progress == Progress.BAD) {
+            ParseStatus progress = reader.read(bytes);
+            if (progress == ParseStatus.MALFORMED) {
                 fail("not an answer in HTTP");
-            } else if (progress == Progress.DONE) {
+            } else if (progress == ParseStatus.DONE) {
                 answered(reader.staysOpen() && !bytes.hasRemaining()); // more than was asked for: what follows is as doubtful
             }
         }
 
         private void answered(boolean staysOpen) {
             int status = reader.status();
-            Chain body = reader.takeBody();
+            BufferChain body = reader.takeBody();
             NodeList list;
             try {
                 if (status != 200) {
@@ -205,7 +205,7 @@
         }
 
         @Override
-        public void finished() {
+        public void endOfStream() {
             if (reader.endsBody()) {
                 answered(false);
             } else {
@@ -214,7 +214,7 @@
         }
 
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             fail(cause);
         }
 
@@ -223,12 +223,12 @@
                 end();
                 if (isWatch) { // no back-off for the first call
                     LOG.log(Level.INFO, "list: the watch is opened anew: {0}", cause);
-                    loop.at(loop.nowMs() + ANEW_MS * random.nextDouble(), ListWatch.this::follow);
+                    loop.scheduleAt(loop.nowMs() + ANEW_MS * random.nextDouble(), ListWatch.this::startWatching);
                     return;
                 }
                 failed.accept(cause);
                 if (always) {
-                    loop.at(loop.nowMs() + again.applyAsDouble(againMs), ListWatch.this::follow);
+                    loop.scheduleAt(loop.nowMs() + again.applyAsDouble(againMs), ListWatch.this::startWatching);
                     againMs = Math.min(AGAIN_MOST_MS, 2 * againMs);
                 }
             }
@@ -236,9 +236,9 @@
 
         private void end() {
             call = null;
-            late.callOff();
-            dialAgain.callOff();
-            dials.forEach(Loop.Deadline::callOff);
+            late.cancelTask();
+            dialAgain.cancelTask();
+            dials.forEach(IoLoop.PendingTask::cancelTask);
             reader.release();
             if (link != null) {
                 link.close();
--- a/src/main/java/dappleseam/list/NodeList.java
+++ b/src/main/java/dappleseam/list/NodeList.java
@@ -3,4 +3,4 @@
 import java.util.List;
 
 /** The list, or what has changed of it, at one version. */
-public record NodeList(long version, boolean whole, List<Listed> entries) {}
+public record NodeList(long version, boolean full, List<ListEntry> entries) {}
--- a/src/main/java/dappleseam/list/StartTimes.java
+++ b/src/main/java/dappleseam/list/StartTimes.java
@@ -28,7 +28,7 @@
     };
 
     /** The entries of a list that this process begins with: the one from its file, or the first that it hears. Times in ms. */
-    public List<Member> ofFirst(NodeList list, double nowMs, double wallMs) {
+    public List<Member> adjustFirstList(NodeList list, double nowMs, double wallMs) {
         starts.clear();
         double newest = list.entries().stream().mapToDouble(entry -> entry.member().startedAtMs()).max().orElse(0);
         return members(list, nowMs, bootMs -> atLeast(newest - bootMs, wallMs - bootMs));
@@ -40,7 +40,7 @@
     }
 
     /** The entries of a later list, or of what has changed. */
-    public List<Member> of(NodeList list, double nowMs) {
+    public List<Member> adjustUpdate(NodeList list, double nowMs) {
         return members(list, nowMs, bootMs -> 0);
     }
 
@@ -50,7 +50,7 @@
 
     private List<Member> members(NodeList list, double nowMs, Age age) {
         List<Member> members = new ArrayList<>(list.entries().size());
-        for (Listed entry : list.entries()) {
+        for (ListEntry entry : list.entries()) {
             Member member = entry.member();
             members.add(member.withStartedAt(startedAtMs(member, nowMs, age)));
         }
--- a/src/main/java/dappleseam/origin/Origin.java
+++ b/src/main/java/dappleseam/origin/Origin.java
@@ -9,12 +9,12 @@
 import dappleseam.query.WriteProgress;
 import dappleseam.query.Slots;
 import dappleseam.router.Outcome;
-import dappleseam.wire.Chain;
-import dappleseam.wire.HttpReader;
-import dappleseam.wire.Large;
+import dappleseam.wire.BufferChain;
+import dappleseam.wire.HttpResponseReader;
+import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
-import dappleseam.wire.Progress;
+import dappleseam.wire.IoLoop;
+import dappleseam.wire.ParseStatus;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import org.xnio.StreamConnection;
@@ -24,13 +24,13 @@
     /** Bytes of a long value put out at once; the next when the origin has taken them. */
     private static final int MOST_PUT_OUT = 64 << 10;
 
-    private final Loop loop;
+    private final IoLoop loop;
     private final InetSocketAddress endpoint;
     private ConnectionPolicy limits;
     private final Slots<Connection> open = new Slots<>();
     private boolean retired;
 
-    public Origin(Loop loop, InetSocketAddress endpoint, ConnectionPolicy limits) {
+    public Origin(IoLoop loop, InetSocketAddress endpoint, ConnectionPolicy limits) {
         this.loop = loop;
         this.endpoint = endpoint;
         this.limits = limits;
@@ -45,7 +45,7 @@
             }
         }
         Connection c = new Connection(execution);
-        c.dialling = loop.dial(endpoint, limits.connectTimeoutMs(), c::up, c::failed);
+        c.dialling = loop.connect(endpoint, limits.connectTimeoutMs(), c::up, c::failed);
     }
 
     @Override
@@ -90,7 +90,7 @@
     @Override
     public void failWaiting() {
         for (Connection c : open.all()) {
-            if (c.link == null || c.current != null && c.link.written() <= c.beginsAt) {
+            if (c.link == null || c.current != null && c.link.bytesWritten() <= c.beginsAt) {
                 c.close();
                 c.end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, "the origin drains or is gone"));
             }
@@ -106,11 +106,11 @@
 
     private final class Connection implements LargeValueReceiver.Connection {
         private final LargeValueReceiver inflow = new LargeValueReceiver(loop, this);
-        private final HttpReader reader = new HttpReader(loop.pool(), Large.LONGEST, inflow);
+        private final HttpResponseReader reader = new HttpResponseReader(loop.pool(), LargeValueHandler.MAX_BYTES, inflow);
         /** Bytes put out of the value that goes out. */
         private long put;
-        private Loop.Deadline dialling = () -> { };
-        private Loop.Deadline closing = () -> { };
+        private IoLoop.PendingTask dialling = () -> { };
+        private IoLoop.PendingTask closing = () -> { };
         private final int slot = open.put(this);
         private Link link;
         private Execution current;
@@ -126,7 +126,7 @@
         }
 
         private void up(StreamConnection connection) {
-            link = loop.link(connection, this);
+            link = loop.createLink(connection, this);
             link.resume();
             if (current.mayBegin()) {
                 send(current);
@@ -143,7 +143,7 @@
         /** Stands idle for the next query, or until the origin would close it. */
         private void rest() {
             idleSince = loop.nowMs();
-            closing = loop.at(loop.nowMs() + limits.idleTimeoutMs(), this::close);
+            closing = loop.scheduleAt(loop.nowMs() + limits.idleTimeoutMs(), this::close);
         }
 
         private void failed(String cause) {
@@ -152,16 +152,16 @@
         }
 
         void send(Execution e) {
-            closing.callOff();
+            closing.cancelTask();
             current = e;
-            beginsAt = link.queued();
+            beginsAt = link.bytesQueued();
             endsAt = Long.MAX_VALUE;
             try {
                 write(e, Math.max(1, Math.round(e.deadlineMs - loop.nowMs())), link.out());
                 put = 0;
                 putValue();
             } catch (RuntimeException fault) { // half a head must not be followed by another
-                ended("fault: " + fault);
+                disconnected("fault: " + fault);
                 return;
             }
             link.flush();
@@ -169,14 +169,14 @@
 
         /** The next part of the value; the query holds the one copy of it. */
         private void putValue() {
-            Chain value = current.command.value();
-            put += value == null ? 0 : link.out().copyPart(value, put, MOST_PUT_OUT);
+            BufferChain value = current.command.value();
+            put += value == null ? 0 : link.out().copyRange(value, put, MOST_PUT_OUT);
             if (value == null || put == value.size()) {
-                endsAt = link.queued();
+                endsAt = link.bytesQueued();
             }
         }
 
-        private static void write(Execution e, long waitMs, Chain to) {
+        private static void write(Execution e, long waitMs, BufferChain to) {
             Command command = e.command;
             to.put((command.isWrite() ? "PUT /" : "GET /") + command.key() + " HTTP/1.1\r\nHost: origin\r\n"
                     + "X-Correlation-Id: " + command.id() + "\r\nX-Facts: " + command.factsWithTimeout(waitMs) + "\r\n"
@@ -184,14 +184,14 @@
         }
 
         @Override
-        public void drained() {
+        public void flushed() {
             if (current != null && reached() == WriteProgress.COMPLETE) {
                 current.written();
             } else if (current != null && endsAt == Long.MAX_VALUE) {
                 try {
                     putValue();
                 } catch (RuntimeException fault) { // what has gone out is less than it was said to be
-                    ended("fault: " + fault);
+                    disconnected("fault: " + fault);
                     return;
                 }
                 link.flush();
@@ -215,18 +215,18 @@
         }
 
         WriteProgress reached() {
-            return link != null && link.written() >= endsAt ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
+            return link != null && link.bytesWritten() >= endsAt ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
         }
 
         @Override
         public void received(ByteBuffer bytes) {
-            Progress progress = reader.read(bytes);
-            if (progress == Progress.BAD || current == null) {
+            ParseStatus progress = reader.read(bytes);
+            if (progress == ParseStatus.MALFORMED || current == null) {
                 boolean whole = reached() == WriteProgress.COMPLETE;
                 close();
                 end(whole ? ExecutionResult.erred("not an answer in HTTP")
                         : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, "an answer ahead of its query"));
-            } else if (progress == Progress.DONE) {
+            } else if (progress == ParseStatus.DONE) {
                 answered(!bytes.hasRemaining());
             }
         }
@@ -234,7 +234,7 @@
         /** Guards the next query against what came behind the last answer, or an end nobody has read yet. */
         boolean isClean() {
             idleMs = loop.nowMs() - idleSince;
-            if (link.isQuiet() && limits.reuseStats().mayReuse(idleMs)) {
+            if (link.hasNoInput() && limits.reuseStats().mayReuse(idleMs)) {
                 return true;
             }
             close();
@@ -248,7 +248,7 @@
                     && (reader.status() == 503 || reader.status() == 504);
             ExecutionResult failure = neverRan ? ExecutionResult.of(Outcome.FULL) : ExecutionResult.erred("status " + reader.status());
             boolean staysOpen = clean && reader.staysOpen() && !retired && endsAt != Long.MAX_VALUE;
-            Chain body = reader.takeBody();
+            BufferChain body = reader.takeBody();
             Execution done = current;
             current = null;
             inflow.complete();
@@ -273,16 +273,16 @@
 
         /** Guards a client against part of a value: a body without a length ends with an orderly end, never with a reset. */
         @Override
-        public void finished() {
+        public void endOfStream() {
             if (current != null && reader.endsBody()) {
                 answered(true);
             } else {
-                ended("closed by the peer");
+                disconnected("closed by the peer");
             }
         }
 
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             WriteProgress reached = reached();
             if (current != null) {
                 toldOfReuse(true);
@@ -292,8 +292,8 @@
         }
 
         void close() {
-            dialling.callOff();
-            closing.callOff();
+            dialling.cancelTask();
+            closing.cancelTask();
             reader.release();
             open.free(slot);
             if (link != null) {
--- a/src/main/java/dappleseam/proxy/EventLoop.java
+++ b/src/main/java/dappleseam/proxy/EventLoop.java
@@ -2,7 +2,7 @@
 
 import dappleseam.wire.BufferPool;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -21,7 +21,7 @@
 import org.xnio.XnioIoThread;
 
 /** The one I/O thread: its clock, its deadlines in one ordered structure, and its connections to peers. */
-final class EventLoop implements Loop {
+final class EventLoop implements IoLoop {
     private static final Logger LOG = System.getLogger(EventLoop.class.getName());
     private static final OptionMap DIAL = OptionMap.create(Options.TCP_NODELAY, true);
     private static final int SCRATCH = 32 << 10;
@@ -64,7 +64,7 @@
         return machineMs();
     }
 
-    /** See {@link Loop#nowMs}; for any thread. */
+    /** See {@link IoLoop#nowMs}; for any thread. */
     static double machineMs() {
         return LONG_AGO_MS + System.nanoTime() / NANOS_PER_MS;
     }
@@ -75,11 +75,11 @@
     }
 
     @Override
-    public Link link(StreamConnection connection, Link.Events events) {
+    public Link createLink(StreamConnection connection, Link.Listener events) {
         return new Link(connection, pool, scratch, events);
     }
 
-    private final class At implements Deadline, Comparable<At> {
+    private final class At implements PendingTask, Comparable<At> {
         private final double whenMs;
         private final long number = deadlineCount++;
         private final Runnable due;
@@ -96,13 +96,13 @@
         }
 
         @Override
-        public void callOff() {
+        public void cancelTask() {
             deadlines.remove(this);
         }
     }
 
     @Override
-    public Deadline at(double whenMs, Runnable due) {
+    public PendingTask scheduleAt(double whenMs, Runnable due) {
         At deadline = new At(whenMs, due);
         deadlines.add(deadline);
         setAlarm();
@@ -151,9 +151,9 @@
     }
 
     @Override
-    public Deadline dial(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
+    public PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
                          Consumer<String> failed) {
-        if (!mayDial()) {
+        if (!mayConnect()) {
             failed.accept("no descriptor left");
             return () -> { };
         }
@@ -161,21 +161,21 @@
     }
 
     @Override
-    public Deadline dialKept(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
+    public PendingTask connectReserved(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
                              Consumer<String> failed) {
         return new Dialling(to, timeoutMs, up, failed, 0);
     }
 
     @Override
-    public boolean mayDial() {
+    public boolean mayConnect() {
         return dialled.get() < mostDialled - KEPT;
     }
 
     /** A connection on its way; told once. */
-    private final class Dialling implements Deadline {
+    private final class Dialling implements PendingTask {
         private final Consumer<StreamConnection> up;
         private final Consumer<String> failed;
-        private final Deadline timeout;
+        private final PendingTask timeout;
         private final IoFuture<StreamConnection> future;
         /** What it counts among the connections to nodes. */
         private final int counts;
@@ -186,7 +186,7 @@
             this.failed = failed;
             this.counts = counts;
             dialled.addAndGet(counts);
-            timeout = at(nowMs() + timeoutMs, () -> fail("not up in time"));
+            timeout = scheduleAt(nowMs() + timeoutMs, () -> fail("not up in time"));
             future = thread.openStreamConnection(to, this::opened, DIAL);
             future.addNotifier((done, none) -> {
                 if (done.getStatus() == IoFuture.Status.FAILED) {
@@ -203,22 +203,22 @@
             }
             over = true;
             connection.setCloseListener(closed -> dialled.addAndGet(-counts));
-            timeout.callOff();
+            timeout.cancelTask();
             up.accept(connection);
         }
 
         private void fail(String cause) {
             if (!over) {
-                callOff();
+                cancelTask();
                 failed.accept(cause);
             }
         }
 
         @Override
-        public void callOff() {
+        public void cancelTask() {
             if (!over) {
                 over = true;
-                timeout.callOff();
+                timeout.cancelTask();
                 dialled.addAndGet(-counts);
                 future.cancel();
             }
--- a/src/main/java/dappleseam/proxy/InFleet.java
+++ b/src/main/java/dappleseam/proxy/InFleet.java
@@ -16,7 +16,7 @@
 import dappleseam.list.NodeList;
 import dappleseam.site.FleetConfigReader;
 import dappleseam.site.ProxyConfig;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -85,7 +85,7 @@
     }
 
     /** On the I/O thread: from now on that proxy's caches are told of, and it hears of others'. */
-    void watch(Proxy proxy, Loop loop, Executor onLoop) {
+    void watch(Proxy proxy, IoLoop loop, Executor onLoop) {
         if (isAsked) {
             FleetLookout now = new FleetLookout(post.seed(), proxy::recall, proxy, onLoop, loop::nowMs);
             proxy.tellOfCaches(now);
--- a/src/main/java/dappleseam/proxy/LearntFile.java
+++ b/src/main/java/dappleseam/proxy/LearntFile.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.databind.JsonNode;
-import dappleseam.list.SealedFile;
+import dappleseam.list.ChecksummedFile;
 import dappleseam.router.NodeHealth;
 import dappleseam.router.NodeId;
 import dappleseam.site.Settings;
@@ -26,7 +26,7 @@
 
     /** {@code nowMs} and the times in it are of the machine's monotonic clock, which the next process has, too; starts are as the list tells them. */
     static void write(Path file, Settings site, double nowMs, List<NodeHealth> learnt) throws IOException {
-        SealedFile.write(file, VERSION, json -> write(json, site, nowMs, learnt));
+        ChecksummedFile.write(file, VERSION, json -> write(json, site, nowMs, learnt));
     }
 
     private static void write(JsonGenerator json, Settings site, double nowMs, List<NodeHealth> learnt) throws IOException {
@@ -50,7 +50,7 @@
 
     /** What can be used of it; an exception says why nothing can. An entry that is odd is left out alone. */
     static List<NodeHealth> read(Path file, Settings site, double nowMs) throws IOException {
-        JsonNode root = SealedFile.read(file, VERSION);
+        JsonNode root = ChecksummedFile.read(file, VERSION);
         double at = root.path("at").asDouble(Double.NaN);
         if (!root.path("deployment").asText().equals(deployment(site))) {
             throw new IOException("of another deployment");
--- a/src/main/java/dappleseam/proxy/Nodes.java
+++ b/src/main/java/dappleseam/proxy/Nodes.java
@@ -1,6 +1,6 @@
 package dappleseam.proxy;
 
-import dappleseam.list.Listed;
+import dappleseam.list.ListEntry;
 import dappleseam.list.NodeList;
 import dappleseam.origin.Origin;
 import dappleseam.query.Backend;
@@ -9,7 +9,7 @@
 import dappleseam.router.Member;
 import dappleseam.router.NodeId;
 import dappleseam.servers.CacheNode;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -23,7 +23,7 @@
     /** Nodes of one list that have lines of their own in the log: a whole fleet of the usual size at its start. */
     private static final int MOST_LOGGED = 40;
 
-    private final Loop loop;
+    private final IoLoop loop;
     private int originModel;
     private ConnectionPolicy connections;
     private final Map<NodeId, Peer> peers = new HashMap<>();
@@ -39,12 +39,12 @@
 
     /** A listed node and where it is dialled. */
     private static final class Peer {
-        final Listed entry;
+        final ListEntry entry;
         final Backend backend;
         /** The last list that named it. */
         long listedIn;
 
-        Peer(Listed entry, Backend backend, long listedIn) {
+        Peer(ListEntry entry, Backend backend, long listedIn) {
             this.entry = entry;
             this.backend = backend;
             this.listedIn = listedIn;
@@ -55,7 +55,7 @@
         }
     }
 
-    Nodes(Loop loop, int originModel, ConnectionPolicy connections) {
+    Nodes(IoLoop loop, int originModel, ConnectionPolicy connections) {
         this.loop = loop;
         this.originModel = originModel;
         this.connections = connections;
@@ -117,7 +117,7 @@
         hasChanged = true;
         logged = 0;
         lists++;
-        for (Listed entry : list.entries()) {
+        for (ListEntry entry : list.entries()) {
             Member m = entry.member();
             Peer peer = peers.get(m.node());
             if (m.state() == Member.State.GONE) {
@@ -128,7 +128,7 @@
                 peer.listedIn = lists;
             }
         }
-        if (list.whole()) {
+        if (list.full()) {
             peers.entrySet().stream().filter(e -> e.getValue().listedIn != lists).map(Map.Entry::getKey).toList().forEach(this::forget);
         }
         if (logged > MOST_LOGGED) {
@@ -142,7 +142,7 @@
     }
 
     /** A node is new, or something of it has changed. */
-    private void know(Listed entry, Peer before) {
+    private void know(ListEntry entry, Peer before) {
         Member m = entry.member();
         if (mayLog()) {
             LOG.log(Level.INFO, "node {0} is {1} at {2}: {3}", entry.uid(), name(m.node()), entry.endpoint(), m.state());
--- a/src/main/java/dappleseam/proxy/Proxy.java
+++ b/src/main/java/dappleseam/proxy/Proxy.java
@@ -1,7 +1,7 @@
 package dappleseam.proxy;
 
-import dappleseam.clients.Owed;
-import dappleseam.clients.Queries;
+import dappleseam.clients.PendingReply;
+import dappleseam.clients.QueryHandler;
 import dappleseam.control.Figures;
 import dappleseam.list.ListReader;
 import dappleseam.list.ListWatch;
@@ -30,7 +30,7 @@
 import dappleseam.router.TimerId;
 import dappleseam.site.ProxyConfig;
 import dappleseam.site.Settings;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -44,7 +44,7 @@
 import java.util.regex.Pattern;
 
 /** Between the router and the peers: holds the queries taken, and does what the router decides. */
-final class Proxy implements Host, Queries, Execution.Listener, Lookout.Whole {
+final class Proxy implements Host, QueryHandler, Execution.Listener, Lookout.Whole {
     private static final Logger LOG = System.getLogger(Proxy.class.getName());
     /** The answer of an aborted query. */
     private static final String FAILED = "-ERR failed";
@@ -66,7 +66,7 @@
     /** Time to come back in ms where no more queries can be held. */
     private static final double TABLE_FULL_MS = 250;
 
-    private final Loop loop;
+    private final IoLoop loop;
     private Settings site;
     private final Figures figures;
     private final Router router;
@@ -92,18 +92,18 @@
     /** A query taken, until it is answered and its last execution has ended. */
     private static final class Taken {
         final Command command;
-        final Owed owed;
+        final PendingReply owed;
         final String grade;
         /** By the rules it was taken under. */
         final ServiceGrade rules;
         final int mostExecutions;
         final double quitAt;
         final List<Sent> execs = new ArrayList<>(3);
-        Loop.Deadline forgotten;
+        IoLoop.PendingTask forgotten;
         boolean answered;
         int out;
 
-        Taken(Command command, Owed owed, String grade, ServiceGrade rules, int mostExecutions, double quitAt) {
+        Taken(Command command, PendingReply owed, String grade, ServiceGrade rules, int mostExecutions, double quitAt) {
             this.command = command;
             this.owed = owed;
             this.grade = grade;
@@ -113,7 +113,7 @@
         }
     }
 
-    private record Sent(Execution execution, NodeId node, Backend backend, Loop.Deadline deadline) {
+    private record Sent(Execution execution, NodeId node, Backend backend, IoLoop.PendingTask deadline) {
         /** Guards rule 1 and a node: nothing more of it goes out, as its query is over or its time to begin is. */
         void takeBack() {
             if (backend != null && !execution.hasEnded() && backend.cancelUnsent(execution)) {
@@ -122,7 +122,7 @@
         }
     }
 
-    Proxy(Loop loop, ProxyConfig post, Figures figures) throws IOException {
+    Proxy(IoLoop loop, ProxyConfig post, Figures figures) throws IOException {
         this.loop = loop;
         this.figures = figures;
         site = post.settings();
@@ -135,10 +135,10 @@
         router = new Router(site.routerSettings(), random, this, loop.nowMs());
         nodes = new Nodes(loop, site.routerSettings().originModel(), connections(site, new ReuseStats()));
         nodes.learn(known);
-        List<Member> members = startTimes.ofFirst(known, loop.nowMs(), System.currentTimeMillis());
+        List<Member> members = startTimes.adjustFirstList(known, loop.nowMs(), System.currentTimeMillis());
         tell(() -> router.listReplaced(loop.nowMs(), members, true));
         if (isPushed()) {
-            watch.followAlways();
+            watch.watchPermanently();
         }
     }
 
@@ -166,11 +166,11 @@
         tell(() -> router.settingsChanged(loop.nowMs(), told));
         if (!before.modelNames().equals(site.modelNames()) || !before.zones().equals(site.zones())) {
             lists = new ListReader(site.modelNames(), site.zones());
-            watch.readAnew(lists);
+            watch.refetchWith(lists);
         }
         watch.moveTo(post.listService());
         if (isPushed()) {
-            watch.followAlways();
+            watch.watchPermanently();
         }
     }
 
@@ -227,7 +227,7 @@
 
     @Override
     public void callIn(double ms) {
-        loop.at(loop.nowMs() + ms, watch::follow);
+        loop.scheduleAt(loop.nowMs() + ms, watch::startWatching);
     }
 
     private double againMs(double ownMs) {
@@ -239,7 +239,7 @@
         for (Taken taken : queries.all()) {
             if (!taken.answered) {
                 answered(taken, Figures.End.FAILED);
-                taken.owed.line(FAILED);
+                taken.owed.replyLine(FAILED);
             }
         }
     }
@@ -272,12 +272,12 @@
         }
         nodes.learn(list);
         if (isFirst) { // with what the file knew: all of it is judged together
-            List<Member> all = startTimes.ofFirst(nodes.wholeList(), now, System.currentTimeMillis());
+            List<Member> all = startTimes.adjustFirstList(nodes.wholeList(), now, System.currentTimeMillis());
             tell(() -> router.listReplaced(loop.nowMs(), all, false));
             return;
         }
-        List<Member> members = startTimes.of(list, now);
-        if (list.whole()) {
+        List<Member> members = startTimes.adjustUpdate(list, now);
+        if (list.full()) {
             tell(() -> router.listReplaced(loop.nowMs(), members, false));
         } else {
             tell(() -> router.listChanged(loop.nowMs(), members));
@@ -301,14 +301,14 @@
     }
 
     @Override
-    public QueryId take(Command command, Owed owed, double waitedMs) {
+    public QueryId submit(Command command, PendingReply owed, double waitedMs) {
         String named = command.fact("c");
         int grade = site.gradeNames().indexOf(named);
         double waits = waits(command, grade);
         if (grade < 0 || waits <= 0) {
             command.release();
             figures.turnedAway(named, Figures.End.FAILED);
-            owed.line("-ERR malformed list of names and values");
+            owed.replyLine("-ERR malformed list of names and values");
             return null;
         }
         if (queries.isFull(site.mostHeld())) {
@@ -318,7 +318,7 @@
         if (!ids.add(command.id())) { // nodes know a query by its id: another's may be open, or just have been
             command.release();
             figures.turnedAway(named, Figures.End.FAILED);
-            owed.line("-ERR this id is in use");
+            owed.replyLine("-ERR this id is in use");
             return null;
         }
         if (ids.size() > IDS) {
@@ -332,17 +332,17 @@
             lookout.taken();
         }
         QueryId id = new QueryId(queries.put(taken));
-        taken.forgotten = loop.at(taken.quitAt + FORGOTTEN_MS, () -> forgotten(id));
+        taken.forgotten = loop.scheduleAt(taken.quitAt + FORGOTTEN_MS, () -> forgotten(id));
         tell(() -> router.query(loop.nowMs(), id, new QueryRequest(grade, key(command.key()), taken.quitAt - loop.nowMs(),
                 workMs(command), command.isWrite(), command.fact("r").equals("1"))));
         return id;
     }
 
     @Override
-    public void reject(Command command, Owed owed) {
+    public void reject(Command command, PendingReply owed) {
         command.release();
         figures.turnedAway(command.fact("c"), Figures.End.REJECTED);
-        owed.busy(site.routerSettings().maxRetryAfterMs() > 0 ? TABLE_FULL_MS : 0);
+        owed.replyBusy(site.routerSettings().maxRetryAfterMs() > 0 ? TABLE_FULL_MS : 0);
     }
 
     /** What {@code d} says, in ms, up to the statement timeout; -1 where it is missing or no plain number. */
@@ -370,7 +370,7 @@
         Taken taken = queries.get(id.value());
         if (taken != null && !taken.answered) {
             LOG.log(Level.ERROR, "query {0} had no answer at its statement timeout", taken.command.id());
-            taken.owed.line(FAILED);
+            taken.owed.replyLine(FAILED);
             clientLeft(id);
         }
     }
@@ -393,7 +393,7 @@
     /** Guards rule 1: what waits for a connection still, such as a second copy, is not sent for it afterwards. */
     private static void answered(Taken taken) {
         taken.answered = true;
-        taken.forgotten.callOff();
+        taken.forgotten.cancelTask();
         List.copyOf(taken.execs).forEach(Sent::takeBack);
     }
 
@@ -413,7 +413,7 @@
         }
         double now = loop.nowMs();
         double until = timeoutMs == 0 ? taken.quitAt : Math.min(taken.quitAt, now + timeoutMs);
-        boolean clientIsHere = taken.execs.isEmpty() || taken.owed.isClientHere(); // the first goes out as its query is read
+        boolean clientIsHere = taken.execs.isEmpty() || taken.owed.isClientConnected(); // the first goes out as its query is read
         Execution execution = new Execution(id, taken.execs.size(), taken.command, now, until, this);
         Backend backend = nodes.backend(node);
         taken.out++;
@@ -422,11 +422,11 @@
             execution.end(ExecutionResult.of(Outcome.UNSENT));
             return;
         }
-        Loop.Deadline deadline = loop.at(until, () -> timedOut(execution, backend));
+        IoLoop.PendingTask deadline = loop.scheduleAt(until, () -> timedOut(execution, backend));
         double windowEnds = windowEnds(taken);
         Sent sent = new Sent(execution, node, backend, deadline);
         if (windowEnds < until) {
-            loop.at(windowEnds, sent::takeBack);
+            loop.scheduleAt(windowEnds, sent::takeBack);
         }
         taken.execs.add(sent);
         backend.begin(execution);
@@ -443,7 +443,7 @@
     public boolean mayBegin(Execution execution) {
         Taken taken = queries.get(execution.query.value());
         double now = loop.nowMs();
-        return taken != null && !taken.answered && now < execution.deadlineMs && taken.owed.isClientHere() && !taken.answered;
+        return taken != null && !taken.answered && now < execution.deadlineMs && taken.owed.isClientConnected() && !taken.answered;
     }
 
     @Override
@@ -469,7 +469,7 @@
     @Override
     public void ended(Execution execution, ExecutionResult ending) {
         Taken taken = queries.get(execution.query.value());
-        taken.execs.get(execution.number).deadline.callOff();
+        taken.execs.get(execution.number).deadline.cancelTask();
         double took = loop.nowMs() - execution.sentAt;
         if (lookout != null) {
             tellOf(taken.execs.get(execution.number).node, execution.sentAt, took, ending.outcome());
@@ -479,13 +479,13 @@
                 ending.release();
             } else if (ending.transfer() == null) {
                 answered(taken, Figures.End.COMPLETED);
-                taken.owed.value(ending.value());
+                taken.owed.replyValue(ending.value());
             } else { // it is answered from its first bytes on, and ended when the client has the last
                 answered(taken);
                 Transfer transfer = ending.transfer();
-                transfer.connect(taken.owed::more, () -> figures.ended(taken.grade,
+                transfer.connect(taken.owed::transferAdvanced, () -> figures.ended(taken.grade,
                         transfer.isDone() ? Figures.End.COMPLETED : Figures.End.FAILED));
-                taken.owed.begun(transfer);
+                taken.owed.replyTransfer(transfer);
             }
         } else if (ending.outcome() == Outcome.ERRED && loop.nowMs() > errorLoggedAt + ERRORS_APART_MS) {
             errorLoggedAt = loop.nowMs();
@@ -510,15 +510,15 @@
 
     @Override
     public void reject(QueryId id, double retryAfterMs) {
-        answer(id, Figures.End.REJECTED, owed -> owed.busy(retryAfterMs));
+        answer(id, Figures.End.REJECTED, owed -> owed.replyBusy(retryAfterMs));
     }
 
     @Override
     public void abort(QueryId id) {
-        answer(id, Figures.End.FAILED, owed -> owed.line(FAILED));
+        answer(id, Figures.End.FAILED, owed -> owed.replyLine(FAILED));
     }
 
-    private void answer(QueryId id, Figures.End how, Consumer<Owed> last) {
+    private void answer(QueryId id, Figures.End how, Consumer<PendingReply> last) {
         Taken taken = queries.get(id.value());
         if (taken != null && !taken.answered) {
             answered(taken, how);
@@ -541,13 +541,13 @@
         if (inMs > 0) {
             callIn(inMs);
         } else {
-            watch.follow();
+            watch.startWatching();
         }
     }
 
     @Override
     public void startTimer(TimerId timer, double delayMs) {
-        loop.at(loop.nowMs() + delayMs, () -> tell(() -> router.timerFired(loop.nowMs(), timer)));
+        loop.scheduleAt(loop.nowMs() + delayMs, () -> tell(() -> router.timerFired(loop.nowMs(), timer)));
     }
 
     @Override
--- a/src/main/java/dappleseam/proxy/Rehearsal.java
+++ b/src/main/java/dappleseam/proxy/Rehearsal.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import dappleseam.clients.ClientFront;
+import dappleseam.clients.ClientFrontend;
 import dappleseam.control.Figures;
 import dappleseam.site.ProxyConfig;
 import dappleseam.wire.BufferPool;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
-import dappleseam.wire.Progress;
+import dappleseam.wire.IoLoop;
+import dappleseam.wire.ParseStatus;
 import dappleseam.wire.RespMessage;
 import dappleseam.wire.RespReader;
 import dappleseam.wire.RespWriter;
@@ -30,7 +30,7 @@
  * Queries through a whole proxy with stand-ins for its peers, over pipes, before the first client is let in. Guards
  * nodes and clients against a cold start: code that is loaded and compiled under load makes every answer late.
  */
-final class Rehearsal implements Loop {
+final class Rehearsal implements IoLoop {
     private static final Logger LOG = System.getLogger(Rehearsal.class.getName());
     /** Queries in all: what each runs through has then been compiled; at once: a few descriptors each. */
     private static final int QUERIES = 120;
@@ -45,7 +45,7 @@
     private static final InetSocketAddress ORIGIN = new InetSocketAddress("127.0.0.1", 2);
     private static final String VALUE = "v".repeat(300);
 
-    private final Loop loop;
+    private final IoLoop loop;
     private final XnioIoThread thread;
     private final Consumer<Boolean> whenOver;
     private final List<Link> links = new ArrayList<>();
@@ -55,7 +55,7 @@
     private int values;
     private boolean over;
 
-    private Rehearsal(Loop loop, XnioIoThread thread, ProxyConfig post, Consumer<Boolean> whenOver) {
+    private Rehearsal(IoLoop loop, XnioIoThread thread, ProxyConfig post, Consumer<Boolean> whenOver) {
         this.loop = loop;
         this.thread = thread;
         this.whenOver = whenOver;
@@ -63,7 +63,7 @@
     }
 
     /** Plays it; {@code whenOver} is told whether every query was answered, and most with a value. */
-    static void play(Loop loop, XnioIoThread thread, ProxyConfig post, Consumer<Boolean> whenOver) {
+    static void play(IoLoop loop, XnioIoThread thread, ProxyConfig post, Consumer<Boolean> whenOver) {
         Rehearsal rehearsal = new Rehearsal(loop, thread, post, whenOver);
         try {
             rehearsal.begin(post);
@@ -74,10 +74,10 @@
     }
 
     private void begin(ProxyConfig post) throws IOException {
-        ClientFront front = new ClientFront(this, new Proxy(this, withStandIns(post), new Figures()), 2 * AT_ONCE, 2 * AT_ONCE);
-        loop.at(loop.nowMs() + LONGEST_MS, this::end);
+        ClientFrontend front = new ClientFrontend(this, new Proxy(this, withStandIns(post), new Figures()), 2 * AT_ONCE, 2 * AT_ONCE);
+        loop.scheduleAt(loop.nowMs() + LONGEST_MS, this::end);
         ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
-        front.opened(pipe.getRightSide());
+        front.addClient(pipe.getRightSide());
         Link client = speaking(pipe.getLeftSide(), this::answered);
         for (int i = 0; i < AT_ONCE; i++) {
             ask(client);
@@ -141,8 +141,8 @@
         RespReader reader = new RespReader(loop.pool(), LONGEST_BULK);
         Link[] self = new Link[1];
         self[0] = listening(connection, bytes -> {
-            while (bytes.hasRemaining() && reader.read(bytes) == Progress.DONE) {
-                RespMessage message = reader.take();
+            while (bytes.hasRemaining() && reader.read(bytes) == ParseStatus.DONE) {
+                RespMessage message = reader.takeMessage();
                 whole.accept(self[0], message);
                 message.release();
             }
@@ -151,24 +151,24 @@
     }
 
     private Link listening(StreamConnection connection, Consumer<ByteBuffer> received) {
-        Link link = link(connection, new Link.Events() {
+        Link link = createLink(connection, new Link.Listener() {
             @Override
             public void received(ByteBuffer bytes) {
                 received.accept(bytes);
             }
 
             @Override
-            public void ended(String cause) {}
+            public void disconnected(String cause) {}
         });
         link.resume();
         return link;
     }
 
     @Override
-    public Deadline dial(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
+    public PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
                          Consumer<String> failed) {
         if (!to.equals(CACHE) && !to.equals(ORIGIN)) {
-            return at(nowMs(), () -> failed.accept("the list is not rehearsed"));
+            return scheduleAt(nowMs(), () -> failed.accept("the list is not rehearsed"));
         }
         try {
             ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
@@ -181,16 +181,16 @@
                     peer[0].flush();
                 });
             }
-            return at(nowMs(), () -> up.accept(pipe.getLeftSide()));
+            return scheduleAt(nowMs(), () -> up.accept(pipe.getLeftSide()));
         } catch (IOException e) {
-            return at(nowMs(), () -> failed.accept(e.getMessage()));
+            return scheduleAt(nowMs(), () -> failed.accept(e.getMessage()));
         }
     }
 
     /** Nothing falls due once it is over: its proxy would go on following the list. */
     @Override
-    public Deadline at(double whenMs, Runnable due) {
-        return loop.at(whenMs, () -> {
+    public PendingTask scheduleAt(double whenMs, Runnable due) {
+        return loop.scheduleAt(whenMs, () -> {
             if (!over) {
                 due.run();
             }
@@ -203,13 +203,13 @@
     }
 
     @Override
-    public boolean mayDial() {
+    public boolean mayConnect() {
         return true;
     }
 
     @Override
-    public Link link(StreamConnection connection, Link.Events events) {
-        Link link = loop.link(connection, events);
+    public Link createLink(StreamConnection connection, Link.Listener events) {
+        Link link = loop.createLink(connection, events);
         links.add(link);
         return link;
     }
--- a/src/main/java/dappleseam/proxy/Serve.java
+++ b/src/main/java/dappleseam/proxy/Serve.java
@@ -1,7 +1,7 @@
 package dappleseam.proxy;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import dappleseam.clients.ClientFront;
+import dappleseam.clients.ClientFrontend;
 import dappleseam.control.Door;
 import dappleseam.control.Figures;
 import dappleseam.control.Staff;
@@ -33,7 +33,7 @@
 import org.xnio.Options;
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
-import org.xnio.nio.SharedPort;
+import org.xnio.nio.ReusePortListener;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -94,7 +94,7 @@
 
     private XnioWorker worker;
     private EventLoop loop;
-    private ClientFront front;
+    private ClientFrontend front;
     /** Null where no file was named: nothing of it is loaded then. */
     private InFleet fleet;
     private volatile Proxy proxy;
@@ -205,7 +205,7 @@
             Rehearsal.play(loop, worker.getIoThread(), post, passed -> {
                 rehearsed = passed;
                 try { // a fault here is not the rehearsal's
-                    front = new ClientFront(loop, proxy, forClients(post, 1),
+                    front = new ClientFrontend(loop, proxy, forClients(post, 1),
                             post.descriptors() / DESCRIPTORS_A_CLIENT);
                     shutdown = new Shutdown(loop, front, proxy::abortAll, ended::countDown);
                     publish();
@@ -256,7 +256,7 @@
                 awaitsList = true;
                 LOG.log(Level.INFO, "waiting for the first list");
             }
-            loop.at(loop.nowMs() + LOOK_AGAIN_MS, () -> listen(post, untilMs, fault, begun));
+            loop.scheduleAt(loop.nowMs() + LOOK_AGAIN_MS, () -> listen(post, untilMs, fault, begun));
             return;
         }
         try {
@@ -264,7 +264,7 @@
             front.listen(worker, post.listen());
         } catch (IOException | RuntimeException e) {
             if (mayPass(e) && EventLoop.machineMs() < socketsUntil) {
-                loop.at(loop.nowMs() + LOOK_AGAIN_MS, () -> listen(post, untilMs, fault, begun));
+                loop.scheduleAt(loop.nowMs() + LOOK_AGAIN_MS, () -> listen(post, untilMs, fault, begun));
                 return;
             }
             fault[0] = e;
@@ -299,7 +299,7 @@
     private void awaitSockets() throws InterruptedException {
         while (EventLoop.machineMs() < socketsUntil) {
             try {
-                SharedPort.lookForSharing();
+                ReusePortListener.probeReusePort();
                 return;
             } catch (IOException e) {
                 Thread.sleep((long) LOOK_AGAIN_MS);
@@ -324,7 +324,7 @@
             return;
         }
         proxy.publish();
-        loop.at(loop.nowMs() + PUBLISH_MS, this::publish);
+        loop.scheduleAt(loop.nowMs() + PUBLISH_MS, this::publish);
     }
 
     /** Guards rule 3 over an upgrade: what the other process was told of drains holds for this one. */
@@ -423,7 +423,7 @@
                 ready = false;
                 worker.getIoThread().execute(() -> {
                     if (front != null) {
-                        front.outOfService();
+                        front.takeOutOfService();
                     }
                 });
                 LOG.log(Level.INFO, "out of service: clients are sent away");
@@ -433,7 +433,7 @@
             public void inService() {
                 worker.getIoThread().execute(() -> {
                     if (front != null && front.isListening()) {
-                        front.inService();
+                        front.returnToService();
                         ready = true;
                     }
                 });
@@ -459,7 +459,7 @@
         }
         int processes = seats.areShared() ? 2 : 1;
         loop.limitDialled(forPeers(post, processes));
-        front.limit(forClients(post, processes));
+        front.setMaxConnections(forClients(post, processes));
     }
 
     /** Whether a PING through a socket of its own comes back; the archive of classes is to hold what sockets need, too. */
@@ -472,15 +472,15 @@
         } catch (IOException e) {
             return false;
         }
-        worker.getIoThread().execute(() -> loop.dial(own, SELF_MS, connection -> {
-            Link self = loop.link(connection, new Link.Events() {
+        worker.getIoThread().execute(() -> loop.connect(own, SELF_MS, connection -> {
+            Link self = loop.createLink(connection, new Link.Listener() {
                 @Override
                 public void received(ByteBuffer bytes) {
                     ponged.complete(StandardCharsets.US_ASCII.decode(bytes).toString().startsWith("+PONG"));
                 }
 
                 @Override
-                public void ended(String cause) {
+                public void disconnected(String cause) {
                     ponged.complete(false);
                 }
             });
--- a/src/main/java/dappleseam/proxy/Shutdown.java
+++ b/src/main/java/dappleseam/proxy/Shutdown.java
@@ -1,7 +1,7 @@
 package dappleseam.proxy;
 
-import dappleseam.clients.ClientFront;
-import dappleseam.wire.Loop;
+import dappleseam.clients.ClientFrontend;
+import dappleseam.wire.IoLoop;
 
 /**
  * A graceful shutdown, as one sequence of states on the I/O thread. Guards clients against the time until the next start: those that are
@@ -32,8 +32,8 @@
     /** Rounds of answering and closing in one go: what comes while a connection is closed is answered in the next. */
     private static final int ROUNDS = 4;
 
-    private final Loop loop;
-    private final ClientFront front;
+    private final IoLoop loop;
+    private final ClientFrontend front;
     private final Runnable abortAll;
     private final Runnable whenEnded;
     /** When the platform may kill. */
@@ -43,7 +43,7 @@
     private State state = State.ACCEPTING;
 
     /** Made at the start, when there is time: loading it late would take of the time to the kill. {@code abortAll} answers all that is open. */
-    Shutdown(Loop loop, ClientFront front, Runnable abortAll, Runnable whenEnded) {
+    Shutdown(IoLoop loop, ClientFrontend front, Runnable abortAll, Runnable whenEnded) {
         this.loop = loop;
         this.front = front;
         this.abortAll = abortAll;
@@ -82,7 +82,7 @@
         if (state == State.ENDED || state != State.ACCEPTING && !front.hasClients() && !front.isListening()) {
             end();
         } else {
-            loop.at(loop.nowMs() + LOOK_AGAIN_MS, this::step);
+            loop.scheduleAt(loop.nowMs() + LOOK_AGAIN_MS, this::step);
         }
     }
 
@@ -108,7 +108,7 @@
 
     private void end() {
         state = State.ENDED;
-        front.takeNoMore(); // first: what this reads is aborted with the rest
+        front.stopReading(); // first: what this reads is aborted with the rest
         abortAll.run();
         whenEnded.run();
     }
--- a/src/main/java/dappleseam/query/Command.java
+++ b/src/main/java/dappleseam/query/Command.java
@@ -1,12 +1,12 @@
 package dappleseam.query;
 
-import dappleseam.wire.Chain;
+import dappleseam.wire.BufferChain;
 
 /**
  * What a client asked for, as it is passed on. {@code facts} is the list of names and values as it came;
  * {@code value} is null for a read.
  */
-public record Command(String key, String id, String facts, Chain value) {
+public record Command(String key, String id, String facts, BufferChain value) {
     public boolean isWrite() {
         return value != null;
     }
--- a/src/main/java/dappleseam/query/ExecutionResult.java
+++ b/src/main/java/dappleseam/query/ExecutionResult.java
@@ -1,11 +1,11 @@
 package dappleseam.query;
 
 import dappleseam.router.Outcome;
-import dappleseam.wire.Chain;
+import dappleseam.wire.BufferChain;
 
 /** How an execution ended: a value, or a long one on its way, where it completed, and a cause where it failed. */
-public record ExecutionResult(Outcome outcome, Chain value, Transfer transfer, String cause) {
-    public static ExecutionResult completed(Chain value) {
+public record ExecutionResult(Outcome outcome, BufferChain value, Transfer transfer, String cause) {
+    public static ExecutionResult completed(BufferChain value) {
         return new ExecutionResult(Outcome.COMPLETED, value, null, "");
     }
 
--- a/src/main/java/dappleseam/query/LargeValueReceiver.java
+++ b/src/main/java/dappleseam/query/LargeValueReceiver.java
@@ -1,14 +1,14 @@
 package dappleseam.query;
 
-import dappleseam.wire.Large;
+import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.nio.ByteBuffer;
 
 /** The long values that come on one connection to a node, each handed to whoever waits for it, or passed over. */
-public final class LargeValueReceiver implements Large, Transfer.Source {
+public final class LargeValueReceiver implements LargeValueHandler, Transfer.Source {
     /** The connection they come on. */
-    public interface Connection extends Link.Events {
+    public interface Connection extends Link.Listener {
         /** The execution whose answer begins with a long value; null where none is owed. */
         Execution answeringExecution();
 
@@ -18,13 +18,13 @@
         void abandoned();
     }
 
-    private final Loop loop;
+    private final IoLoop loop;
     private final Connection connection;
     private Transfer transfer;
     private boolean paused;
     private long came;
 
-    public LargeValueReceiver(Loop loop, Connection connection) {
+    public LargeValueReceiver(IoLoop loop, Connection connection) {
         this.loop = loop;
         this.connection = connection;
     }
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void begins(long length) {
+    public void valueStarted(long length) {
         Execution execution = connection.answeringExecution();
         if (execution != null && !execution.hasEnded()) {
             transfer = new Transfer(length, loop.pool(), this);
@@ -44,7 +44,7 @@
     }
 
     @Override
-    public void part(ByteBuffer in, int count) {
+    public void valueBytes(ByteBuffer in, int count) {
         came += count;
         if (transfer != null) {
             transfer.put(in, count);
@@ -56,9 +56,9 @@
     /** Guards a client against a node that stops in the middle of a value. */
     private void watch(Transfer watched) {
         long before = came;
-        loop.at(loop.nowMs() + Transfer.STALLED_MS, () -> {
+        loop.scheduleAt(loop.nowMs() + Transfer.STALLED_MS, () -> {
             if (transfer == watched && came == before && !paused) {
-                connection.ended("a value stopped half-way");
+                connection.disconnected("a value stopped half-way");
             } else if (transfer == watched) {
                 watch(watched);
             }
@@ -68,7 +68,7 @@
     @Override
     public void pause() {
         paused = true;
-        connection.link().pause();
+        connection.link().pauseReading();
     }
 
     @Override
--- a/src/main/java/dappleseam/query/Transfer.java
+++ b/src/main/java/dappleseam/query/Transfer.java
@@ -1,7 +1,7 @@
 package dappleseam.query;
 
 import dappleseam.wire.BufferPool;
-import dappleseam.wire.Chain;
+import dappleseam.wire.BufferChain;
 import java.nio.ByteBuffer;
 
 /**
@@ -39,7 +39,7 @@
     public final long length;
     private final Source source;
     private final BufferPool pool;
-    private final Chain held;
+    private final BufferChain held;
     private Taker taker = () -> { };
     private Runnable whenOver = () -> { };
     private State state = State.UNDER_WAY;
@@ -51,7 +51,7 @@
         this.length = length;
         this.source = source;
         this.pool = pool;
-        held = new Chain(pool);
+        held = new BufferChain(pool);
     }
 
     /** {@code whenOver} is told once: the client has all of it, or never will. */
@@ -97,8 +97,8 @@
     // the client's side
 
     /** Moves what is held, up to so many bytes. */
-    public void moveTo(Chain out, long most) {
-        out.takePart(held, most);
+    public void moveTo(BufferChain out, long most) {
+        out.moveUpTo(held, most);
         if (paused && held.size() <= FEW && state == State.UNDER_WAY) {
             paused = false;
             source.resume();
--- a/src/main/java/dappleseam/servers/CacheNode.java
+++ b/src/main/java/dappleseam/servers/CacheNode.java
@@ -9,11 +9,11 @@
 import dappleseam.query.WriteProgress;
 import dappleseam.query.Slots;
 import dappleseam.router.Outcome;
-import dappleseam.wire.Chain;
-import dappleseam.wire.Large;
+import dappleseam.wire.BufferChain;
+import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
-import dappleseam.wire.Progress;
+import dappleseam.wire.IoLoop;
+import dappleseam.wire.ParseStatus;
 import dappleseam.wire.RespMessage;
 import dappleseam.wire.RespReader;
 import dappleseam.wire.RespWriter;
@@ -34,13 +34,13 @@
     /** Longest way there and back in ms: a connection that took longer to come up was kept waiting here. */
     private static final double FAR_MS = 2;
 
-    private final Loop loop;
+    private final IoLoop loop;
     private final InetSocketAddress endpoint;
     private ConnectionPolicy limits;
     private final Slots<Connection> open = new Slots<>();
     private boolean retired;
 
-    public CacheNode(Loop loop, InetSocketAddress endpoint, ConnectionPolicy limits) {
+    public CacheNode(IoLoop loop, InetSocketAddress endpoint, ConnectionPolicy limits) {
         this.loop = loop;
         this.endpoint = endpoint;
         this.limits = limits;
@@ -55,7 +55,7 @@
             }
         }
         boolean shared = limits.preferSharing() && limits.reuseStats().isSharingSafe(loop.nowMs());
-        if (best == null || best.load() > 0 && !shared && loop.mayDial()) {
+        if (best == null || best.load() > 0 && !shared && loop.mayConnect()) {
             best = new Connection();
             best.waiting.add(execution);
             best.dial();
@@ -137,7 +137,7 @@
         /** Put out, and not known yet to be written whole, in order. */
         private final ArrayDeque<Sent> unwritten = new ArrayDeque<>();
         private final LargeValueReceiver inflow = new LargeValueReceiver(loop, this);
-        private final RespReader reader = new RespReader(loop.pool(), Large.LONGEST, inflow);
+        private final RespReader reader = new RespReader(loop.pool(), LargeValueHandler.MAX_BYTES, inflow);
         private final int slot = open.put(this);
         private Link link;
         private double idleSince;
@@ -149,7 +149,7 @@
         /** How long it had been idle when the command went out that has no answer yet; under 0 for all others. */
         private double idleMs = -1;
         /** Closes the connection unless something happens. */
-        private Loop.Deadline closing = () -> { };
+        private IoLoop.PendingTask closing = () -> { };
 
         int load() {
             return waiting.size() + sent.size();
@@ -173,7 +173,7 @@
                 return true;
             }
             double idle = loop.nowMs() - idleSince;
-            if (!link.isQuiet() || !limits.reuseStats().mayReuse(idle)) {
+            if (!link.hasNoInput() || !limits.reuseStats().mayReuse(idle)) {
                 close();
                 return false;
             }
@@ -182,11 +182,11 @@
         }
 
         void dial() {
-            loop.dial(endpoint, limits.connectTimeoutMs(), this::up, this::failed);
+            loop.connect(endpoint, limits.connectTimeoutMs(), this::up, this::failed);
         }
 
         private void up(StreamConnection connection) {
-            link = loop.link(connection, this);
+            link = loop.createLink(connection, this);
             connectMs = loop.nowMs() - dialledAt;
             link.resume();
             while (!waiting.isEmpty() && !link.isClosed()) {
@@ -207,37 +207,37 @@
         }
 
         void send(Execution e) {
-            closing.callOff();
+            closing.cancelTask();
             if (link == null) {
                 waiting.add(e);
                 return;
             }
-            long beginsAt = link.queued();
+            long beginsAt = link.bytesQueued();
             try {
                 write(e.command, Math.max(1, Math.round(e.deadlineMs - loop.nowMs())), link.out());
             } catch (RuntimeException fault) { // half a command must not be followed by another
                 sent.add(new Sent(e, beginsAt, Long.MAX_VALUE, loop.nowMs()));
-                ended("fault: " + fault);
+                disconnected("fault: " + fault);
                 return;
             }
-            Sent one = new Sent(e, beginsAt, link.queued(), loop.nowMs());
+            Sent one = new Sent(e, beginsAt, link.bytesQueued(), loop.nowMs());
             sent.add(one);
             unwritten.add(one);
             link.flush();
         }
 
         @Override
-        public void drained() {
+        public void flushed() {
             tellWritten();
         }
 
         private void tellWritten() {
-            while (!unwritten.isEmpty() && unwritten.peek().endsAt <= link.written()) {
+            while (!unwritten.isEmpty() && unwritten.peek().endsAt <= link.bytesWritten()) {
                 unwritten.poll().execution.written();
             }
         }
 
-        private static void write(Command command, long waitMs, Chain to) {
+        private static void write(Command command, long waitMs, BufferChain to) {
             RespWriter.array(to, command.isWrite() ? 5 : 4);
             RespWriter.bulk(to, command.isWrite() ? "C.SET" : "C.GET");
             RespWriter.bulk(to, command.key());
@@ -254,16 +254,16 @@
                 return true;
             }
             Sent newest = sent.peekLast();
-            if (newest == null || newest.execution != execution || link.written() >= newest.endsAt) {
+            if (newest == null || newest.execution != execution || link.bytesWritten() >= newest.endsAt) {
                 return false;
             }
             sent.removeLast();
             unwritten.remove(newest);
-            if (link.written() == newest.beginsAt) { // all that is unwritten is its own
+            if (link.bytesWritten() == newest.beginsAt) { // all that is unwritten is its own
                 link.dropUnwritten();
                 settled();
             } else {
-                ended("a command was taken back half-written"); // the rest would go out still
+                disconnected("a command was taken back half-written"); // the rest would go out still
             }
             return true;
         }
@@ -271,7 +271,7 @@
         /** The neighbours keep the connection; alone on it, the execution is ended with it where asked. */
         WriteProgress giveUp(Sent given) {
             if (limits.closeToCancel() && sent.size() == 1) {
-                WriteProgress reached = link.written() >= given.endsAt ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
+                WriteProgress reached = link.bytesWritten() >= given.endsAt ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
                 sent.clear();
                 close();
                 return reached;
@@ -280,8 +280,8 @@
                 // Guards the next ones against an answer that never comes: all behind it on the connection are lost.
                 limits.reuseStats().recordFailure(loop.nowMs());
             }
-            closing.callOff();
-            closing = loop.at(loop.nowMs() + STUCK_MS, this::closeIfForgotten);
+            closing.cancelTask();
+            closing = loop.scheduleAt(loop.nowMs() + STUCK_MS, this::closeIfForgotten);
             return WriteProgress.COMPLETE; // what is not written yet goes out still
         }
 
@@ -294,11 +294,11 @@
         @Override
         public void received(ByteBuffer bytes) {
             while (bytes.hasRemaining() && !link.isClosed()) {
-                Progress progress = reader.read(bytes);
-                if (progress == Progress.BAD) {
+                ParseStatus progress = reader.read(bytes);
+                if (progress == ParseStatus.MALFORMED) {
                     spoilt("not RESP");
-                } else if (progress == Progress.DONE) {
-                    answered(reader.take());
+                } else if (progress == ParseStatus.DONE) {
+                    answered(reader.takeMessage());
                 }
             }
             if (!link.isClosed()) {
@@ -356,7 +356,7 @@
 
         /** Null for what is RESP and yet no answer to a command. */
         private static ExecutionResult ending(RespMessage message) {
-            if (message.sign == '*' && message.bulks.size() == PARTS) {
+            if (message.type == '*' && message.bulks.size() == PARTS) {
                 return message.bulk(0) == null ? ExecutionResult.of(Outcome.MISS) : ExecutionResult.completed(message.takeBulk(0));
             }
             if (!message.isError()) {
@@ -371,12 +371,12 @@
             if (load() > 0) {
                 return;
             }
-            closing.callOff();
+            closing.cancelTask();
             idleSince = loop.nowMs();
             if (retired) {
                 close();
             } else {
-                closing = loop.at(loop.nowMs() + limits.idleTimeoutMs(), this::closeIfForgotten);
+                closing = loop.scheduleAt(loop.nowMs() + limits.idleTimeoutMs(), this::closeIfForgotten);
             }
         }
 
@@ -388,7 +388,7 @@
         }
 
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             if (!sent.isEmpty()) {
                 limits.reuseStats().recordFailure(loop.nowMs());
                 toldOfReuse(true);
@@ -408,7 +408,7 @@
 
         void close() {
             tellWritten();
-            closing.callOff();
+            closing.cancelTask();
             reader.release();
             open.free(slot);
             link.close();
@@ -419,14 +419,14 @@
         private void broken(Function<Boolean, ExecutionResult> ending) {
             while (!sent.isEmpty()) {
                 Sent s = sent.poll();
-                s.execution.end(ending.apply(link.written() >= s.endsAt));
+                s.execution.end(ending.apply(link.bytesWritten() >= s.endsAt));
             }
         }
 
         /** Ends the command of which no byte has gone out yet: only the last one can be such. */
         void endUnbegun(String cause) {
             Sent newest = sent.peekLast();
-            if (newest != null && link.written() <= newest.beginsAt && takeBack(newest.execution)) {
+            if (newest != null && link.bytesWritten() <= newest.beginsAt && takeBack(newest.execution)) {
                 newest.execution.end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
             }
         }
--- a/src/main/java/dappleseam/wire/Chain.java
+++ b/src/main/java/dappleseam/wire/BufferChain.java
@@ -7,13 +7,13 @@
 import java.util.ArrayDeque;
 
 /** Bytes in a row of pooled buffers: added at the end, taken from the front. */
-public final class Chain {
+public final class BufferChain {
     private final BufferPool pool;
     /** Each from its position, the first byte not yet taken, to its limit. */
     private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
     private long size;
 
-    public Chain(BufferPool pool) {
+    public BufferChain(BufferPool pool) {
         this.pool = pool;
     }
 
@@ -40,22 +40,22 @@
         }
     }
 
-    public Chain put(String ascii) {
+    public BufferChain put(String ascii) {
         byte[] bytes = ascii.getBytes(StandardCharsets.ISO_8859_1);
         put(ByteBuffer.wrap(bytes), bytes.length);
         return this;
     }
 
     /** Adds a copy of all that {@code other} holds. */
-    public Chain copy(Chain other) {
-        copyPart(other, 0, other.size);
+    public BufferChain copyFrom(BufferChain other) {
+        copyRange(other, 0, other.size);
         return this;
     }
 
     /** Moves all that {@code other} holds to the end of this one. */
-    public void take(Chain other) {
+    public void moveFrom(BufferChain other) {
         if (other.size <= BufferPool.SIZE / 4) {
-            copy(other); // a short answer does not keep a buffer of its own
+            copyFrom(other); // a short answer does not keep a buffer of its own
             other.release();
         } else {
             buffers.addAll(other.buffers);
@@ -66,7 +66,7 @@
     }
 
     /** Adds a copy of up to {@code count} bytes of {@code other}, from its byte {@code from} on; says how many. */
-    public long copyPart(Chain other, long from, long count) {
+    public long copyRange(BufferChain other, long from, long count) {
         long skip = from;
         long left = count;
         for (ByteBuffer buffer : other.buffers) {
@@ -85,7 +85,7 @@
     }
 
     /** Moves up to {@code most} bytes from the front of {@code other} to the end of this one. */
-    public void takePart(Chain other, long most) {
+    public void moveUpTo(BufferChain other, long most) {
         long left = most;
         while (left > 0 && !other.buffers.isEmpty()) {
             ByteBuffer first = other.buffers.peekFirst();
--- a/src/main/java/dappleseam/wire/BufferPool.java
+++ b/src/main/java/dappleseam/wire/BufferPool.java
@@ -43,7 +43,7 @@
     }
 
     /** Bytes in all. */
-    public long all() {
+    public long totalBytes() {
         return (long) most * SIZE;
     }
 
--- a/src/main/java/dappleseam/wire/Link.java
+++ b/src/main/java/dappleseam/wire/Link.java
@@ -17,32 +17,32 @@
     private static final int AHEAD = 16 << 10;
 
     /** What happens on a connection. */
-    public interface Events {
+    public interface Listener {
         /** Bytes have come; all of them are to be used up before this returns. */
         void received(ByteBuffer bytes);
 
         /** The connection broke, or the peer has ended it. At most once with {@link #finished}, and never after close. */
-        void ended(String cause);
+        void disconnected(String cause);
 
         /** The peer has ended the connection in order: all that it wrote has come. A reset is no such end. */
-        default void finished() {
-            ended("closed by the peer");
+        default void endOfStream() {
+            disconnected("closed by the peer");
         }
 
-        /** All that had come is handed on, and the connection has not ended; where {@link Link#isBlind}, as much as can be held. */
-        default void caughtUp() {}
+        /** All that had come is handed on, and the connection has not ended; where {@link Link#hasUnreadInput}, as much as can be held. */
+        default void readComplete() {}
 
         /** All that was put out is written. */
-        default void drained() {}
+        default void flushed() {}
     }
 
     private final StreamConnection connection;
     private final ConduitStreamSourceChannel source;
     private final ConduitStreamSinkChannel sink;
     private final ByteBuffer scratch;
-    private final Events events;
-    private final Chain out;
-    private long written;
+    private final Listener events;
+    private final BufferChain out;
+    private long bytesWritten;
     private boolean closed;
     private boolean paused;
     /** The last read left off before all was read. */
@@ -51,14 +51,14 @@
     private ByteBuffer ahead;
 
     /** {@code scratch} is shared by all connections of the thread: what is read is used up at once. */
-    public Link(StreamConnection connection, BufferPool pool, ByteBuffer scratch, Events events) {
+    public Link(StreamConnection connection, BufferPool pool, ByteBuffer scratch, Listener events) {
         this.connection = connection;
         this.scratch = scratch;
         this.events = events;
-        out = new Chain(pool);
+        out = new BufferChain(pool);
         source = connection.getSourceChannel();
         sink = connection.getSinkChannel();
-        source.getReadSetter().set(channel -> readable());
+        source.getReadSetter().set(channel -> readAvailable());
         sink.getWriteSetter().set(channel -> flush());
     }
 
@@ -77,24 +77,24 @@
     }
 
     /** Hands on nothing more until {@link #resume}, and goes on looking for an end: backpressure must not hide one. */
-    public void hold() {
+    public void pauseDelivery() {
         if (!closed && ahead == null) {
             ahead = ByteBuffer.allocate(AHEAD);
         }
     }
 
     /** Whether an end could not be seen now: more has come than is read, or read ahead. */
-    public boolean isBlind() {
+    public boolean hasUnreadInput() {
         return hasMore || ahead != null && !ahead.hasRemaining();
     }
 
     /** Whether something has come that is not handed on yet. */
-    public boolean hasReadAhead() {
+    public boolean hasUndeliveredInput() {
         return ahead != null && ahead.position() > 0;
     }
 
     /** Reads no more until {@link #resume}. */
-    public void pause() {
+    public void pauseReading() {
         if (!closed) {
             paused = true;
             source.suspendReads();
@@ -102,18 +102,18 @@
     }
 
     /** Where messages are written; {@link #flush} sends them. */
-    public Chain out() {
+    public BufferChain out() {
         return out;
     }
 
     /** Bytes put out since the start. */
-    public long queued() {
-        return written + out.size();
+    public long bytesQueued() {
+        return bytesWritten + out.size();
     }
 
     /** Bytes handed to the kernel since the start: they may have come to the peer. */
-    public long written() {
-        return written;
+    public long bytesWritten() {
+        return bytesWritten;
     }
 
     public boolean isClosed() {
@@ -131,7 +131,7 @@
             return;
         }
         try {
-            written += out.writeTo(sink);
+            bytesWritten += out.writeTo(sink);
             if (out.size() > 0) {
                 sink.resumeWrites();
                 return;
@@ -143,11 +143,11 @@
             end("write: " + e.getMessage());
             return;
         }
-        events.drained();
+        events.flushed();
     }
 
     /** Whether nothing has come, not even an end, on a connection on which nothing is due; what has, is lost. */
-    public boolean isQuiet() {
+    public boolean hasNoInput() {
         try {
             return !closed && source.read(ByteBuffer.allocate(1)) == 0;
         } catch (IOException e) {
@@ -156,12 +156,12 @@
     }
 
     /** Reads what is there now, without waiting to be told; not while another connection's bytes are handled. */
-    public void readable() {
+    public void readAvailable() {
         read(scratch);
     }
 
     /** The same while another connection's bytes may be in hand. */
-    public void look() {
+    public void readAvailableNested() {
         if (!paused) {
             read(ByteBuffer.allocate(LOOK));
         }
@@ -193,7 +193,7 @@
         }
         hasMore = !closed && count > 0;
         if (!closed && !hasMore) {
-            events.caughtUp();
+            events.readComplete();
         }
     }
 
@@ -219,19 +219,19 @@
     private void finish() {
         if (!closed) {
             close();
-            events.finished();
+            events.endOfStream();
         }
     }
 
     private void end(String cause) {
         if (!closed) {
             close();
-            events.ended(cause);
+            events.disconnected(cause);
         }
     }
 
     /** Closes here and now, for the I/O thread: nothing can come between a last look at what has come and this. */
-    public void closeAtOnce() {
+    public void closeImmediately() {
         if (!closed) {
             closed = true;
             out.release();
--- a/src/main/java/dappleseam/wire/RespReader.java
+++ b/src/main/java/dappleseam/wire/RespReader.java
@@ -12,7 +12,7 @@
     private final BufferPool pool;
     private final int longestBulk;
     /** Takes a long bulk string that comes first in its array; null where all are held. */
-    private final Large large;
+    private final LargeValueHandler large;
     private boolean toLarge;
     private final StringBuilder line = new StringBuilder();
     private RespMessage message;
@@ -20,7 +20,7 @@
     private int bulksLeft;
     /** Bytes that its bulk strings may still have; guards the buffers against many long ones. */
     private int room;
-    private Chain bulk;
+    private BufferChain bulk;
     /** Bytes of the bulk string still to come; -1 and -2 for the line end behind it. */
     private int bulkLeft;
 
@@ -28,7 +28,7 @@
         this(pool, longestBulk, null);
     }
 
-    public RespReader(BufferPool pool, int longestBulk, Large large) {
+    public RespReader(BufferPool pool, int longestBulk, LargeValueHandler large) {
         this.pool = pool;
         this.longestBulk = longestBulk;
         this.large = large;
@@ -40,7 +40,7 @@
     }
 
     /** The message that is done; the caller releases it. */
-    public RespMessage take() {
+    public RespMessage takeMessage() {
         RespMessage done = message;
         message = null;
         return done;
@@ -50,56 +50,56 @@
         return message == null && line.length() == 0;
     }
 
-    public Progress read(ByteBuffer in) {
+    public ParseStatus read(ByteBuffer in) {
         while (in.hasRemaining()) {
-            Progress progress = bulk != null ? bulkPart(in) : linePart(in);
-            if (progress != Progress.MORE) {
+            ParseStatus progress = bulk != null ? bulkPart(in) : linePart(in);
+            if (progress != ParseStatus.NEED_MORE) {
                 return progress;
             }
         }
-        return Progress.MORE;
+        return ParseStatus.NEED_MORE;
     }
 
-    private Progress linePart(ByteBuffer in) {
+    private ParseStatus linePart(ByteBuffer in) {
         char c = (char) (in.get() & 0xFF);
         if (c != '\n') {
             line.append(c);
-            return line.length() > LONGEST_LINE ? Progress.BAD : Progress.MORE;
+            return line.length() > LONGEST_LINE ? ParseStatus.MALFORMED : ParseStatus.NEED_MORE;
         }
         int end = line.length() - 1;
         if (end < 1 || line.charAt(end) != '\r') {
-            return Progress.BAD;
+            return ParseStatus.MALFORMED;
         }
         char sign = line.charAt(0);
         String rest = line.substring(1, end);
         line.setLength(0);
         if (message != null && sign != '$') {
-            return Progress.BAD;
+            return ParseStatus.MALFORMED;
         }
         return switch (sign) {
             case '+', '-', ':' -> {
                 message = new RespMessage(sign, rest);
-                yield Progress.DONE;
+                yield ParseStatus.DONE;
             }
             case '*' -> array(number(rest, LONGEST_ARRAY));
             case '$' -> bulk(number(rest, longestBulk));
-            default -> Progress.BAD;
+            default -> ParseStatus.MALFORMED;
         };
     }
 
-    private Progress array(int length) {
+    private ParseStatus array(int length) {
         if (length < -1) {
-            return Progress.BAD;
+            return ParseStatus.MALFORMED;
         }
         message = new RespMessage('*', "");
         room = longestBulk + LONGEST_REST;
         bulksLeft = Math.max(0, length);
-        return bulksLeft == 0 ? Progress.DONE : Progress.MORE;
+        return bulksLeft == 0 ? ParseStatus.DONE : ParseStatus.NEED_MORE;
     }
 
-    private Progress bulk(int length) {
+    private ParseStatus bulk(int length) {
         if (length < -1) {
-            return Progress.BAD;
+            return ParseStatus.MALFORMED;
         }
         if (message == null) {
             message = new RespMessage('$', "");
@@ -111,44 +111,44 @@
         }
         room -= length;
         if (room < 0) {
-            return Progress.BAD;
+            return ParseStatus.MALFORMED;
         }
-        bulk = new Chain(pool);
-        toLarge = large != null && message.sign == '*' && message.bulks.isEmpty() && length >= Large.FROM;
+        bulk = new BufferChain(pool);
+        toLarge = large != null && message.type == '*' && message.bulks.isEmpty() && length >= LargeValueHandler.MIN_BYTES;
         if (toLarge) {
             message.firstWasLong = true;
-            large.begins(length);
+            large.valueStarted(length);
         }
         bulkLeft = length == 0 ? -1 : length;
-        return Progress.MORE;
+        return ParseStatus.NEED_MORE;
     }
 
-    private Progress bulkPart(ByteBuffer in) {
+    private ParseStatus bulkPart(ByteBuffer in) {
         if (bulkLeft > 0) {
             int part = Math.min(bulkLeft, in.remaining());
             if (toLarge) {
-                large.part(in, part);
+                large.valueBytes(in, part);
             } else {
                 bulk.put(in, part);
             }
             bulkLeft = bulkLeft == part ? -1 : bulkLeft - part;
-            return Progress.MORE;
+            return ParseStatus.NEED_MORE;
         }
         byte expected = (byte) (bulkLeft == -1 ? '\r' : '\n');
         if (in.get() != expected) {
-            return Progress.BAD;
+            return ParseStatus.MALFORMED;
         }
         if (bulkLeft-- == -1) {
-            return Progress.MORE;
+            return ParseStatus.NEED_MORE;
         }
-        Chain done = bulk;
+        BufferChain done = bulk;
         bulk = null;
         return bulkDone(done);
     }
 
-    private Progress bulkDone(Chain done) {
+    private ParseStatus bulkDone(BufferChain done) {
         message.bulks.add(done);
-        return --bulksLeft == 0 ? Progress.DONE : Progress.MORE;
+        return --bulksLeft == 0 ? ParseStatus.DONE : ParseStatus.NEED_MORE;
     }
 
     /** The number from -1 to {@code most}; -2 for anything else. */
@@ -168,7 +168,7 @@
             bulk = null;
         }
         if (message != null) {
-            take().release();
+            takeMessage().release();
         }
     }
 }
--- a/src/main/java/org/xnio/nio/SharedPort.java
+++ b/src/main/java/org/xnio/nio/ReusePortListener.java
@@ -17,14 +17,14 @@
  * It accepts on the worker's first I/O thread and reports a failed accept to the caller. XNIO 3.8.16 has no option for the first, and its
  * own listener hides the second behind a back-off of 250 ms.
  */
-public final class SharedPort extends NioHandle implements Closeable {
+public final class ReusePortListener extends NioHandle implements Closeable {
     private final ServerSocketChannel channel;
     private final Runnable acceptable;
     private final AtomicInteger open = new AtomicInteger();
     private volatile int most;
     private volatile boolean atLimit;
 
-    private SharedPort(WorkerThread thread, SelectionKey key, ServerSocketChannel channel, int most, Runnable acceptable) {
+    private ReusePortListener(WorkerThread thread, SelectionKey key, ServerSocketChannel channel, int most, Runnable acceptable) {
         super(thread, key);
         this.channel = channel;
         this.most = most;
@@ -36,7 +36,7 @@
      *
      * @throws IOException where no socket is to be had, or the address is not free
      */
-    public static SharedPort open(XnioWorker worker, InetSocketAddress address, int backlog, int most, Runnable acceptable) throws IOException {
+    public static ReusePortListener open(XnioWorker worker, InetSocketAddress address, int backlog, int most, Runnable acceptable) throws IOException {
         WorkerThread thread = (WorkerThread) worker.getIoThread(0);
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
@@ -46,7 +46,7 @@
             } // else another process on the address is refused, which is better than none
             channel.configureBlocking(false);
             channel.bind(address, backlog);
-            SharedPort port = new SharedPort(thread, thread.registerChannel(channel), channel, most, acceptable);
+            ReusePortListener port = new ReusePortListener(thread, thread.registerChannel(channel), channel, most, acceptable);
             port.getSelectionKey().attach(port);
             port.resumeAccepts();
             return port;
@@ -62,7 +62,7 @@
      *
      * @throws IOException where no socket is to be had now; nothing is settled then
      */
-    public static void lookForSharing() throws IOException {
+    public static void probeReusePort() throws IOException {
         try (ServerSocketChannel channel = ServerSocketChannel.open()) {
             channel.supportedOptions();
         }
@@ -127,7 +127,7 @@
     }
 
     /** From now on so many may be open; those beyond stay. */
-    public void limit(int newMost) {
+    public void setMaxConnections(int newMost) {
         most = newMost;
         acceptAgain();
     }
--- a/src/test/java/dappleseam/clients/ClientFrontTest.java
+++ b/src/test/java/dappleseam/clients/ClientFrontendTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dappleseam.wire.Chain;
+import dappleseam.wire.BufferChain;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -18,11 +18,11 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-class ClientFrontTest {
+class ClientFrontendTest {
     private static final String ASKED = "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n1\r\n$3\r\nc=r\r\n";
 
     private interface Part {
-        Object play(ByHand loop, ClientFront front, StreamConnection client) throws IOException;
+        Object play(ManualIoLoop loop, ClientFrontend front, StreamConnection client) throws IOException;
     }
 
     /** With one client, which has written that, on the thread that reads it. */
@@ -31,11 +31,11 @@
         CompletableFuture<Object> found = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             try {
-                ByHand loop = new ByHand();
-                ClientFront front = new ClientFront(loop, loop, 100, mostAsking);
+                ManualIoLoop loop = new ManualIoLoop();
+                ClientFrontend front = new ClientFrontend(loop, loop, 100, mostAsking);
                 ChannelPipe<StreamConnection, StreamConnection> pipe = worker.getIoThread().createFullDuplexPipeConnection();
                 write(pipe.getRightSide(), written);
-                front.opened(pipe.getLeftSide());
+                front.addClient(pipe.getLeftSide());
                 found.complete(part.play(loop, front, pipe.getRightSide()));
             } catch (IOException | RuntimeException e) {
                 found.completeExceptionally(e);
@@ -57,21 +57,21 @@
     void afterTheLastLookNothingIsTaken() throws Exception {
         String half = ASKED.substring(0, 10);
         assertThat(played(ASKED + half, 10, (loop, front, client) -> {
-            front.takeNoMore();
+            front.stopReading();
             write(client, ASKED.substring(10) + ASKED);
             front.closeIdle();
-            loop.owed.get(0).line("-ERR");
+            loop.replies.get(0).replyLine("-ERR");
             front.closeIdle();
-            return List.of(loop.owed.size(), front.hasClients());
+            return List.of(loop.replies.size(), front.hasClients());
         })).isEqualTo(List.of(1, false));
         assertThat(played(half, 10, (loop, front, client) -> {
-            front.takeNoMore();
-            return List.of(loop.owed.size(), front.hasClients());
+            front.stopReading();
+            return List.of(loop.replies.size(), front.hasClients());
         })).isEqualTo(List.of(0, false));
         assertThat(played("", 10, (loop, front, client) -> {
             write(client, ASKED);
-            front.takeNoMore(); // what has come until now is
-            return List.of(loop.owed.size(), front.hasClients());
+            front.stopReading(); // what has come until now is
+            return List.of(loop.replies.size(), front.hasClients());
         })).isEqualTo(List.of(1, true));
     }
 
@@ -81,8 +81,8 @@
         List<Object> kept = new ArrayList<>();
         for (double until : new double[] {1200, 1800}) {
             kept.add(played(ASKED, 1, (loop, front, client) -> { // no room for any that is idle
-                loop.owed.get(0).line("+OK");
-                loop.pass(until);
+                loop.replies.get(0).replyLine("+OK");
+                loop.advanceTo(until);
                 return front.hasClients();
             }));
         }
@@ -96,7 +96,7 @@
             write(client, ASKED);
             IoUtils.safeClose(client);
             front.closeIdle(); // it reads what has come
-            return List.of(loop.owed.size(), front.hasClients());
+            return List.of(loop.replies.size(), front.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
@@ -110,7 +110,7 @@
             int taken = 0;
             for (int i = 0; i < 10; i++) {
                 front.closeIdle(); // reads what has come
-                taken = Math.max(taken, loop.owed.size());
+                taken = Math.max(taken, loop.replies.size());
             }
             return List.of(taken, front.hasClients());
         })).isEqualTo(List.of(0, false));
@@ -124,9 +124,9 @@
             IoUtils.safeClose(client);
             for (int i = 0; i < 100; i++) {
                 front.closeIdle();
-                loop.pass(loop.now + 25);
+                loop.advanceTo(loop.now + 25);
             }
-            return List.of(loop.owed.size(), front.hasClients());
+            return List.of(loop.replies.size(), front.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
@@ -138,9 +138,9 @@
             for (int i = 0; i < 40 && front.hasClients(); i++) {
                 write(client, "x".repeat(20_000)); // more than is read in one go
                 front.closeIdle();
-                loop.pass(loop.now + 10);
+                loop.advanceTo(loop.now + 10);
             }
-            return List.of(loop.owed.size() + loop.rejected, front.hasClients());
+            return List.of(loop.replies.size() + loop.rejected, front.hasClients());
         })).isEqualTo(List.of(1, false));
     }
 
@@ -148,11 +148,11 @@
     @Test
     void backpressureDoesNotHideAClose() throws Exception {
         assertThat(played(ASKED.repeat(200), 10, (loop, front, client) -> {
-            int taken = loop.owed.size();
-            boolean before = loop.owed.get(0).isClientHere();
+            int taken = loop.replies.size();
+            boolean before = loop.replies.get(0).isClientConnected();
             IoUtils.safeClose(client);
-            boolean after = loop.owed.get(0).isClientHere();
-            return List.of(taken < 200, before, after, loop.owed.size() == taken, loop.left == taken);
+            boolean after = loop.replies.get(0).isClientConnected();
+            return List.of(taken < 200, before, after, loop.replies.size() == taken, loop.disconnected == taken);
         })).isEqualTo(List.of(true, true, false, true, true));
     }
 
@@ -165,38 +165,38 @@
         assertThat(played(ASKED.repeat(10), 10, (loop, front, client) -> {
             write(client, ASKED.repeat(900));
             front.closeIdle(); // reads what there is room for
-            boolean here = loop.owed.get(0).isClientHere();
-            int taken = loop.owed.size();
+            boolean here = loop.replies.get(0).isClientConnected();
+            int taken = loop.replies.size();
             int all = answered(loop, front, 910);
             write(client, ASKED);
             int more = answered(loop, front, 911);
-            return List.of(here, taken, all, more, loop.owed.get(loop.owed.size() - 1).isClientHere());
+            return List.of(here, taken, all, more, loop.replies.get(loop.replies.size() - 1).isClientConnected());
         })).isEqualTo(List.of(false, 10, 910, 911, true));
     }
 
     /** Answers what is taken and lets more be read until so many queries have come, the last of them not answered yet. */
-    private static int answered(ByHand loop, ClientFront front, int count) {
-        for (int i = 0; i < 1000 && loop.owed.size() + loop.rejected < count; i++) {
-            List.copyOf(loop.owed).forEach(owed -> owed.line("+OK"));
-            loop.pass(loop.now + 25);
-            if (loop.owed.size() + loop.rejected < count) {
+    private static int answered(ManualIoLoop loop, ClientFrontend front, int count) {
+        for (int i = 0; i < 1000 && loop.replies.size() + loop.rejected < count; i++) {
+            List.copyOf(loop.replies).forEach(owed -> owed.replyLine("+OK"));
+            loop.advanceTo(loop.now + 25);
+            if (loop.replies.size() + loop.rejected < count) {
                 front.closeIdle(); // reads what there is room for; the client has commands on their way, and stays
             }
         }
-        return loop.owed.size() + loop.rejected;
+        return loop.replies.size() + loop.rejected;
     }
 
     /** Guards the loop against a client that is full again and again: each time left one more look behind, for good. */
     @Test
     void aClientThatIsFullAgainAndAgainIsLookedAtByOneDeadline() throws Exception {
         assertThat(played(ASKED.repeat(128), 10, (loop, front, client) -> {
-            int before = loop.due.size();
+            int before = loop.scheduled.size();
             for (int i = 0; i < 100; i++) {
-                loop.owed.get(i).line("+OK");
+                loop.replies.get(i).replyLine("+OK");
                 write(client, ASKED);
                 front.closeIdle(); // reads it
             }
-            return List.of(loop.owed.size(), loop.due.size() - before);
+            return List.of(loop.replies.size(), loop.scheduled.size() - before);
         })).isEqualTo(List.of(228, 0));
     }
 
@@ -204,21 +204,21 @@
     @Test
     void aConnectionWithCommandsReadAheadIsNotClosedAsIdle() throws Exception {
         assertThat(played("", 10, (loop, front, client) -> {
-            List<Chain> taken = new ArrayList<>();
+            List<BufferChain> taken = new ArrayList<>();
             for (int i = 0; i < 40; i++) { // most buffers are in use elsewhere
-                taken.add(new Chain(loop.pool));
+                taken.add(new BufferChain(loop.pool));
                 taken.get(i).put("x");
             }
             write(client, ASKED);
             front.closeIdle(); // reads the first, is held
             write(client, ASKED);
-            loop.owed.get(0).line("+OK");
+            loop.replies.get(0).replyLine("+OK");
             front.closeIdle(); // reads the second ahead
             front.closeIdle();
             boolean open = front.hasClients();
-            taken.forEach(Chain::release);
-            loop.pass(1100);
-            return List.of(open, loop.owed.size());
+            taken.forEach(BufferChain::release);
+            loop.advanceTo(1100);
+            return List.of(open, loop.replies.size());
         })).isEqualTo(List.of(true, 2));
     }
 }
--- a/src/test/java/dappleseam/clients/ByHand.java
+++ b/src/test/java/dappleseam/clients/ManualIoLoop.java
@@ -4,7 +4,7 @@
 import dappleseam.router.QueryId;
 import dappleseam.wire.BufferPool;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -14,12 +14,12 @@
 import org.xnio.StreamConnection;
 
 /** A loop whose time passes when the test says so; it stands in for the queries' side, too. */
-public final class ByHand implements Loop, Queries {
-    public final List<Map.Entry<Double, Runnable>> due = new ArrayList<>();
-    public final List<Owed> owed = new ArrayList<>();
+public final class ManualIoLoop implements IoLoop, QueryHandler {
+    public final List<Map.Entry<Double, Runnable>> scheduled = new ArrayList<>();
+    public final List<PendingReply> replies = new ArrayList<>();
     public final BufferPool pool = new BufferPool(64);
     public double now = 1000;
-    public int left;
+    public int disconnected;
     public int rejected;
 
     @Override
@@ -28,32 +28,32 @@
     }
 
     @Override
-    public Deadline at(double whenMs, Runnable then) {
+    public PendingTask scheduleAt(double whenMs, Runnable then) {
         Map.Entry<Double, Runnable> one = Map.entry(whenMs, then);
-        due.add(one);
-        return () -> due.remove(one);
+        scheduled.add(one);
+        return () -> scheduled.remove(one);
     }
 
     /** Lets time pass, and does what falls due meanwhile in its order. */
-    public void pass(double untilMs) {
+    public void advanceTo(double untilMs) {
         for (; now < untilMs; now++) {
-            List.copyOf(due).stream().filter(d -> d.getKey() <= now && due.remove(d)).forEach(d -> d.getValue().run());
+            List.copyOf(scheduled).stream().filter(d -> d.getKey() <= now && scheduled.remove(d)).forEach(d -> d.getValue().run());
         }
     }
 
     @Override
-    public Deadline dial(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
+    public PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
                          Consumer<String> failed) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public boolean mayDial() {
+    public boolean mayConnect() {
         return false;
     }
 
     @Override
-    public Link link(StreamConnection connection, Link.Events events) {
+    public Link createLink(StreamConnection connection, Link.Listener events) {
         return new Link(connection, pool, ByteBuffer.allocate(1024), events);
     }
 
@@ -63,19 +63,19 @@
     }
 
     @Override
-    public QueryId take(Command command, Owed one, double waitedMs) {
-        owed.add(one);
-        return new QueryId(owed.size());
+    public QueryId submit(Command command, PendingReply one, double waitedMs) {
+        replies.add(one);
+        return new QueryId(replies.size());
     }
 
     @Override
-    public void reject(Command command, Owed one) {
+    public void reject(Command command, PendingReply one) {
         rejected++;
-        one.busy(0);
+        one.replyBusy(0);
     }
 
     @Override
     public void clientLeft(QueryId id) {
-        left++;
+        disconnected++;
     }
 }
--- a/src/test/java/dappleseam/list/ListReaderTest.java
+++ b/src/test/java/dappleseam/list/ListReaderTest.java
@@ -25,8 +25,8 @@
     /** Guards the ring, which must be the same at every proxy: the address is not. */
     @Test
     void aNodeIsKnownByItsUidAndReachedAtItsEndpoint() throws IOException {
-        Listed here = read(list("s-1", "127.0.0.1:6379")).entries().get(0);
-        Listed there = read(list("s-1", "127.0.0.2:6379")).entries().get(0);
+        ListEntry here = read(list("s-1", "127.0.0.1:6379")).entries().get(0);
+        ListEntry there = read(list("s-1", "127.0.0.2:6379")).entries().get(0);
         assertThat(here.member()).isEqualTo(there.member())
                 .isEqualTo(new Member(here.member().node(), Member.State.DRAINING, 1, 3, 1, 1.5, 77));
         assertThat(here.endpoint().getHostString()).isEqualTo("127.0.0.1");
--- a/src/test/java/dappleseam/list/ListWatchTest.java
+++ b/src/test/java/dappleseam/list/ListWatchTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dappleseam.clients.ByHand;
+import dappleseam.clients.ManualIoLoop;
 import dappleseam.wire.BufferPool;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -25,8 +25,8 @@
     private final ListWatch watch = new ListWatch(loop, new InetSocketAddress("127.0.0.1", 1), null, 1, list -> { }, cause -> failedAtMs.add(loop.nowMs()), ms -> ms, new SplittableRandom(1));
 
     /** Time passes by hand, and each connection hangs until its time is over, or is refused at once. */
-    private static final class HangingLoop implements Loop {
-        final ByHand time = new ByHand();
+    private static final class HangingLoop implements IoLoop {
+        final ManualIoLoop time = new ManualIoLoop();
         final List<Double> dialledAtMs = new ArrayList<>();
         boolean refuses;
         boolean isFull;
@@ -37,23 +37,23 @@
         }
 
         @Override
-        public Deadline at(double whenMs, Runnable due) {
-            return time.at(whenMs, due);
+        public PendingTask scheduleAt(double whenMs, Runnable due) {
+            return time.scheduleAt(whenMs, due);
         }
 
         @Override
-        public Deadline dial(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up, Consumer<String> failed) {
+        public PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up, Consumer<String> failed) {
             dialledAtMs.add(nowMs());
-            return at(nowMs() + (refuses ? 1 : timeoutMs), () -> failed.accept(refuses ? "refused" : "not up in time"));
+            return scheduleAt(nowMs() + (refuses ? 1 : timeoutMs), () -> failed.accept(refuses ? "refused" : "not up in time"));
         }
 
         @Override
-        public boolean mayDial() {
+        public boolean mayConnect() {
             return !isFull;
         }
 
         @Override
-        public Link link(StreamConnection connection, Link.Events events) {
+        public Link createLink(StreamConnection connection, Link.Listener events) {
             throw new UnsupportedOperationException();
         }
 
@@ -66,8 +66,8 @@
     /** Else two connections that hang keep a drain from a proxy for 7 s after its watch has fallen silent. */
     @Test
     void twoConnectionsThatHangLeaveTimeForAThird() {
-        watch.follow();
-        loop.time.pass(BEGIN_MS + 2000);
+        watch.startWatching();
+        loop.time.advanceTo(BEGIN_MS + 2000);
         assertThat(loop.dialledAtMs).hasSize(ListWatch.MOST_DIALS);
         assertThat(SILENT_FOUND_MS + loop.dialledAtMs.get(2) - BEGIN_MS).isLessThan(TOLD_MS - 500);
         assertThat(failedAtMs).as("one call, told once, when none can come up any more").hasSize(1).allMatch(at -> at >= loop.dialledAtMs.get(2) + 900);
@@ -76,8 +76,8 @@
     @Test
     void aRefusalFailsTheCallAtOnceAndNothingIsDialledBesideIt() {
         loop.refuses = true;
-        watch.follow();
-        loop.time.pass(BEGIN_MS + 2000);
+        watch.startWatching();
+        loop.time.advanceTo(BEGIN_MS + 2000);
         assertThat(loop.dialledAtMs).hasSize(1);
         assertThat(failedAtMs).hasSize(1).allMatch(at -> at < BEGIN_MS + 10);
     }
@@ -85,8 +85,8 @@
     @Test
     void whereNoDescriptorIsLeftOnlyTheKeptOneIsUsed() {
         loop.isFull = true;
-        watch.follow();
-        loop.time.pass(BEGIN_MS + 2000);
+        watch.startWatching();
+        loop.time.advanceTo(BEGIN_MS + 2000);
         assertThat(loop.dialledAtMs).hasSize(1);
         assertThat(failedAtMs).hasSize(1);
     }
--- a/src/test/java/dappleseam/list/StartTimesTest.java
+++ b/src/test/java/dappleseam/list/StartTimesTest.java
@@ -14,7 +14,7 @@
     private static final double HOUR = 3_600_000;
 
     private static NodeList list(double... bootMs) {
-        return new NodeList(1, true, LongStream.range(0, bootMs.length).mapToObj(i -> new Listed("s-" + i,
+        return new NodeList(1, true, LongStream.range(0, bootMs.length).mapToObj(i -> new ListEntry("s-" + i,
                 new Member(new NodeId(i + 1), Member.State.READY, 0, 0, 0, 1, bootMs[(int) i]), null, "a", "m")).toList());
     }
 
@@ -25,10 +25,10 @@
     @Test
     void whatComesLaterStartsThenAndStaysSo() {
         StartTimes times = new StartTimes();
-        times.ofFirst(list(), NOW, WALL);
+        times.adjustFirstList(list(), NOW, WALL);
         for (double boot : new double[] {WALL - HOUR, WALL, WALL + HOUR}) {
-            assertThat(ages(times.of(list(boot, 0), NOW), NOW)).containsExactly(0.0, Double.POSITIVE_INFINITY);
-            assertThat(ages(times.of(list(boot), NOW + 5000), NOW + 5000)).containsExactly(5000.0);
+            assertThat(ages(times.adjustUpdate(list(boot, 0), NOW), NOW)).containsExactly(0.0, Double.POSITIVE_INFINITY);
+            assertThat(ages(times.adjustUpdate(list(boot), NOW + 5000), NOW + 5000)).containsExactly(5000.0);
         }
     }
 
@@ -36,22 +36,22 @@
     @Test
     void inTheFirstListANodeIsAsOldAsTheNewestShowsIt() {
         for (double step : new double[] {0, HOUR, 7000}) {
-            assertThat(ages(new StartTimes().ofFirst(list(WALL - 60_000, WALL - 2000, 0), NOW, WALL + step), NOW))
+            assertThat(ages(new StartTimes().adjustFirstList(list(WALL - 60_000, WALL - 2000, 0), NOW, WALL + step), NOW))
                     .containsExactly(58_000.0, 0.0, Double.POSITIVE_INFINITY);
         }
-        assertThat(ages(new StartTimes().ofFirst(list(WALL - 60_000, WALL - 2000), NOW, WALL - HOUR), NOW)).containsExactly(58_000.0, 0.0);
+        assertThat(ages(new StartTimes().adjustFirstList(list(WALL - 60_000, WALL - 2000), NOW, WALL - HOUR), NOW)).containsExactly(58_000.0, 0.0);
     }
 
     /** All clocks went back an hour, then the second one started: the others' times show it older than it is. */
     @Test
     void aNodeThatStartedAfterAStepBackIsNoOlderThanTheClockShows() {
-        assertThat(ages(new StartTimes().ofFirst(list(WALL, WALL - HOUR - 1000), NOW, WALL - HOUR), NOW).get(1)).isEqualTo(1000.0);
+        assertThat(ages(new StartTimes().adjustFirstList(list(WALL, WALL - HOUR - 1000), NOW, WALL - HOUR), NOW).get(1)).isEqualTo(1000.0);
     }
 
     @Test
     void theNameOfAProcessIsWhatTheListSays() {
         StartTimes times = new StartTimes();
-        times.ofFirst(list(WALL - 60_000, WALL), NOW, WALL);
+        times.adjustFirstList(list(WALL - 60_000, WALL), NOW, WALL);
         assertThat(times.bootMs(new NodeId(1))).isEqualTo(WALL - 60_000);
         assertThat(times.startedAtMs(new NodeId(1), WALL - 60_000)).isEqualTo(NOW - 60_000);
         assertThat(times.startedAtMs(new NodeId(1), WALL)).isNaN();
--- a/src/test/java/dappleseam/proxy/EventLoopTest.java
+++ b/src/test/java/dappleseam/proxy/EventLoopTest.java
@@ -41,16 +41,16 @@
             try {
                 EventLoop loop = new EventLoop(worker.getIoThread(), new BufferPool(8), 1);
                 ChannelPipe<StreamConnection, StreamConnection> pipe = worker.getIoThread().createFullDuplexPipeConnection();
-                loop.link(pipe.getLeftSide(), new Link.Events() {
+                loop.createLink(pipe.getLeftSide(), new Link.Listener() {
                     @Override
                     public void received(ByteBuffer bytes) {
                         happened.add("read");
                     }
 
                     @Override
-                    public void ended(String cause) {}
+                    public void disconnected(String cause) {}
                 }).resume();
-                loop.at(loop.nowMs() + 5, () -> happened.add("due"));
+                loop.scheduleAt(loop.nowMs() + 5, () -> happened.add("due"));
                 pipe.getRightSide().getSinkChannel().write(ByteBuffer.wrap(new byte[1]));
                 Thread.sleep(50);
             } catch (IOException | InterruptedException e) {
@@ -74,7 +74,7 @@
             Semaphore room = new Semaphore(AT_ONCE);
             for (int i = 0; i < DIALS; i++) {
                 assertThat(room.tryAcquire(20, TimeUnit.SECONDS)).as("room for dial %d", i).isTrue();
-                worker.getIoThread().execute(() -> loop.dial((InetSocketAddress) peer.getLocalSocketAddress(), 10_000, connection -> closers.execute(() -> {
+                worker.getIoThread().execute(() -> loop.connect((InetSocketAddress) peer.getLocalSocketAddress(), 10_000, connection -> closers.execute(() -> {
                     IoUtils.safeClose(connection);
                     room.release();
                     closed.countDown();
@@ -87,9 +87,9 @@
             CompletableFuture<List<Boolean>> counts = new CompletableFuture<>();
             worker.getIoThread().execute(() -> {
                 loop.limitDialled(2);
-                boolean mayDialOne = loop.mayDial();
+                boolean mayDialOne = loop.mayConnect();
                 loop.limitDialled(1);
-                counts.complete(List.of(mayDialOne, loop.mayDial()));
+                counts.complete(List.of(mayDialOne, loop.mayConnect()));
             });
             assertThat(counts.get(20, TimeUnit.SECONDS)).as("one may be dialled, and none too many").containsExactly(true, false);
         } finally {
--- a/src/test/java/dappleseam/proxy/LearntFileTest.java
+++ b/src/test/java/dappleseam/proxy/LearntFileTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import dappleseam.list.SealedFile;
+import dappleseam.list.ChecksummedFile;
 import dappleseam.router.NodeHealth;
 import dappleseam.router.NodeId;
 import dappleseam.site.Settings;
@@ -59,7 +59,7 @@
         String sound = "{\"node\":\"a\",\"started\":1,\"aside\":2,\"busy\":3,\"idle\":4,\"shed\":0.5}";
         String nodes = String.join(",", sound, sound.replace("0.5", "1.5"), sound.replace("\"a\"", "\"zz\""),
                 sound.replace("\"busy\":3", "\"busy\":-3"), sound.replace("\"idle\":4,", ""), "7");
-        SealedFile.write(file, "dappleseam-learnt-2",
+        ChecksummedFile.write(file, "dappleseam-learnt-2",
                 json -> json.writeRaw("{\"deployment\":\"m;a,b\",\"at\":5000,\"nodes\":[" + nodes + "]}"));
         assertThat(LearntFile.read(file, site("\"m\""), 5000))
                 .containsExactly(new NodeHealth(new NodeId(10), 1, 2, 3, 4, 0.5));
--- a/src/test/java/dappleseam/proxy/ShutdownTest.java
+++ b/src/test/java/dappleseam/proxy/ShutdownTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dappleseam.clients.ByHand;
-import dappleseam.clients.ClientFront;
+import dappleseam.clients.ManualIoLoop;
+import dappleseam.clients.ClientFrontend;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -27,20 +27,20 @@
         CompletableFuture<List<Double>> seen = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             try {
-                ByHand loop = new ByHand();
-                ClientFront front = new ClientFront(loop, loop, 100, 10);
+                ManualIoLoop loop = new ManualIoLoop();
+                ClientFrontend front = new ClientFrontend(loop, loop, 100, 10);
                 front.listen(worker, new InetSocketAddress("127.0.0.1", 0));
                 ChannelPipe<StreamConnection, StreamConnection> pipe = worker.getIoThread().createFullDuplexPipeConnection();
                 pipe.getRightSide().getSinkChannel().write(ByteBuffer.wrap(ASKED.getBytes(StandardCharsets.US_ASCII)));
-                front.opened(pipe.getLeftSide());
+                front.addClient(pipe.getLeftSide());
                 double told = loop.now - toldMsAgo;
                 List<Double> times = new ArrayList<>();
                 Shutdown shutdown = new Shutdown(loop, front, () -> {
                     times.add(loop.now - told);
-                    loop.owed.forEach(one -> one.line("-ERR"));
+                    loop.replies.forEach(one -> one.replyLine("-ERR"));
                 }, () -> seen.complete(List.of(times.get(0), loop.now - told)));
                 shutdown.begin(false, toldMsAgo, killAfterMs);
-                loop.pass(loop.now + killAfterMs);
+                loop.advanceTo(loop.now + killAfterMs);
             } catch (Exception e) {
                 seen.completeExceptionally(e);
             }
--- a/src/test/java/dappleseam/wire/LinkTest.java
+++ b/src/test/java/dappleseam/wire/LinkTest.java
@@ -65,12 +65,12 @@
     void theIoThreadDoesNotCloseConnections() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         Closing connection = new Closing(worker.getIoThread());
-        Link link = new Link(connection, new BufferPool(1), ByteBuffer.allocate(1), new Link.Events() {
+        Link link = new Link(connection, new BufferPool(1), ByteBuffer.allocate(1), new Link.Listener() {
             @Override
             public void received(ByteBuffer bytes) {}
 
             @Override
-            public void ended(String cause) {}
+            public void disconnected(String cause) {}
         });
         worker.getIoThread().execute(link::close);
         assertThat(connection.closedBy.poll(20, TimeUnit.SECONDS)).isNotNull().isNotSameAs(worker.getIoThread());
--- a/src/test/java/dappleseam/wire/ReadersTest.java
+++ b/src/test/java/dappleseam/wire/ReadersTest.java
@@ -21,13 +21,13 @@
     void anArrayInSingleBytesIsReadWhole() {
         RespReader reader = new RespReader(pool, 100);
         ByteBuffer in = bytes("*3\r\n$3\r\na\r\n\r\n$0\r\n\r\n$-1\r\n");
-        Progress progress = Progress.MORE;
+        ParseStatus progress = ParseStatus.NEED_MORE;
         while (in.hasRemaining()) {
-            assertThat(progress).isEqualTo(Progress.MORE);
+            assertThat(progress).isEqualTo(ParseStatus.NEED_MORE);
             progress = reader.read(ByteBuffer.wrap(new byte[] {in.get()}));
         }
-        assertThat(progress).isEqualTo(Progress.DONE);
-        RespMessage message = reader.take();
+        assertThat(progress).isEqualTo(ParseStatus.DONE);
+        RespMessage message = reader.takeMessage();
         assertThat(message.bulk(0).text()).isEqualTo("a\r\n");
         assertThat(message.bulk(1).size()).isZero();
         assertThat(message.bulk(2)).isNull();
@@ -37,8 +37,8 @@
     void whatFollowsAMessageIsLeft() {
         ByteBuffer in = bytes("-BUSY\r\n+OK\r\n");
         RespReader reader = new RespReader(pool, 100);
-        assertThat(reader.read(in)).isEqualTo(Progress.DONE);
-        assertThat(reader.take().line).isEqualTo("BUSY");
+        assertThat(reader.read(in)).isEqualTo(ParseStatus.DONE);
+        assertThat(reader.takeMessage().line).isEqualTo("BUSY");
         assertThat(in.remaining()).isEqualTo(5);
     }
 
@@ -46,13 +46,13 @@
     @ValueSource(strings = {"GET / HTTP/1.1\r\n", "*17\r\n", "*-2\r\n", "$101\r\n", "*1\r\n+OK\r\n", "$1\r\nab\r\n",
         "*1\n", "$99999999999\r\n", "*1\r\n*1\r\n", "$+1\r\n"})
     void whatIsNoMessageIsBad(String text) {
-        assertThat(new RespReader(pool, 100).read(bytes(text))).isEqualTo(Progress.BAD);
+        assertThat(new RespReader(pool, 100).read(bytes(text))).isEqualTo(ParseStatus.MALFORMED);
     }
 
     /** Guards the memory against a line without end. */
     @Test
     void aLineWithoutEndIsBad() {
-        assertThat(new RespReader(pool, 100).read(bytes("+".repeat(1000)))).isEqualTo(Progress.BAD);
+        assertThat(new RespReader(pool, 100).read(bytes("+".repeat(1000)))).isEqualTo(ParseStatus.MALFORMED);
     }
 
     @Test
@@ -69,12 +69,12 @@
     void aMessageIsBoundedAsAWhole() {
         RespReader reader = new RespReader(pool, 1 << 14);
         String long1 = "$16000\r\n" + "x".repeat(16000) + "\r\n";
-        assertThat(reader.read(bytes("*3\r\n" + long1 + "$16000\r\n"))).isEqualTo(Progress.BAD);
+        assertThat(reader.read(bytes("*3\r\n" + long1 + "$16000\r\n"))).isEqualTo(ParseStatus.MALFORMED);
     }
 
     @Test
     void thePoolIsBounded() {
-        Chain chain = new Chain(pool);
+        BufferChain chain = new BufferChain(pool);
         String tooMuch = "x".repeat(9 * BufferPool.SIZE);
         assertThatThrownBy(() -> chain.put(tooMuch)).isInstanceOf(IllegalStateException.class);
         assertThat(pool.isScarce()).isTrue();
@@ -87,14 +87,14 @@
         "HTTP/1.1 200 OK\r\nX-A: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nva\r\n3;x=y\r\nlue\r\n0\r\n\r\n",
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nx-a: 1\r\nContent-Length: 5\r\n\r\nvalue"})
     void anAnswerInSingleBytesIsReadWhole(String text) {
-        HttpReader reader = new HttpReader(pool, 100);
+        HttpResponseReader reader = new HttpResponseReader(pool, 100);
         ByteBuffer in = bytes(text);
-        Progress progress = Progress.MORE;
+        ParseStatus progress = ParseStatus.NEED_MORE;
         while (in.hasRemaining()) {
-            assertThat(progress).isEqualTo(Progress.MORE);
+            assertThat(progress).isEqualTo(ParseStatus.NEED_MORE);
             progress = reader.read(ByteBuffer.wrap(new byte[] {in.get()}));
         }
-        assertThat(progress).isEqualTo(Progress.DONE);
+        assertThat(progress).isEqualTo(ParseStatus.DONE);
         assertThat(reader.status()).isEqualTo(200);
         assertThat(reader.header("x-a")).isEqualTo("1");
         assertThat(reader.staysOpen()).isTrue();
@@ -103,8 +103,8 @@
 
     @Test
     void aBodyMayEndWithItsConnection() {
-        HttpReader reader = new HttpReader(pool, 100);
-        assertThat(reader.read(bytes("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue"))).isEqualTo(Progress.MORE);
+        HttpResponseReader reader = new HttpResponseReader(pool, 100);
+        assertThat(reader.read(bytes("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue"))).isEqualTo(ParseStatus.NEED_MORE);
         assertThat(reader.endsBody()).isTrue();
         assertThat(reader.staysOpen()).isFalse();
     }
@@ -115,6 +115,6 @@
         "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"})
     void whatIsNoAnswerIsBad(String text) {
-        assertThat(new HttpReader(pool, 100).read(bytes(text))).isEqualTo(Progress.BAD);
+        assertThat(new HttpResponseReader(pool, 100).read(bytes(text))).isEqualTo(ParseStatus.MALFORMED);
     }
 }
