--- a/src/main/java/dappleseam/proxy/InFleet.java
+++ b/src/main/java/dappleseam/proxy/InFleet.java
@@ -3,20 +3,20 @@
 import dappleseam.control.FleetDesk;
 import dappleseam.fleet.lastlist.FolderStore;
 import dappleseam.fleet.lastlist.HttpStore;
-import dappleseam.fleet.lastlist.KeepList;
+import dappleseam.fleet.lastlist.LastListTask;
 import dappleseam.fleet.lastlist.ListStore;
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.peers.FleetText;
-import dappleseam.fleet.peers.Identity;
-import dappleseam.fleet.peers.PeerSocket;
-import dappleseam.fleet.peers.Sightings;
-import dappleseam.fleet.share.Bulletin;
-import dappleseam.fleet.share.Said;
-import dappleseam.fleet.share.Seen;
+import dappleseam.fleet.peers.FleetStatusWriter;
+import dappleseam.fleet.peers.FleetConfig;
+import dappleseam.fleet.peers.FleetAgent;
+import dappleseam.fleet.peers.RouterAdapter;
+import dappleseam.fleet.share.Announcement;
+import dappleseam.fleet.share.PeerVerdict;
+import dappleseam.fleet.share.LocalObservation;
 import dappleseam.list.NodeList;
-import dappleseam.site.FleetFileReader;
-import dappleseam.site.Post;
-import dappleseam.wire.Loop;
+import dappleseam.site.FleetConfigReader;
+import dappleseam.site.ProxyConfig;
+import dappleseam.wire.IoLoop;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -29,7 +29,7 @@
 
 /** This proxy's place in its fleet, where the operator's file gives it one. Queries pass it by. */
 final class InFleet implements FleetDesk {
-    static final int DESCRIPTORS = PeerSocket.DESCRIPTORS;
+    static final int DESCRIPTORS = FleetAgent.DESCRIPTORS;
     private static final Logger LOG = System.getLogger(InFleet.class.getName());
     /** Age in ms from which a kept list says nothing any more: caches come and go by the hour. */
     private static final double OLDEST_MS = 3_600_000;
@@ -37,8 +37,8 @@
     private static final double NANOS_PER_MS = 1e6;
 
     private final Path file;
-    private final Post post;
-    private final PeerSocket socket;
+    private final ProxyConfig post;
+    private final FleetAgent socket;
     private volatile FleetLookout lookout;
     private final boolean isAsked;
     private final ListStore store;
@@ -47,45 +47,45 @@
      * Checks the file; nothing runs before {@link #start}. {@code left}: what one process of this proxy leaves for the next; {@code last}: the list
      * as this proxy last had it, null before the first, for any thread.
      */
-    InFleet(Path file, Post post, Path left, Supplier<NodeList> last) throws IOException {
+    InFleet(Path file, ProxyConfig post, Path left, Supplier<NodeList> last) throws IOException {
         this.file = file;
         this.post = post;
-        Identity identity = read();
+        FleetConfig identity = read();
         store = identity.listStore() == null ? null : identity.listStore().startsWith("http:") ? new HttpStore(URI.create(identity.listStore()))
                 : new FolderStore(Path.of(identity.listStore()));
-        isAsked = identity.choices().any();
-        socket = new PeerSocket(identity, Math.max(Bulletin.NOWHERE, Math.min(Bulletin.LAST_LOCATION, post.site().deployment().zone())), post.seed(), left, store == null ? List.of() : List.of(new KeepList(last, store)), new Relay());
+        isAsked = identity.features().any();
+        socket = new FleetAgent(identity, Math.max(Announcement.NO_LOCATION, Math.min(Announcement.MAX_LOCATION, post.settings().routerSettings().zone())), post.seed(), left, store == null ? List.of() : List.of(new LastListTask(last, store)), new Relay());
     }
 
     /** What the fleet's thread asks for, also before there is a proxy. */
-    private final class Relay implements Sightings {
+    private final class Relay implements RouterAdapter {
         @Override
-        public Collection<Seen> seen() {
-            return lookout == null ? List.of() : lookout.seen();
+        public Collection<LocalObservation> observations() {
+            return lookout == null ? List.of() : lookout.observations();
         }
 
         @Override
-        public double ratePerS() {
-            return lookout == null ? Double.NaN : lookout.ratePerS();
+        public double queriesPerS() {
+            return lookout == null ? Double.NaN : lookout.queriesPerS();
         }
 
         @Override
-        public void stands(double share, double place) {
+        public void onShare(double share, double place) {
             if (lookout != null) {
-                lookout.stands(share, place);
+                lookout.onShare(share, place);
             }
         }
 
         @Override
-        public void say(List<Said> words) {
+        public void onVerdicts(List<PeerVerdict> words) {
             if (lookout != null) {
-                lookout.say(words);
+                lookout.onVerdicts(words);
             }
         }
     }
 
     /** On the I/O thread: from now on that proxy's caches are told of, and it hears of others'. */
-    void watch(Proxy proxy, Loop loop, Executor onLoop) {
+    void watch(Proxy proxy, IoLoop loop, Executor onLoop) {
         if (isAsked) {
             FleetLookout now = new FleetLookout(post.seed(), proxy::recall, proxy, onLoop, loop::nowMs);
             proxy.tellOfCaches(now);
@@ -94,19 +94,19 @@
     }
 
     /** Guards a start while the list service is down: the fleet's last known list, where it is newer than this proxy's own, drains included. */
-    Post withKept(Post told) {
+    ProxyConfig withKept(ProxyConfig told) {
         if (store == null) {
             return told;
         }
         try {
             ListStore.Stored kept = store.read();
-            long version = told.known().path("rev").asLong(-1);
-            double age = System.currentTimeMillis() - kept.writtenMs();
+            long version = told.knownList().path("rev").asLong(-1);
+            double age = System.currentTimeMillis() - kept.writtenAtMs();
             if (age > OLDEST_MS) {
                 LOG.log(Level.INFO, "the fleet''s last list is not taken: written {0} s ago", Math.round(age / MS_PER_S));
             } else if (kept.list().path("rev").asLong() > version) {
                 LOG.log(Level.INFO, "the fleet''s last list is taken at version {0}, the file had {1}", kept.list().path("rev").asLong(), version);
-                return told.withKnown(kept.list());
+                return told.withKnownList(kept.list());
             }
         } catch (IOException | RuntimeException e) { // it was worth a try
             LOG.log(Level.INFO, "the fleet''s last list is not taken: {0}", e.toString());
@@ -118,34 +118,34 @@
         socket.start();
     }
 
-    private Identity read() throws IOException {
-        return FleetFileReader.read(file, post.name(), (int) post.site().deployment().proxies());
+    private FleetConfig read() throws IOException {
+        return FleetConfigReader.read(file, post.name(), (int) post.settings().routerSettings().proxyCount());
     }
 
     /** The file as it is now, checked; running it takes it into force. */
     Runnable readAgain() throws IOException {
-        Identity now = read();
-        return () -> socket.change(now);
+        FleetConfig now = read();
+        return () -> socket.reconfigure(now);
     }
 
     void end(boolean handOver) {
-        socket.end(handOver);
+        socket.stop(handOver);
     }
 
     @Override
     public String figures() {
-        return FleetText.figures(socket.snapshot());
+        return FleetStatusWriter.metrics(socket.snapshot());
     }
 
     @Override
     public String view() {
-        return FleetText.json(socket.snapshot(), System.nanoTime() / NANOS_PER_MS);
+        return FleetStatusWriter.json(socket.snapshot(), System.nanoTime() / NANOS_PER_MS);
     }
 
     @Override
     public boolean hasEnded(String name) {
         try {
-            socket.endedByWord(new MemberName(name));
+            socket.markEnded(new MemberName(name));
             return true;
         } catch (IllegalArgumentException e) {
             return false;
--- a/src/main/java/dappleseam/proxy/Nodes.java
+++ b/src/main/java/dappleseam/proxy/Nodes.java
@@ -1,15 +1,15 @@
 package dappleseam.proxy;
 
-import dappleseam.list.Listed;
+import dappleseam.list.ListEntry;
 import dappleseam.list.NodeList;
 import dappleseam.origin.Origin;
 import dappleseam.query.Backend;
-import dappleseam.query.Connections;
-import dappleseam.query.Reuse;
+import dappleseam.query.ConnectionPolicy;
+import dappleseam.query.ReuseStats;
 import dappleseam.router.Member;
 import dappleseam.router.NodeId;
 import dappleseam.servers.CacheNode;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -23,9 +23,9 @@
     /** Nodes of one list that have lines of their own in the log: a whole fleet of the usual size at its start. */
     private static final int MOST_LOGGED = 40;
 
-    private final Loop loop;
+    private final IoLoop loop;
     private int originModel;
-    private Connections connections;
+    private ConnectionPolicy connections;
     private final Map<NodeId, Peer> peers = new HashMap<>();
     private long version;
     /** Lists heard of so far. */
@@ -39,12 +39,12 @@
 
     /** A listed node and where it is dialled. */
     private static final class Peer {
-        final Listed entry;
+        final ListEntry entry;
         final Backend backend;
         /** The last list that named it. */
         long listedIn;
 
-        Peer(Listed entry, Backend backend, long listedIn) {
+        Peer(ListEntry entry, Backend backend, long listedIn) {
             this.entry = entry;
             this.backend = backend;
             this.listedIn = listedIn;
@@ -55,21 +55,21 @@
         }
     }
 
-    Nodes(Loop loop, int originModel, Connections connections) {
+    Nodes(IoLoop loop, int originModel, ConnectionPolicy connections) {
         this.loop = loop;
         this.originModel = originModel;
         this.connections = connections;
     }
 
     /** What is allowed from now on. */
-    void limit(int newOriginModel, Connections newConnections) {
+    void limit(int newOriginModel, ConnectionPolicy newConnections) {
         originModel = newOriginModel;
         connections = newConnections;
-        peers.values().forEach(peer -> peer.backend.limit(connections));
+        peers.values().forEach(peer -> peer.backend.setPolicy(connections));
     }
 
-    Reuse reuse() {
-        return connections.reuse();
+    ReuseStats reuse() {
+        return connections.reuseStats();
     }
 
     int count() {
@@ -117,7 +117,7 @@
         hasChanged = true;
         logged = 0;
         lists++;
-        for (Listed entry : list.entries()) {
+        for (ListEntry entry : list.entries()) {
             Member m = entry.member();
             Peer peer = peers.get(m.node());
             if (m.state() == Member.State.GONE) {
@@ -128,7 +128,7 @@
                 peer.listedIn = lists;
             }
         }
-        if (list.whole()) {
+        if (list.full()) {
             peers.entrySet().stream().filter(e -> e.getValue().listedIn != lists).map(Map.Entry::getKey).toList().forEach(this::forget);
         }
         if (logged > MOST_LOGGED) {
@@ -142,7 +142,7 @@
     }
 
     /** A node is new, or something of it has changed. */
-    private void know(Listed entry, Peer before) {
+    private void know(ListEntry entry, Peer before) {
         Member m = entry.member();
         if (mayLog()) {
             LOG.log(Level.INFO, "node {0} is {1} at {2}: {3}", entry.uid(), name(m.node()), entry.endpoint(), m.state());
@@ -154,7 +154,7 @@
         Backend backend = stays ? before.backend : backend(m, entry.endpoint());
         peers.put(m.node(), new Peer(entry, backend, lists));
         if (m.state() == Member.State.DRAINING) {
-            backend.endWaiting();
+            backend.failWaiting();
         }
     }
 
