--- a/src/main/java/dappleseam/router/Asking.java
+++ b/src/main/java/dappleseam/router/Asking.java
@@ -1,7 +1,7 @@
 package dappleseam.router;
 
 /**
- * What a client asks for. {@code workMs} is the work that it is guessed to take on an idle node, 0 where nothing
- * tells; {@code again} where the client says that it asks once more.
+ * A client's request. {@code remainingMs} is the time until the client stops waiting, {@code estimatedWorkMs} the time the request is
+ * expected to take on an idle node, 0 if unknown; {@code isRetry} is set if the client says that it has tried before.
  */
 public record Asking(int grade, Key key, double leftMs, double workMs, boolean write, boolean again) {}
--- a/src/main/java/dappleseam/router/Deployment.java
+++ b/src/main/java/dappleseam/router/Deployment.java
@@ -3,9 +3,19 @@
 import java.util.List;
 
 /**
- * What one deployment allows and asks for, as far as the router reads it. {@code proxies}: the whole divided by this one's share of it; {@code originModel} is -1 where the
- * nodes fetch by themselves; {@code askEveryMs} is 0 where the list is pushed; a cold node falls that is sent {@code fallMultiple} times what it can take; the prices are points
- * of service for a hundred connections held open at each cache, and for a new one with each query.
+ * The settings of a deployment that the router reads.
+ *
+ * <ul>
+ * <li>{@code proxyCount} is the fleet's traffic divided by this proxy's share of it.
+ * <li>{@code originModel} is the model of the origin's list entry (cache-aside), or -1 where the nodes fetch by themselves (read-through).
+ * <li>{@code staticWeights} and {@code dynamicWeights} tell whether the weights in the list are fixed or fall with load; if neither is set,
+ *     all nodes count alike.
+ * <li>{@code askEveryMs} is the interval of calls to the list service, or 0 where the list is pushed.
+ * <li>A cold node fails if it is sent {@code fallMultiple} times what it can take; its capacity grows from {@code coldFrom} to 1 in
+ *     {@code warmAfterMs}.
+ * <li>The penalties are points of service: {@code crossZonePenalty} for a query served in another zone, {@code connectionPenalty} for a
+ *     hundred connections held open at each cache, {@code handshakePenalty} for a new connection with each query.
+ * </ul>
  */
 public record Deployment(
         List<ServiceGrade> grades,
@@ -26,7 +36,7 @@
         double fallMultiple,
         double openPrice,
         double handshakePrice) {
-    /** The same where this proxy may take that share of the whole: 1 over {@code proxies}. */
+    /** A copy for a proxy whose share of the fleet is 1 / {@code proxies}. */
     public Deployment sharedBy(double proxies) {
         return new Deployment(grades, proxies, originModel, scaleIsStable, scaleMoves, zone, crossPrice, tickMs, mostExecutions, parallelExecutions, mayCancel,
                 maxRetryAfterMs, askEveryMs, coldFrom, warmAfterMs, fallMultiple, openPrice, handshakePrice);
--- a/src/main/java/dappleseam/router/Hash.java
+++ b/src/main/java/dappleseam/router/Hash.java
@@ -1,10 +1,10 @@
 package dappleseam.router;
 
-/** The hash that places tokens and keys; alike at every proxy. */
+/** The hash that places tokens and keys on the ring; the same at every proxy. */
 public final class Hash {
     private Hash() {}
 
-    /** Finalizer of splitmix64: each bit of the input moves half of the output's. */
+    /** Finalizer of splitmix64: each input bit affects half of the output bits. */
     public static long mix(long x) {
         long z = x + 0x9E3779B97F4A7C15L;
         z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
@@ -12,7 +12,7 @@
         return z ^ z >>> 31;
     }
 
-    /** Evenly spread over 0 to 1. */
+    /** Hashes to a uniformly distributed fraction from 0 to 1. */
     static double fraction(long x) {
         return (mix(x) >>> 11) * 0x1p-53;
     }
--- a/src/main/java/dappleseam/router/Key.java
+++ b/src/main/java/dappleseam/router/Key.java
@@ -1,6 +1,6 @@
 package dappleseam.router;
 
-/** What a query concerns. {@link #NONE} for a query that concerns nothing in particular. */
+/** Hash of the cache key of a query; {@link #NONE} for a query without a key. */
 public record Key(long value) {
     public static final Key NONE = new Key(0);
 
--- a/src/main/java/dappleseam/router/Limit.java
+++ b/src/main/java/dappleseam/router/Limit.java
@@ -1,6 +1,6 @@
 package dappleseam.router;
 
-/** What may be in flight, in executions; under one it is the chance of one. */
+/** An adaptive limit of executions in flight; below one it is the probability of allowing one. */
 final class Limit {
     double size;
     double least;
--- a/src/main/java/dappleseam/router/Member.java
+++ b/src/main/java/dappleseam/router/Member.java
@@ -1,11 +1,11 @@
 package dappleseam.router;
 
-/** What the list says of one node; {@code startedAtMs} is 0 where it started long ago. */
+/** The list's entry for one node; {@code startedAtMs} is 0 if it started long ago, {@code model} an index into the configured models. */
 public record Member(NodeId node, State state, int model, int cell, int zone, double scale,
                      double startedAtMs) {
     public enum State { READY, DRAINING, GONE }
 
-    // Written out, as a record's own takes microseconds each without the second compiler, and a list names thousands.
+    // Explicit, as the generated method takes microseconds per call until it is compiled by C2, and a list has thousands of entries.
     @Override
     public boolean equals(Object other) {
         return other instanceof Member that && node.equals(that.node) && state == that.state && model == that.model && cell == that.cell
@@ -17,7 +17,7 @@
         return node.hashCode();
     }
 
-    /** The same with another time of its start. */
+    /** A copy with another start time. */
     public Member startedAt(double atMs) {
         return new Member(node, state, model, cell, zone, scale, atMs);
     }
--- a/src/main/java/dappleseam/router/Node.java
+++ b/src/main/java/dappleseam/router/Node.java
@@ -1,6 +1,6 @@
 package dappleseam.router;
 
-/** What one router holds of a listed node. */
+/** State that one router keeps about a listed node. */
 final class Node {
     final NodeId id;
     final long seed;
@@ -12,31 +12,31 @@
     int zone;
     int cell;
     double scale;
-    /** The largest scale ever listed, where scales move with load: the scale of the node when it holds nothing. */
+    /** With dynamic weights the largest weight ever listed, which is the weight of the node without load. */
     double idleScale;
-    /** Queries held for each core when the list last told, by how far its scale had fallen. */
+    /** Queries held per core according to the last list update, estimated from how far the weight has fallen. */
     double held;
-    /** Share of the keys that its successors take for now. */
+    /** Share of its keys that currently go to its successors. */
     double shed;
-    /** Where the ring names it, under 0 where it does not, and how many of its tokens are placed there. */
+    /** Slot in the ring, negative if it is not in the ring, and the number of its tokens there. */
     int ringSlot = -1;
     int ringTokens;
-    /** The last walk of the ring that met this node. */
+    /** Number of the last walk of the ring that visited this node. */
     int walk;
     int out;
-    /** Of the latest answers on average, in ms. */
+    /** Moving average of the answer time, in ms. */
     double took;
-    /** Of this proxy's executions. */
+    /** Share of this proxy's executions that go to the node. */
     final Share share;
-    /** A connection may be open. */
+    /** Whether a connection to it may be open. */
     boolean open;
-    /** Failures in a row without a sign of life. */
+    /** Failures since the last answer. */
     int strikes;
     double heardAt;
-    /** 0 in service; a time to come while set aside; past while on trial. */
+    /** 0 in service; in the future while the node is ejected; in the past while it is on trial. */
     double asideUntil;
     int trialsLeft;
-    /** Late or full lately. */
+    /** The node is avoided until then, as it was late or full. */
     double busyUntil;
 
     Node(NodeId id, boolean isOrigin, Tally tally, Limit limit, Share share) {
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Takes over what the list says; a restarted process shares nothing with the one that failed. Whether the ring
-     * is another by it.
+     * Updates the node from the list. A new start time discards what was learned about the previous process. Returns whether the ring has
+     * to change.
      */
     boolean learn(Member m, double newScale, boolean scaleMoves) {
         boolean moves = state != m.state() || scale != newScale || zone != m.zone();
@@ -74,16 +74,16 @@
         return moves;
     }
 
-    /** What may be told to a router that comes after this one; null where nothing was learnt. */
+    /** State for the router of the next process; null if there is nothing to pass on. */
     Learnt learnt() {
         boolean nothing = asideUntil == 0 && busyUntil == 0 && idleScale == 0;
         return nothing ? null : new Learnt(id, startedAt, asideUntil, busyUntil, idleScale, shed);
     }
 
-    /** Times to come are bounded by what this router itself would set; a node that is avoided comes back by trials. */
+    /** Restores passed-on state. Times are bounded by those this router would set itself; an ejected node returns through a trial. */
     void recall(Learnt known, double untilMost, double busyMost, int trials) {
         if (known.startedAtMs() != startedAt) {
-            return; // of the process before this one
+            return; // the node has restarted since
         }
         asideUntil = Math.min(known.asideUntilMs(), untilMost);
         trialsLeft = asideUntil > 0 ? trials : 0;
--- a/src/main/java/dappleseam/router/NodeId.java
+++ b/src/main/java/dappleseam/router/NodeId.java
@@ -1,8 +1,8 @@
 package dappleseam.router;
 
-/** A cache node or the origin, as the list names it. The number says nothing about the machine. */
+/** Id of a cache node or the origin in the list; an opaque number. */
 public record NodeId(long value) {
-    // Written out, as linking a record's own takes a hundredth of a second of each start.
+    // Explicit, as linking the generated method takes a hundredth of a second at each start.
     @Override
     public boolean equals(Object other) {
         return other instanceof NodeId that && that.value == value;
--- a/src/main/java/dappleseam/router/Outcome.java
+++ b/src/main/java/dappleseam/router/Outcome.java
@@ -5,15 +5,15 @@
     COMPLETED(false),
     /** The node answered with an error. */
     ERRED(false),
-    /** Turned back unseen: the node is full or draining. */
+    /** The node refused it without processing: it is full or draining. */
     FULL(true),
     TIMED_OUT(false),
     CONNECT_FAILED(true),
     RESET(false),
     CANCELLED(false),
-    /** Never left this proxy. */
+    /** It was never sent. */
     UNSENT(true),
-    /** The cache holds nothing under the key and fetches nothing. */
+    /** The cache does not hold the key, and does not fetch by itself. */
     MISS(true);
 
     /** The execution is known to have had no effect. */
--- a/src/main/java/dappleseam/router/Query.java
+++ b/src/main/java/dappleseam/router/Query.java
@@ -3,30 +3,32 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A query that the router has taken, until it is answered and its last execution has ended. */
+/** A query accepted by the router, kept until it is answered and its last execution has ended. */
 final class Query {
     final QueryId id;
-    /** What the deployment allowed when the query was taken. */
+    /** The settings in force when the query was accepted. */
     final Deployment site;
     final ServiceGrade grade;
     final Asking asking;
     final List<Execution> execs = new ArrayList<>(3);
     long hash;
     RecentKeys.Asked asked;
-    /** Its key's share of this proxy's latest queries, without itself. */
+    /** Its key's share of this proxy's recent queries, not counting this one. */
     double keyShare;
-    /** Its key is looked for in the own location first. */
+    /** The caches of the proxy's own zone are tried first. */
     boolean nearFirst;
-    /** Scale of the successors passed over for a hot key. */
+    /** Weight of the caches skipped on the walk, to spread a hot key. */
     double passOver;
+    /** When the client stops waiting. */
     double quitAt;
+    /** When an answer stops being worth anything. */
     double usefulUntil;
-    /** Guards all limits against clients that wait for less than a slow answer takes: their time-outs tell nothing. */
+    /** The client waits for less time than a slow answer takes, so its timeout must not reduce any limit. */
     boolean impatient;
     int out;
     boolean answered;
     boolean streaming;
-    /** The last walk of the ring met a cache whose limit was reached. */
+    /** The last walk of the ring visited a cache whose limit was reached. */
     boolean crowded;
 
     Query(QueryId id, Deployment site, ServiceGrade grade, Asking asking) {
@@ -40,7 +42,7 @@
         return site.mostExecutions() - execs.size();
     }
 
-    /** Once more after a reset: that tells of the connection, and the key is likely to be held there alone. */
+    /** Whether the node is used up for this query. A first reset does not count: it concerns the connection, and only this node may hold the key. */
     boolean triedAt(Node node) {
         int resets = 0;
         for (Execution e : execs) {
@@ -51,7 +53,7 @@
         return false;
     }
 
-    /** The first execution not known to have had no effect; null where there is none. */
+    /** The first execution that may have had an effect; null if there is none. */
     Execution firstThatMayHaveRun() {
         for (Execution e : execs) {
             if (!e.neverRan) {
@@ -61,6 +63,7 @@
         return null;
     }
 
+    /** The node of the first miss; null if there was none. */
     Node firstMissedAt() {
         for (Execution e : execs) {
             if (e.missed) {
@@ -70,6 +73,7 @@
         return null;
     }
 
+    /** Whether an execution is in flight at the origin. */
     boolean atOrigin() {
         for (Execution e : execs) {
             if (e.node.isOrigin && !e.ended) {
@@ -79,17 +83,18 @@
         return false;
     }
 
+    /** One execution of the query at one node. */
     static final class Execution {
         final Node node;
         final double sentAt;
         boolean ended;
         boolean missed;
         boolean neverRan;
-        /** Its connection broke once it was written. */
+        /** The connection broke after the request was written. */
         boolean reset;
-        /** Out for so long that it no longer counts among the fleet's. */
+        /** In flight for so long that it no longer counts against the limit for all caches. */
         boolean pinned;
-        /** The key was not known to be held there. */
+        /** The node was not known to hold the key, so it may have to fetch it. */
         final boolean mayFetch;
 
         Execution(Node node, double sentAt, boolean mayFetch) {
--- a/src/main/java/dappleseam/router/QueryId.java
+++ b/src/main/java/dappleseam/router/QueryId.java
@@ -1,6 +1,6 @@
 package dappleseam.router;
 
-/** One try of one client. A client that tries again gets a fresh id. */
+/** Id of a query; a client that retries gets a new one. */
 public record QueryId(int value) {
     @Override
     public boolean equals(Object other) {
--- a/src/main/java/dappleseam/router/RecentKeys.java
+++ b/src/main/java/dappleseam/router/RecentKeys.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What is remembered of the keys asked for most recently. */
+/** LRU map with statistics of the most recently queried keys. */
 final class RecentKeys extends LinkedHashMap<Key, RecentKeys.Asked> {
     private static final long serialVersionUID = 1L;
 
@@ -19,7 +19,7 @@
         return size() > most;
     }
 
-    /** One key: the share of this proxy's queries that ask for it, and the cache that last answered. */
+    /** Statistics of one key: its share of this proxy's queries, the cache that last answered, and the last miss. */
     static final class Asked {
         final Share share;
         Node heldBy;
--- a/src/main/java/dappleseam/router/Ring.java
+++ b/src/main/java/dappleseam/router/Ring.java
@@ -5,43 +5,45 @@
 import java.util.Collection;
 
 /**
- * The consistent-hash ring: the tokens of all caches in use, in the order of their positions. It depends on the caches' ids and scales
- * alone, so that proxies with one list agree. What comes is merged into what is there, what goes is taken out in one pass: nothing is sorted anew.
+ * Consistent-hash ring: the tokens of all caches in use, ordered by position. It depends only on the ids and weights of the caches, so
+ * that proxies with the same list agree. New tokens are merged into the existing ones and removed caches are taken out in one pass, so a
+ * change never sorts the whole ring again.
  */
 final class Ring {
-    /** Tokens of the largest cache: the spread of ring shares falls with their root. */
+    /** Tokens of the largest cache. The deviation of the ring shares falls with the square root of this number. */
     private static final int TOKENS = 256;
-    /** Bits of an entry that name the cache; allows 4096 caches and leaves 52 bits of position. */
+    /** Low bits of an entry that hold the slot of the cache: allows 4096 caches and leaves 52 bits of position. */
     private static final int SLOT_BITS = 12;
     private static final int SLOTS = 1 << SLOT_BITS;
-    /** Arcs that are kept apart, so that an insertion moves one arc's tokens: some hundreds in a fleet of thousands. */
+    /** The ring is divided into arcs with arrays of their own, so that an insertion moves the tokens of one arc: some hundreds in a fleet of
+     * thousands. */
     private static final int ARC_BITS = 10;
     private static final int ARCS = 1 << ARC_BITS;
-    /** Slack that keeps a scale of just a power of two in its class. */
+    /** Rounding slack that keeps a weight of exactly a power of two in its class. */
     private static final double ROUNDING = 1e-9;
-    /** Room of an arc when its first token comes. */
+    /** Initial capacity of an arc, allocated with its first token. */
     private static final int FIRST_ROOM = 4;
 
-    /** By arc, in order; an entry is a position with the slot of its cache in the low bits. */
+    /** Sorted entries by arc; an entry is a position with the slot of its cache in the low bits. */
     private final long[][] arcs = new long[ARCS][];
     private final int[] counts = new int[ARCS];
-    /** Entries behind those, put and not settled yet. */
+    /** Number of unsorted entries after the sorted ones, waiting for {@link #mergeAppended}. */
     private final int[] appended = new int[ARCS];
     private final Node[] caches = new Node[SLOTS];
     private final ArrayDeque<Integer> freeSlots = new ArrayDeque<>();
     private int usedSlots;
     private int size;
-    /** The scale that has {@link #TOKENS}: a power of two, so that tokens change only when the largest cache's class does. */
+    /** The weight that has {@link #TOKENS} tokens: a power of two, so that tokens change only when the largest weight enters another class. */
     private double unit = 1;
     private int arc;
     private int next;
 
-    /** Tokens in all. */
+    /** Number of tokens of all caches. */
     int size() {
         return size;
     }
 
-    /** The largest scale of all caches in use; to be told before caches of another class are put. */
+    /** Sets the largest weight of all caches in use; to be called before caches of another class are put. Rebuilds the ring if needed. */
     void fit(double largestScale) {
         double fitting = Math.pow(2, Math.ceil(Math.log(largestScale) / Math.log(2) - ROUNDING));
         if (fitting != unit) {
@@ -70,16 +72,16 @@
         return (int) Math.max(1, Math.round(TOKENS * cache.scale / unit));
     }
 
-    /** A cache is in use, with the scale that it has now; to be walked once it is {@link #settle settled}. */
+    /** Adds a cache or updates its weight; a walk sees it after {@link #mergeAppended}. */
     void put(Node cache) {
         if (cache.ringSlot < 0) {
             if (freeSlots.isEmpty() && usedSlots == SLOTS) {
-                return; // more caches than a ring can name
+                return; // more caches than there are slots
             }
             cache.ringSlot = freeSlots.isEmpty() ? usedSlots++ : freeSlots.pop();
             caches[cache.ringSlot] = cache;
         }
-        // The same tokens at every proxy, and fewer of the same where the scale is smaller.
+        // Tokens are the same at every proxy, and a smaller weight uses a prefix of the same sequence.
         int count = tokens(cache);
         for (; cache.ringTokens < count; cache.ringTokens++) {
             append(token(cache, cache.ringTokens), cache);
@@ -89,7 +91,7 @@
         }
     }
 
-    /** Caches are not in use any more; those that were not are passed over. */
+    /** Removes caches; ignores those that are not in the ring. */
     void remove(Collection<Node> leaving) {
         boolean[] leaves = new boolean[SLOTS];
         boolean any = false;
@@ -124,7 +126,7 @@
         return (int) ((hash ^ Long.MIN_VALUE) >>> Long.SIZE - ARC_BITS);
     }
 
-    /** Behind the arc's tokens, to be sorted in with the others that come. */
+    /** Appends a token to its arc, to be merged later together with others. */
     private void append(long token, Node cache) {
         int in = arcOf(token);
         int at = counts[in] + appended[in];
@@ -138,7 +140,7 @@
         size++;
     }
 
-    /** Sorts in what was put since the last time. */
+    /** Merges the entries appended since the last call into the sorted ones. */
     void settle() {
         for (int in = 0; in < ARCS; in++) {
             if (appended[in] > 0) {
@@ -149,7 +151,7 @@
         }
     }
 
-    /** Merges so many entries behind the sorted ones into them, from the end on. */
+    /** Merges the {@code more} entries that follow the {@code sorted} ones into them, from the end backwards. */
     private void merge(long[] entries, int sorted, int more) {
         long[] added = sortedCopy(entries, sorted, sorted + more);
         int end = sorted;
@@ -161,7 +163,7 @@
         }
     }
 
-    /** Among the first so many entries, the first that the one named comes before. */
+    /** Index of the first among {@code count} entries that sorts after {@code entry}. */
     private int firstBehind(long[] entries, int count, long entry) {
         long position = entry >> SLOT_BITS;
         int low = 0;
@@ -181,7 +183,7 @@
     private long[] sortedCopy(long[] entries, int from, int to) {
         long[] copy = Arrays.copyOfRange(entries, from, to);
         Arrays.sort(copy);
-        for (int i = 1; i < copy.length; i++) { // of caches at one position the lowest id comes first, whatever its slot
+        for (int i = 1; i < copy.length; i++) { // at equal positions the lowest cache id comes first, independent of slots
             for (int at = i; at > 0 && isBefore(copy[at], copy[at - 1]); at--) {
                 long before = copy[at - 1];
                 copy[at - 1] = copy[at];
@@ -214,7 +216,7 @@
         return caches[(int) entry & SLOTS - 1];
     }
 
-    /** In an arc, the first entry whose position is that of the hash or behind it. */
+    /** Index of the arc's first entry whose position is at or after that of the hash. */
     private int firstFrom(int in, long hash) {
         long position = hash >> SLOT_BITS;
         int low = 0;
@@ -230,13 +232,13 @@
         return low;
     }
 
-    /** Begins a walk clockwise from a hash. */
+    /** Starts a clockwise walk at a hash. */
     void seek(long hash) {
         arc = arcOf(hash);
         next = firstFrom(arc, hash);
     }
 
-    /** The cache of the next token of the walk; of a ring that is not empty. */
+    /** The cache of the next token of the walk. The ring must not be empty. */
     Node next() {
         while (next >= counts[arc]) {
             arc = arc + 1 & ARCS - 1;
--- a/src/main/java/dappleseam/router/Router.java
+++ b/src/main/java/dappleseam/router/Router.java
@@ -13,113 +13,117 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Every decision of one proxy. Call one method for each thing that happens, with the clock in ms; it acts
- * through the {@link Host} before it returns. One thread; nothing is shared between routers. What a
- * deployment allows is in {@link Deployment}; docs/design.md says why it decides as it does.
+ * Makes all routing decisions of one proxy. The caller reports each event through one method, with the clock in ms; the router acts
+ * through its {@link Host} before the method returns. Not thread-safe; routers share no state. {@link RouterSettings} holds what the
+ * deployment allows; docs/design.md gives the reasons behind the decisions.
  */
 public final class Router {
-    /** Owner and fallbacks looked at, in caches: the two successors of the design. */
+    /** Caches considered for a key: its owner and, as in docs/design.md, two successors. */
     private static final int CHOICES = 3;
-    /** Load skip: multiple of the own mean in flight per scale; the design's figure. */
+    /** Load skip: a cache is busy above this multiple of the proxy's own mean number in flight per weight; from docs/design.md. */
     private static final double SKIP_MULTIPLE = 2;
-    /** Load skip: queries in flight that are never too many; below, chance decides rather than load. */
+    /** Load skip: queries in flight up to which a cache is never busy; differences below it are chance, not load. */
     private static final int SKIP_FLOOR = 2;
-    /** Queries held for each core, as listed, that are never too many: what waits then is soon done. */
+    /** Listed queries held per core up to which a cache is never overloaded: so short a queue drains quickly. */
     private static final double HELD_FLOOR = 1.5;
-    /** Share of the way that the shed share of a cache's keys goes up, or down, with each news of it. */
+    /** Fraction of the distance to its target by which a cache's shed share rises, or falls, with each list update. */
     private static final double SHED_UP = 0.3;
     private static final double SHED_DOWN = 0.15;
-    /** Points for crossing with each query from which each location keeps copies of its own. */
+    /** Penalty in points for a cross-zone query from which each zone keeps copies of its own. */
     private static final double CROSS_WORTH = 0.05;
-    /** By how much the share of keys copied so falls with each slow read at the origin, or grows. */
+    /** Steps by which the share of keys copied to each zone falls with a slow read at the origin, and grows with a quick one. */
     private static final double COPIED_DOWN = 0.1;
     private static final double COPIED_UP = 0.01;
-    /** Share of the SLO time that one execution may take while a successor could still answer. */
+    /** Share of the remaining SLO time that one execution may take while a successor could still answer. */
     private static final double PATIENCE = 0.5;
-    /** Share of the SLO time after which a second copy goes out: past the usual answer, time for another. */
+    /** Share of the SLO time after which a second copy is sent: later than a usual answer, early enough for another one. */
     private static final double SECOND_COPY = 0.6;
-    /** Further executions earned by each query, most saved: what failures may add to an overload. */
+    /** Retry budget, in executions: earned by each query, and the maximum saved. It bounds what failures may add to an overload. */
     private static final double EXTRA_SHARE = 0.2;
     private static final double EXTRA_MOST = 20;
-    /** Share of the SLO time below which another execution cannot end well. */
+    /** Share of the SLO time below which there is no time left for another execution. */
     private static final double TOO_LATE = 0.05;
-    /** Failures without a sign of life, in executions, before a cache is set aside; one may be chance. */
+    /** Consecutive executions that fail without an answer before a cache is ejected; a single one may be chance. */
     private static final int STRIKES = 2;
-    /** Share of answers that are errors, and the fewest of them, before a cache is set aside. */
+    /** Share of errors among the answers from which a cache is ejected, and the fewest answers that count. */
     private static final double ERROR_SHARE = 0.3;
     private static final int ERRORS_LEAST = 3;
-    /** Fixed and random part of the time set aside, in ms: some time-outs of trouble, spread over proxies. */
+    /** Fixed and random part of the ejection time, in ms: a few timeouts long, and spread over the proxies. */
     private static final double ASIDE_MS = 1500;
     private static final double ASIDE_RANDOM_MS = 1000;
-    /** Largest share of the ring's scale set aside; more is a shared trouble, which no set-aside helps. */
+    /** Largest share of the ring's weight that may be ejected; beyond it the cause is shared, and ejection does not help. */
     private static final double ASIDE_MOST = 0.4;
-    /** Answers in a row, in executions, that end a trial. */
+    /** Answered executions that end the trial after an ejection. */
     private static final int TRIAL_GOOD = 3;
-    /** In-flight limits, in executions: first size over all proxies, least, and the share a cut keeps. */
+    /**
+     * In-flight limits, in executions: initial size over all proxies, its minimum at one proxy, the minimum of a limit, and the minimum
+     * for the origin and for fetches, which many proxies share. {@link #LIMIT_BACKOFF} is the factor of a decrease.
+     */
     private static final double LIMIT_FIRST = 64;
     private static final double LIMIT_FIRST_LEAST = 4;
     private static final double LIMIT_LEAST = 0.5;
     private static final double SCARCE_LEAST = 0.05;
-    /** Share by which a limit under one grows for each good answer: a fifth of late ones holds it. */
+    /** Share by which a limit below one grows with each good answer; a fifth of late answers keeps it level. */
     private static final double GROWTH = 0.2;
-    /** Share kept of idle connections worth their price; what a failed connect leaves, an answer adds. */
+    /** Share kept of the idle connections worth their penalty; factor of it after a failed connect; what a good answer adds. */
     private static final double HOLD_FIRST = 0.5;
     private static final double HOLD_KEPT = 0.5;
     private static final double HOLD_GROWTH = 0.02;
-    /** Points that an open connection costs all others while every connect fails, where none has a price. */
+    /** Penalty in points for an open connection while every connect fails, where the deployment sets none: it keeps others out. */
     private static final double FULL_PRICE = 0.08;
     private static final double LIMIT_KEPT = 0.7;
-    /** Share of the SLO time after which a cache's, and the scarcer origin's, answer tells of a queue. */
+    /** Share of the SLO time after which an answer of a cache, and one of the scarcer origin, indicates a queue. */
     private static final double SLOW_ANSWER = 0.4;
     private static final double SLOW_ORIGIN = 1;
-    /** Share of slow or missing answers, and the fewest counted, over a time in ms, that tell of overload. */
+    /** Share of slow or missing answers, and share of the caches' weight that is slow, above which there is an overload. */
     private static final double OVERLOAD_SHARE = 0.2;
     private static final double OVERLOAD_CACHES = 0.4;
-    /** Share of the SLO time up to which the latest answers are quick, and share that may be late then. */
+    /** Share of the SLO time up to which recent answers are quick, and the share of late ones then explained by loss in transit. */
     private static final double QUICK = 0.2;
     private static final double LOST_SHARE = 0.5;
+    /** Overload: fewest answers counted, the same at a proxy with little traffic, and the window in ms. */
     private static final int OVERLOAD_LEAST = 10;
     private static final int OVERLOAD_THIN = 4;
     private static final double OVERLOAD_MS = 750;
-    /** Time for which a miss tells that a key is missing, in ms: a few tries of one client. */
+    /** Time in ms for which a key counts as missing after a miss: a few tries of one client. */
     private static final double MISSING_MS = 1000;
-    /** Keys remembered, in keys: well over what one proxy asks for while a cache keeps them. */
+    /** Most keys remembered: well over what one proxy queries while a cache keeps them. */
     private static final int KEYS_MOST = 1 << 14;
-    /** Multiple of its share of the ring's scale that a key is spread over: room for the other keys there. */
+    /** A hot key is spread over this multiple of the weight its share of the queries fills, which leaves room for other keys. */
     private static final double SPREAD = 1.5;
-    /** A late or full cache is passed over for so many of the proxy's queries, within bounds in ms. */
+    /** A late or full cache is avoided for the time of this many queries of the proxy, within bounds in ms. */
     private static final double BUSY_QUERIES = 20;
     private static final double BUSY_LEAST_MS = 2500;
     private static final double BUSY_MOST_MS = 8000;
-    /** Caches that one hot key is spread over at most; each more is a copy to fetch and to keep. */
+    /** Most caches that one hot key is spread over; each further one has to fetch and keep a copy. */
     private static final int SPREAD_MOST = 8;
-    /** Fleet's limit, in executions a cache: first and least over all proxies, share for fetches. */
+    /** Limit for all caches together, in executions per cache: initial and minimum over all proxies, and the share for fetches. */
     private static final double FLEET_FIRST = 12;
     private static final double FLEET_LEAST = 3;
     private static final double FETCH_FIRST = 0.5;
-    /** Share of a limit open to the least important query; the rest opens evenly with importance. */
+    /** Share of a limit open to queries of no importance; the rest opens in proportion to importance. */
     private static final double LIMIT_FOR_ALL = 0.6;
-    /** Least time to come back after a rejection, as a share of the SLO time; doubled at random. */
+    /** Shortest retry-after of a rejection, as a share of the SLO time; up to doubled at random. */
     private static final double COME_BACK = 0.2;
-    /** Cold budget, multiples: of its due for one key; sent of what is answered; borne to get all its due. */
+    /** Cold cache: factor on its share for one key; executions sent over those answered; fall multiple that earns its full share. */
     private static final double COLD_KEY = 2;
     private static final double COLD_MULTIPLE = 1.2;
     private static final double COLD_BEARS = 3;
-    /** Measuring buckets: length in ms and number; four seconds hold a few queries even of a quiet proxy. */
+    /** Measurement buckets: length in ms and number. Four seconds hold a few queries even of a proxy with little traffic. */
     private static final double BUCKET_MS = 250;
     private static final int BUCKETS = 16;
-    /** Back-off for the list in ms, first, most and its growth: the first fits behind a silent watch and a given-up call, two calls with the
-     * longest fit into the 6 s after which news is told. */
+    /** Back-off of calls to the list service in ms: initial, maximum, growth. The initial one fits after a silent watch and a timed-out call;
+     * two calls with the longest fit into the 6 s within which a change has to be known. */
     private static final double ASK_AGAIN_MS = 400;
     private static final double ASK_MOST_MS = 2000;
     private static final double ASK_GROWTH = 2.5;
-    /** Time in ms over which the first calls of many proxies are spread. */
+    /** Time in ms over which the first calls of many proxies to the list service are spread. */
     private static final double ASK_SPREAD_MS = 1500;
-    /** Latest queries over which a key's or a cache's own share is taken: a thin proxy's ten to twenty s. */
+    /** Recent queries over which shares and answer times are averaged: ten to twenty s of a proxy with little traffic. */
     private static final double MEMORY = 64;
-    /** Difference between two times left, in ms, that may come from the ways alone. */
+    /** Difference between two remaining times, in ms, that network delays alone may cause. */
     private static final double SAME_MS = 10;
-    /** Time kept for the answer's way to the client, in ms, on top of two ticks. */
+    /** Time reserved for the answer to reach the client, in ms, on top of two ticks. */
     private static final double LAST_HOP_MS = 2;
 
     private static final Comparator<Node> BY_ID = Comparator.comparingLong(n -> n.id.value());
@@ -138,19 +142,19 @@
     private int fetchesOut;
     private final RecentKeys asked = new RecentKeys(KEYS_MOST);
     private double now;
-    /** In use, by id: their figures add up to the same at every proxy. */
+    /** Caches in use, sorted by id, so that floating-point sums over them are equal at every proxy. */
     private final List<Node> caches = new ArrayList<>();
     private final Ring ring = new Ring();
-    /** Of the list, since the ring was last brought up to date: many changes may come between two queries. */
+    /** Nodes changed since the ring was last updated; it is updated once per query, however many list changes come in between. */
     private final Set<Node> changed = new LinkedHashSet<>();
     private double ringScale;
-    /** Share of the keys that each location keeps for itself: what the origin bears, as misses double. */
+    /** Share of the keys of which each zone keeps its own copy; bounded by what the origin can serve, as the misses double. */
     private double copied = 1;
-    private double scaleNear; // of the own location's caches
+    private double scaleNear; // of the caches in the proxy's own zone
     private Node origin;
     private int outAtCaches;
     private double heldUsually;
-    private double[] longestTry = {}; // that a client has waited for, by grade, in ms
+    private double[] longestTry = {}; // longest remaining time seen in a query, by grade
     private int walk;
     private double extras = EXTRA_MOST;
     private boolean followed;
@@ -158,12 +162,13 @@
     private double askWait = ASK_AGAIN_MS;
     private long turn; // queries taken so far
     private final double bornAt;
-    private double usualTook = 100; // of a timely answer from a cache, in ms
-    /** Share of the idle connections worth their price that the caches have room for, as failed ones tell. */
+    private double usualTook = 100; // mean over the timely answers of caches
+    /** Estimated share of the idle connections worth their penalty that caches have room for; falls with failed connects. */
     private double hold = 1;
-    /** Where this proxy stands among all, from 0 to 1; spreads hot keys. */
+    /** Position of this proxy among all, from 0 to 1; proxies at different positions use different caches for a hot key. */
     private double place;
 
+    /** A router without nodes; {@code random} is the source of all its random choices. */
     public Router(Deployment site, RandomGenerator random, Host host, double nowMs) {
         this.site = site;
         this.random = random;
@@ -175,7 +180,7 @@
         settingsChanged(nowMs, site);
     }
 
-    /** Queries that are open keep the grade and the rules they were taken under. */
+    /** Applies new settings to later queries; open queries keep those they were accepted under. */
     public void settingsChanged(double nowMs, Deployment newSite) {
         now = nowMs;
         site = newSite;
@@ -186,7 +191,7 @@
         }
     }
 
-    /** The whole over this proxy's share, under which limits were learnt, and its place, NaN for the same. */
+    /** Applies a new share of the fleet ({@code proxyCount} is its reciprocal), scaling learned limits, and a new position unless NaN. */
     public void toldOfFleet(double proxies, double newPlace) {
         place = Double.isNaN(newPlace) ? place : newPlace;
         double by = site.proxies() / proxies;
@@ -196,6 +201,9 @@
         fleetLimit.least = Math.max(1, FLEET_LEAST / proxies * caches.size());
     }
 
+    /**
+     * Replaces the whole list. {@code isRemembered}: the list was kept from an earlier run, so the list service has yet to be called.
+     */
     public void listGiven(double nowMs, List<Member> members, boolean remembered) {
         boolean before = followed;
         nodes.values().forEach(n -> n.state = Member.State.GONE);
@@ -205,6 +213,7 @@
         followed = before || !remembered;
     }
 
+    /** Applies an update of the list: only the given members have changed. */
     public void listChanged(double nowMs, List<Member> members) {
         now = nowMs;
         followed = true;
@@ -215,10 +224,11 @@
         }
     }
 
+    /** A call to the list service has failed. */
     public void listFailed(double nowMs) {
         now = nowMs;
         followed = false;
-        // Guards the list service, which does not grow with the fleet: each failure lengthens the wait.
+        // Protects the list service, which does not grow with the fleet: each failure lengthens the delay.
         askAfter((0.2 + 0.8 * random.nextDouble()) * askWait);
         askWait = Math.min(ASK_GROWTH * askWait, Math.min(ASK_MOST_MS, site.askEveryMs() / 2));
     }
@@ -228,7 +238,7 @@
         timers.after(delayMs, () -> {
             if (turn == askTurn && !followed) {
                 host.followList();
-                askAfter(site.askEveryMs() * (0.56 + 0.24 * random.nextDouble())); // if unanswered
+                askAfter(site.askEveryMs() * (0.56 + 0.24 * random.nextDouble())); // in case this call is not answered
             }
         });
     }
@@ -242,12 +252,12 @@
             changed.add(n);
         }
         if (n.state == Member.State.GONE) {
-            nodes.remove(n.id); // guards long days: ids are ever new
+            nodes.remove(n.id); // ids are never reused, so the map would grow without bound
         }
         shed(n);
     }
 
-    /** For the next query: by the list alone, so that proxies with one list agree and no other key moves. */
+    /** Brings the ring up to date. It depends on the list only, so that proxies with one list agree and no other key moves. */
     private void updateRing() {
         boolean isFirst = caches.isEmpty();
         List<Node> leaving = changed.stream().filter(n -> !n.isReady()).toList();
@@ -270,13 +280,14 @@
         fleetLimit.least = Math.max(1, FLEET_LEAST / site.proxies() * caches.size());
     }
 
-    /** Does ahead what the first query would wait for: the ring of a large fleet takes a tenth of a second. */
+    /** Updates the ring ahead of the first query: for a large fleet that takes a tenth of a second. */
     public void prepare() {
         if (!changed.isEmpty()) {
             updateRing();
         }
     }
 
+    /** Takes a new query; it is executed, rejected or aborted through the host. */
     public void query(double nowMs, QueryId id, Asking asking) {
         now = nowMs;
         prepare();
@@ -286,7 +297,7 @@
         q.quitAt = now + asking.leftMs();
         double slowMs = SLOW_ANSWER * q.grade.sloMs() + asking.workMs();
         q.impatient = Math.min(asking.leftMs(), q.grade.sloMs()) < slowMs;
-        // Past its SLO time an answer that earns nothing is given up, and its node freed.
+        // Where an answer past the SLO time earns nothing, the query is given up then, which frees its node.
         boolean toTheEnd = q.grade.tardyShare() > 0 || q.grade.repeat() == Repeat.NON_IDEMPOTENT;
         double before = askedBefore(q.grade, asking);
         double sloLeft = q.grade.sloMs() - 2 * site.tickMs() - LAST_HOP_MS - before;
@@ -295,7 +306,7 @@
         extras = Math.min(EXTRA_MOST, extras + EXTRA_SHARE);
         turn++;
         q.asked = asked.computeIfAbsent(key, k -> new Asked(new Share(MEMORY)));
-        // Guards a hot key's owner: the key is spread over the scale it would fill, each proxy at its place.
+        // Protects a hot key's owner: the key is spread over the weight it would fill, and each proxy's position selects a part of it.
         q.keyShare = key.equals(Key.NONE) ? 0 : q.asked.share.at(turn);
         q.nearFirst = site.crossPrice() >= CROSS_WORTH && Hash.fraction(Hash.mix(~q.hash)) < copied;
         q.passOver = SPREAD * q.keyShare * (q.nearFirst ? scaleNear : ringScale) * place;
@@ -303,7 +314,7 @@
         if (!caches.isEmpty()) {
             closeUnlessUsed(caches.get((int) (turn % caches.size())));
         }
-        // Guards caches against work whose answer nobody waits for any more.
+        // Protects caches from work whose answer would come too late for the client.
         if (before > 0 && q.usefulUntil - now < TOO_LATE * q.grade.sloMs()) {
             giveUp(q);
         } else {
@@ -311,13 +322,14 @@
         }
     }
 
-    /** For how many ms a client that asks once more has asked at least: its last try ends with its time. */
+    /** Minimum time in ms since the first try of a retrying client: the remaining time of its last try is cut by its overall deadline. */
     private double askedBefore(ServiceGrade grade, Asking asking) {
         longestTry[asking.grade()] = Math.max(longestTry[asking.grade()], asking.leftMs());
         boolean isLast = asking.again() && asking.leftMs() < longestTry[asking.grade()] - SAME_MS;
         return isLast ? Math.max(0, grade.timeoutMs() - asking.leftMs()) : 0;
     }
 
+    /** The client has disconnected or stopped waiting. */
     public void clientLeft(double nowMs, QueryId id) {
         now = nowMs;
         Query q = queries.get(id);
@@ -326,6 +338,7 @@
         }
     }
 
+    /** The first bytes of a streamed answer have arrived; its execution is not cancelled any more. */
     public void streamStarted(double nowMs, QueryId id, int execution) {
         now = nowMs;
         Query q = queries.get(id);
@@ -335,6 +348,7 @@
         }
     }
 
+    /** A timer that was started through {@link Host#startTimer} is due. */
     public void woken(double nowMs, TimerId timer) {
         now = nowMs;
         timers.fire(timer);
@@ -346,12 +360,12 @@
             toOrigin(q);
             return;
         }
-        // Guards caches against retries for what they lack while the origin has no room for it.
+        // Protects caches from retries for a missing key while the origin has no room to serve it.
         if (aside && q.asked.missedAt > now - MISSING_MS && !originFits(q)) {
             giveUp(q);
             return;
         }
-        // Guards against an overload of all caches: more in flight would only make every answer late.
+        // Prevents an overload of all caches: more in flight would only make every answer late.
         boolean room = fits(outAtCaches, fleetLimit, q);
         Node n = room ? choose(q) : null;
         if (n != null && !(mayFetch(q, n) && !fits(fetchesOut, fetchLimit, q))) {
@@ -363,7 +377,7 @@
         }
     }
 
-    /** The first usable cache clockwise, or by the load skip one of its next two; null if none has room. */
+    /** The first usable cache clockwise, or one of the next two if it is busy (load skip); null if none has room. */
     private Node choose(Query q) {
         Node least = null;
         int seen = 0;
@@ -401,7 +415,7 @@
             if (!full && (least == null || n.out / n.scale < least.out / least.scale)) {
                 least = n;
             }
-            if (nearFirst && seen == CHOICES) { // the own location has no room: on to the other
+            if (nearFirst && seen == CHOICES) { // the local zone has no room: start over with all zones
                 step = ring.size() - 1;
             }
         }
@@ -413,37 +427,37 @@
                 || n.busyUntil > now && !overloaded();
     }
 
-    /** Guards a cache that the list tells to be full: a share of each proxy's keys goes on to successors,
-     * quickly more and slowly less, since news is late and the same for all: else they come and go as one. */
+    /** Relieves a cache that the list reports as overloaded: each proxy moves a share of its keys to the successors. The share rises fast and
+     * falls slowly, since the report is late and the same for all proxies, which would otherwise move back and forth together. */
     private void shed(Node n) {
         double over = n.held / Math.max(HELD_FLOOR, SKIP_MULTIPLE * heldUsually) - 1;
-        double due = over > 0 ? 1 - (1 - n.shed) / (over + 1) : 0; // of what it got, with what it got
+        double due = over > 0 ? 1 - (1 - n.shed) / (over + 1) : 0; // the excess as a share of what it receives now
         n.shed += (due > n.shed ? SHED_UP : SHED_DOWN) * (due - n.shed);
     }
 
-    /** Each proxy sheds keys of its own, so that a hot one is split. */
+    /** Each proxy sheds a different part of the keys, so that a hot key is split between proxies. */
     private boolean sheds(Node n, Query q) {
         return (Hash.fraction(Hash.mix(q.hash) ^ n.seed) + place) % 1 < n.shed;
     }
 
-    /** Guards the origin and the caches' slots where caches fetch: keys not known to be held are limited. */
+    /** Whether a read-through cache may have to fetch the key, as it is not known to hold it. Limited, to protect the origin and cache slots. */
     private boolean mayFetch(Query q, Node n) {
         return site.originModel() < 0 && q.asked.heldBy != n;
     }
 
-    /** Many thin proxies share what is scarce: under one in flight the limit is a chance. */
+    /** Whether the limit leaves room. Below one it is a probability, so that many proxies with little traffic can share a scarce node. */
     private boolean fits(int out, Limit limit, Query q) {
         double importance = q.grade.importance() / highestImportance;
         double room = limit.size * (LIMIT_FOR_ALL + (1 - LIMIT_FOR_ALL) * importance);
         return out < room && (limit.size >= 1 || random.nextDouble() < room);
     }
 
-    /** Grows by one for each full round of good answers, under one by a share. */
+    /** Additive increase: by one for each full round of good answers, and below one by a share. */
     private void grow(Limit limit, int out) {
         limit.size += out + 1 >= limit.size / 2 ? Math.min(1 / limit.size, limit.size * GROWTH) : 0;
     }
 
-    /** Cuts for an execution sent since the last cut: what was out already tells nothing of the new size. */
+    /** Multiplicative decrease, unless the execution was sent before the last one: it says nothing about the new size. */
     private void cut(Limit limit, double sentAt) {
         if (sentAt >= limit.lastCut) {
             limit.lastCut = now;
@@ -456,11 +470,11 @@
                 || n.asideUntil > now || n.asideUntil > 0 && n.out > 0) {
             return false;
         }
-        // Guards a cold cache: every proxy sends it the same share of its keys.
+        // Protects a cold cache: every proxy sends it the same share of its keys.
         return warmth(n) >= 1 || Hash.fraction(q.hash ^ n.seed) < warmth(n) && withinColdBudget(n, q);
     }
 
-    /** Guards a cold cache: no key over its due, and less by chance while more is sent than answered. */
+    /** Protects a cold cache: no key above the share it can take, and fewer at random while more is sent than answered. */
     private boolean withinColdBudget(Node n, Query q) {
         double answered = fleet.count(now, BUCKET_MS * BUCKETS, Tally.GOOD)
                 + fetching.count(now, BUCKET_MS * BUCKETS, Tally.GOOD);
@@ -469,6 +483,7 @@
                 && random.nextDouble() * sent <= COLD_MULTIPLE * answered + 1;
     }
 
+    /** Share of its usual traffic that a recently started cache gets; 1 for a warm one. */
     private double warmth(Node n) {
         double age = now - n.startedAt;
         return n.startedAt <= 0 || age >= site.warmAfterMs() ? 1
@@ -476,7 +491,7 @@
                         + (1 - site.coldFrom()) * Math.max(0, age) / site.warmAfterMs());
     }
 
-    /** Whether a further execution there keeps the grade's promise about repeats. */
+    /** Whether a further execution at the node is allowed by the grade's repeat semantics. */
     private boolean mayGoTo(Query q, Node n) {
         Execution first = q.firstThatMayHaveRun();
         return first == null || q.grade.repeat() == Repeat.IDEMPOTENT
@@ -494,7 +509,7 @@
         boolean repeatable = q.grade.repeat() == Repeat.IDEMPOTENT && q.execsLeft() > 1
                 && caches.size() > 1 && !q.grade.stream();
         if (repeatable && !n.isOrigin && !q.site.parallelExecutions()) {
-            // Guards against a silent cache: leaves a successor time to answer within the SLO time.
+            // In case the cache never answers: leaves a successor time to answer within the SLO time.
             timeout = Math.min(left, Math.max(PATIENCE * left, TOO_LATE * q.grade.sloMs()));
         }
         Execution e = new Execution(n, now, mayFetch(q, n));
@@ -515,16 +530,16 @@
         }
     }
 
-    /** Guards against one slow or silent node: another gets a copy while it could still answer. */
+    /** Hedges against one slow or silent node: sends a copy to another while it could still answer in time. */
     private void secondCopy(Query q, Execution first) {
         if (q.answered || first.ended || q.streaming) {
             return;
         }
-        first.pinned = true; // a place pinned by one slow cache tells nothing of the fleet
-        boolean atOrigin = first.node.isOrigin; // late beside quick answers there: lost on its way
+        first.pinned = true; // an execution stuck at one slow cache says nothing about the fleet
+        boolean atOrigin = first.node.isOrigin; // if late while other answers are quick, it was lost in transit
         outAtCaches -= atOrigin ? 0 : 1;
         suspect(first);
-        // Guards an origin behind the caches: a copy is a fetch more there, and nothing calls it off.
+        // Not with read-through caches: a copy is one more fetch at the origin, which cannot be cancelled.
         boolean spare = site.originModel() >= 0 && q.out == 1 && extras >= 1 && (!atOrigin
                 || first.node.took < QUICK * q.grade.sloMs()) && q.execsLeft() >= (atOrigin ? 1 : 2);
         Node n = spare ? originFits(q) ? origin : atOrigin ? null : choose(q) : null;
@@ -540,7 +555,7 @@
     }
 
     private void toOrigin(Query q) {
-        // Guards the origin: what is in flight there is limited, and the last of it is kept for importance.
+        // Protects the origin: its in-flight limit reserves the last places for important queries.
         if (q.execsLeft() > 0 && originFits(q)) {
             send(q, origin);
         } else {
@@ -548,6 +563,7 @@
         }
     }
 
+    /** An execution has ended after {@code tookMs}; {@code finished}: its query has been answered. */
     public void executionEnded(double nowMs, QueryId id, int execution, Outcome outcome, double tookMs,
                                boolean finished) {
         now = nowMs;
@@ -559,7 +575,7 @@
         e.end(outcome);
         q.out--;
         if (outcome == Outcome.TIMED_OUT || outcome == Outcome.CANCELLED) {
-            // Guards a node that goes on with work given up on: its place counts as taken for as long again.
+            // The node may go on with the abandoned work: its place stays taken for as long again.
             timers.after(Math.min(tookMs, q.grade.sloMs()), () -> release(e));
         } else {
             release(e);
@@ -575,9 +591,9 @@
         }
     }
 
-    /** Guards the caches' tables against many proxies that each hold what they rarely use: price decides. */
+    /** Closes idle connections that cost more than they save: many proxies holding rarely used ones would fill the caches' tables. */
     private void closeUnlessUsed(Node n) {
-        // About one query is served by a cache in the time that one takes, which prices an open connection.
+        // A cache serves about one query in the time that a query takes, which gives the value of an open connection.
         double worthMs = hold * HOLD_FIRST * 100 * usualTook * site.handshakePrice();
         double price = Math.max(site.openPrice(), FULL_PRICE * (1 - hold));
         if (n.open && n.out == 0 && n.share.at(turn) * turn * worthMs < (now - bornAt) * price) {
@@ -613,14 +629,14 @@
         }
     }
 
-    /** What an outcome tells of the node. */
+    /** Updates the node's state, the limits and the statistics with the outcome of an execution. */
     private void judge(Query q, Execution e, Outcome outcome, double tookMs) {
         Node n = e.node;
         double slowShare = n.isOrigin ? SLOW_ORIGIN : SLOW_ANSWER;
         boolean slow = tookMs > slowShare * q.grade.sloMs() + q.asking.workMs();
         boolean late = slow || outcome == Outcome.TIMED_OUT && !q.impatient;
         if (n.isOrigin) {
-            boolean queued = tookMs > SLOW_ANSWER * q.grade.sloMs(); // a lost answer tells nothing of it
+            boolean queued = tookMs > SLOW_ANSWER * q.grade.sloMs(); // an answer lost in transit does not indicate a queue
             boolean tells = outcome == Outcome.COMPLETED && !q.asking.write();
             double step = !tells ? 0 : queued ? -COPIED_DOWN : COPIED_UP;
             copied = Math.max(0, Math.min(1, copied + step));
@@ -631,7 +647,7 @@
         }
         boolean answered = outcome == Outcome.COMPLETED || outcome == Outcome.MISS;
         n.took += answered ? (tookMs - n.took) / MEMORY : 0;
-        // Guards the origin's limit: what is late beside quick answers got lost on its way, not in a queue.
+        // Protects the origin's limit: an answer that is late while the others are quick was lost in transit, not queued.
         boolean quick = n.took < QUICK * q.grade.sloMs();
         double span = quick ? BUCKETS * BUCKET_MS : OVERLOAD_MS;
         boolean queue = late && !(n.isOrigin && n.tally.count(now, span, Tally.GOOD) >= OVERLOAD_LEAST
@@ -639,7 +655,7 @@
         if (answered || outcome == Outcome.FULL || outcome == Outcome.ERRED) {
             n.heard(now);
         }
-        boolean alive = n.isOrigin && n.heardAt > now - q.grade.sloMs(); // a break tells of its connection
+        boolean alive = n.isOrigin && n.heardAt > now - q.grade.sloMs(); // then a failed connect says something about the connection only
         if (queue || outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED && !alive) {
             cut(n.limit, e.sentAt);
         } else if (answered) {
@@ -657,7 +673,7 @@
                     n.tally.clear();
                 }
             }
-            case ERRED, RESET -> { // one reset tells of its connection; a dead process fails to connect next
+            case ERRED, RESET -> { // one reset concerns its connection only; a dead process fails the next connect
                 n.tally.add(now, Tally.BAD);
                 double share = n.tally.badShare(now, BUCKET_MS * BUCKETS, ERRORS_LEAST);
                 if (n.asideUntil > 0 || share > ERROR_SHARE) {
@@ -672,16 +688,17 @@
         }
     }
 
-    /** Guards a cache with a queue: the successors take its keys for a while, unless they have one too. */
+    /** Relieves a cache with a queue: its successors take its keys for a while, unless they are overloaded, too. */
     private void passOver(Node n) {
         n.busyUntil = now + busyMs() * (0.5 + random.nextDouble());
     }
 
-    /** How long news of a cache lasts: a thin proxy meets each one rarely, a busy one hears again at once. */
+    /** How long an observation of a cache stays valid: with little traffic a proxy observes each cache rarely. */
     private double busyMs() {
         return Math.max(BUSY_LEAST_MS, Math.min(BUSY_MOST_MS, BUSY_QUERIES * (now - bornAt) / turn));
     }
 
+    /** Updates the statistics and limits of hits or fetches with one answer of a cache. */
     private void pace(Execution e, boolean slow) {
         Tally tally = e.mayFetch ? fetching : fleet;
         Limit limit = e.mayFetch ? fetchLimit : fleetLimit;
@@ -700,14 +717,14 @@
         }
     }
 
-    /** Over the last answers of a busy proxy; a thin one has to look back further, and at fewer. */
+    /** Whether recent answers are often late; with little traffic the window is longer and fewer answers suffice. */
     private boolean oftenLate(Tally tally) {
         boolean busy = tally.count(now, OVERLOAD_MS, Tally.GOOD) + tally.count(now, OVERLOAD_MS, Tally.BAD)
                 >= OVERLOAD_LEAST;
         return tally.badShare(now, busy ? OVERLOAD_MS : BUCKETS * BUCKET_MS, OVERLOAD_THIN) > OVERLOAD_SHARE;
     }
 
-    /** Counts caches in use, not answers: a few slow ones are no overload, those set aside none. */
+    /** Counts the weight of caches instead of answers: a few slow caches are no overload, and ejected ones do not count. */
     private boolean overloaded() {
         double slow = 0;
         double heard = 0;
@@ -718,7 +735,7 @@
         return slow > OVERLOAD_CACHES * heard;
     }
 
-    /** Guards against a silent machine, told from an overload by the others. */
+    /** Counts a failure of a cache that has not answered since, unless the other caches show an overload. */
     private void suspect(Execution e) {
         if (e.node.heardAt < e.sentAt && !overloaded()) {
             strike(e.node, "silence");
@@ -733,7 +750,7 @@
 
     private void setAside(Node n, String why) {
         double away = caches.stream().filter(c -> c == n || c.asideUntil > 0).mapToDouble(c -> c.scale).sum();
-        // Guards against a trouble that all share, such as a slow origin: the ring is never emptied.
+        // A failure shared by all caches, such as a slow origin, must not empty the ring.
         if (n.isOrigin || n.asideUntil == 0 && away > ASIDE_MOST * ringScale) {
             return;
         }
@@ -742,24 +759,27 @@
         n.asideUntil = now + ASIDE_MS + ASIDE_RANDOM_MS * random.nextDouble();
     }
 
-    /** What a router that takes over may know of the listed nodes. */
+    /** What has been learned about the listed nodes, for a router that takes over. */
     public List<Learnt> learnt() {
         return nodes.values().stream().map(Node::learnt).filter(one -> one != null).toList();
     }
 
-    /** Guards the first seconds after a switch; a node not listed, or started since, begins afresh. */
+    /**
+     * Restores what the previous router learned, so that the first seconds after a takeover avoid known bad nodes. Nodes that are not
+     * listed, or have restarted since, are left as they are.
+     */
     public void recall(double nowMs, List<Learnt> known) {
         double asideMost = nowMs + ASIDE_MS + ASIDE_RANDOM_MS;
         known.stream().filter(k -> nodes.containsKey(k.node()))
                 .forEach(k -> nodes.get(k.node()).recall(k, asideMost, nowMs + BUSY_MOST_MS, TRIAL_GOOD));
     }
 
-    /** How many of the listed nodes are avoided now. */
+    /** Number of listed nodes that are not ready or are ejected. */
     public int avoided(double nowMs) {
         return (int) nodes.values().stream().filter(n -> !n.isReady() || n.asideUntil > nowMs).count();
     }
 
-    /** Answers at once, unless an execution is still out that may yet answer. */
+    /** Rejects or aborts the query, unless another execution in flight may still answer it. */
     private void giveUp(Query q) {
         if (q.out > 0) {
             return;
@@ -773,7 +793,7 @@
         settle(q);
     }
 
-    /** The query has its answer: nothing more goes out for it, and what is out is called off. */
+    /** The query has been answered: no further execution is started, and those in flight are cancelled where possible. */
     private void settle(Query q) {
         q.answered = true;
         for (int i = 0; i < q.execs.size() && q.site.mayCancel() && !q.streaming; i++) {
--- a/src/main/java/dappleseam/router/ServiceGrade.java
+++ b/src/main/java/dappleseam/router/ServiceGrade.java
@@ -1,13 +1,14 @@
 package dappleseam.router;
 
 /**
- * What is promised for one kind of query; {@code tardyShare} of its importance is paid past the SLO time, up to the
- * statement timeout.
+ * Service level of one kind of query. Past the SLO time and up to the statement timeout, an answer is worth {@code tardyShare} of the
+ * importance. Nodes deduplicate a repeated query for {@code dedupWindowMs}.
  */
 public record ServiceGrade(Repeat repeat, Group group, double windowMs, double sloMs,
                            double timeoutMs, double importance, double tardyShare, boolean stream) {
+    /** Whether a query may be executed more than once. */
     public enum Repeat { IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT }
 
-    /** Which nodes drop repeats of a deduplicated query. */
+    /** The nodes that share the deduplication of a query: all, those of one zone, or those of one cell. */
     public enum Group { ALL, ZONE, CELL }
 }
--- a/src/main/java/dappleseam/router/Tally.java
+++ b/src/main/java/dappleseam/router/Tally.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Counts in fixed buckets of time that are used again in a ring. */
+/** Sliding-window counts of executions sent, good and bad, in a ring buffer of time buckets. */
 final class Tally {
     static final int SENT = 0;
     static final int GOOD = 1;
@@ -25,7 +25,7 @@
         counts[(int) (newest % buckets) * KINDS + kind]++;
     }
 
-    /** The count over at least the span that ends now, as far as the buckets reach. */
+    /** The count over at least the span ending now, limited to the time that the buckets cover. */
     int count(double atMs, double spanMs, int kind) {
         advance(atMs);
         int sum = 0;
@@ -36,7 +36,7 @@
         return sum;
     }
 
-    /** Share of bad among good and bad, 0 where fewer than {@code least} tell. */
+    /** Share of bad among good and bad; 0 with fewer than {@code minSamples} of both together. */
     double badShare(double atMs, double spanMs, int least) {
         double bad = count(atMs, spanMs, BAD);
         double all = bad + count(atMs, spanMs, GOOD);
--- a/src/main/java/dappleseam/router/TimerId.java
+++ b/src/main/java/dappleseam/router/TimerId.java
@@ -1,4 +1,4 @@
 package dappleseam.router;
 
-/** A wake-up the router asked for. */
+/** Id of a timer that a router started through its host. */
 public record TimerId(int value) {}
--- a/src/main/java/dappleseam/router/Timers.java
+++ b/src/main/java/dappleseam/router/Timers.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What is to be done at a later time. */
+/** Pending timers of a router and their actions. */
 final class Timers {
     private final Map<Integer, Runnable> pending = new HashMap<>();
     private final Host host;
@@ -18,7 +18,7 @@
         host.wake(new TimerId(last), delayMs);
     }
 
-    /** Does what the timer was set for; nothing where it is not known. */
+    /** Runs the timer's action; ignores unknown timers. */
     void fire(TimerId timer) {
         Runnable due = pending.remove(timer.value());
         if (due != null) {
