--- a/src/main/java/dappleseam/Main.java
+++ b/src/main/java/dappleseam/Main.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** Command line of dappleseam. */
+/** Entry point of the command line. */
 @Command(name = "dappleseam", mixinStandardHelpOptions = true, version = "dappleseam 0.1.0-SNAPSHOT",
         description = "Client-side router for fleets of cache servers.", subcommands = {Drill.class, FleetCommand.class, Lab.class, Serve.class},
         synopsisSubcommandLabel = "COMMAND")
--- a/src/main/java/dappleseam/drill/Drill.java
+++ b/src/main/java/dappleseam/drill/Drill.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Runs routers on the simulator's wire: batches on standard input, each answered on standard output. */
+/** Runs routers for the simulator: reads batches of events from standard input and writes a reply to each to standard output. */
 @Command(name = "drill", mixinStandardHelpOptions = true,
-        description = "Decide for the instances that the simulator plays, on standard input and output.")
+        description = "Make the routing decisions for the proxies of a simulation, with events on standard input and replies on standard output.")
 public final class Drill implements Callable<Integer> {
-    /** Most of a frame that is believed, in bytes; a longer one is garbage rather than a batch. */
+    /** Longest valid frame in bytes; a longer one is malformed input. */
     private static final int LONGEST_FRAME = 1 << 30;
 
     @Override
@@ -23,6 +23,7 @@
         return serve(new BufferedInputStream(System.in, 1 << 16), new FileOutputStream(FileDescriptor.out));
     }
 
+    /** Answers batches until the end of the input; returns the exit status. */
     static int serve(InputStream in, OutputStream out) throws IOException {
         Exchange exchange = new Exchange();
         byte[] header = new byte[8];
@@ -40,7 +41,7 @@
                     throw new MalformedFrameException("input ends inside the header");
                 }
                 if (length < 8 || length > LONGEST_FRAME) {
-                    throw new MalformedFrameException("length is " + Integer.toUnsignedString(length));
+                    throw new MalformedFrameException("invalid length " + Integer.toUnsignedString(length));
                 }
                 if (length > body.length) {
                     body = new byte[Math.max(length, 2 * body.length)];
--- a/src/main/java/dappleseam/drill/Exchange.java
+++ b/src/main/java/dappleseam/drill/Exchange.java
@@ -20,7 +20,7 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** Hands each event of a batch to the router of its instance, and gathers what they do into the reply. */
+/** Passes each event of a batch to the router of its instance, and collects the routers' actions into the reply. */
 final class Exchange {
     private static final double MS_PER_S = 1000;
     private static final int RECORD_HEADER = 5;
@@ -36,22 +36,22 @@
     private final Map<Integer, Router> routers = new HashMap<>();
     private final Reply reply = new Reply();
 
-    /** The reply to a batch of {@code records} events; {@code batch} holds what follows the length field. */
+    /** Processes a batch of {@code records} events and returns the reply; {@code batch} holds what follows the length field. */
     ByteBuffer answer(int records, ByteBuffer batch) {
         reply.begin();
         int end = batch.limit();
         double nowMs = batch.getDouble() * MS_PER_S;
         for (int i = 0; i < records; i++) {
             if (end - batch.position() < RECORD_HEADER) {
-                throw new MalformedFrameException("ends before event " + i + " of " + records);
+                throw new MalformedFrameException("frame ends before event " + i + " of " + records);
             }
             int at = batch.position();
             int code = batch.get() & 0xFF;
             int size = batch.getInt();
             if (size < 0 || size > end - batch.position()) {
-                throw new MalformedFrameException("event " + i + " at byte " + at + " claims "
-                        + Integer.toUnsignedString(size) + " bytes, "
-                        + (end - batch.position()) + " are left");
+                throw new MalformedFrameException("event " + i + " at byte " + at + " has a size of "
+                        + Integer.toUnsignedString(size) + " bytes with only "
+                        + (end - batch.position()) + " left");
             }
             int next = batch.position() + size;
             batch.limit(next);
@@ -103,7 +103,7 @@
                 routers.put(instance, new Router(deployment, random, reply.forInstance(instance), nowMs)));
     }
 
-    /** Reads the event's fields whole, so that a malformed one is told from a fault in the decisions. */
+    /** Reads all fields of the event before acting on it, which separates malformed input from failures of the router. */
     private Runnable decoded(int code, Router router, double nowMs, ByteBuffer in) {
         switch (code) {
             case 2: {
@@ -162,12 +162,12 @@
                 in.getShort();
                 in.getDouble();
                 skipReport(in);
-                return () -> { }; // no probe is ever sent
+                return () -> { }; // result of a probe; the router sends none
             }
             default: {
                 in.getShort();
                 bytes(in, in.getShort() & 0xFFFF);
-                return () -> { }; // proxies tell each other nothing yet
+                return () -> { }; // message of another proxy; the router sends none
             }
         }
     }
@@ -200,7 +200,7 @@
         if (code <= 1) {
             return code == 0 ? Outcome.COMPLETED : Outcome.MISS;
         }
-        // An outcome this build has not heard of may have run, as an error may have.
+        // With an unknown outcome the execution may have run, as with an error.
         return code > 255 || code < 249 ? Outcome.ERRED : ENDINGS[255 - code];
     }
 
@@ -222,7 +222,7 @@
     private static byte[] bytes(ByteBuffer in, int count) {
         if (count < 0 || count > in.remaining()) {
             throw new MalformedFrameException("a field of " + Integer.toUnsignedString(count)
-                    + " bytes where " + in.remaining() + " are left");
+                    + " bytes with only " + in.remaining() + " left");
         }
         byte[] bytes = new byte[count];
         in.get(bytes);
--- a/src/main/java/dappleseam/drill/MalformedFrameException.java
+++ b/src/main/java/dappleseam/drill/MalformedFrameException.java
@@ -1,6 +1,6 @@
 package dappleseam.drill;
 
-/** The input does not follow the wire; the message says what is wrong and where. */
+/** The input does not follow the wire format; the message says what is wrong and where. */
 final class MalformedFrameException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/dappleseam/drill/Reply.java
+++ b/src/main/java/dappleseam/drill/Reply.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The reply frame being written; {@link #forInstance} gives one instance its host. */
+/** Builds the reply frame from the actions of the routers; {@link #forInstance} returns the host of one instance. */
 final class Reply {
     private static final int HEADER = 8;
     private static final int LONGEST_TEXT = 0xFFFF;
@@ -18,11 +18,13 @@
     private ByteBuffer frame = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
     private int records;
 
+    /** Starts an empty frame. */
     void begin() {
         frame.clear().position(HEADER);
         records = 0;
     }
 
+    /** Completes the frame, which is valid until the next one begins. */
     ByteBuffer finish() {
         frame.putInt(0, records).putInt(4, frame.position() - HEADER);
         return frame.flip();
@@ -32,6 +34,7 @@
         return new InstanceHost(instance);
     }
 
+    /** Adds a report of an exception in the router. */
     void fault(int instance, String cause) {
         text(4, instance, cause);
     }
--- a/src/main/java/dappleseam/query/Backend.java
+++ b/src/main/java/dappleseam/query/Backend.java
@@ -1,24 +1,25 @@
 package dappleseam.query;
 
-/** What executions are sent to: a cache node or the origin. */
+/** A cache node or the origin, to which executions are sent. */
 public interface Backend {
+    /** Sends an execution, over a new connection if necessary. */
     void begin(Execution execution);
 
-    /** Waits no longer; says how far the execution had come. */
+    /** Stops waiting for the answer; returns whether the request had been written completely. */
     Reached giveUp(Execution execution);
 
-    /** Takes back what has not been written whole, as where its query is over; says whether it did, and it never runs. */
+    /** Drops an execution whose request has not been written, for example as its query is over. Returns whether it did: then it never runs. */
     boolean takeBack(Execution execution);
 
-    /** What is allowed of connections from now on. */
+    /** Sets the policy for connections from now on. */
     void limit(Connections limits);
 
-    /** Closes the connections that carry nothing. */
+    /** Closes idle connections. */
     void closeIdle();
 
-    /** Ends what still waits for a connection: it must not begin at a node that drains. */
+    /** Fails executions that still wait for a connection: they must not begin at a draining node. */
     void endWaiting();
 
-    /** Takes nothing new, and closes each connection once it carries nothing. */
+    /** Accepts no further executions, and closes each connection as soon as it is idle. */
     void retire();
 }
--- a/src/main/java/dappleseam/query/Command.java
+++ b/src/main/java/dappleseam/query/Command.java
@@ -3,7 +3,7 @@
 import dappleseam.wire.Chain;
 
 /**
- * What a client asked for, as it is passed on. {@code facts} is the list of names and values as it came;
+ * A client's command as it is forwarded. {@code facts} is the comma-separated list of {@code name=value} pairs as received;
  * {@code value} is null for a read.
  */
 public record Command(String key, String id, String facts, Chain value) {
@@ -11,7 +11,7 @@
         return value != null;
     }
 
-    /** The value behind {@code name=} in the facts; empty where there is none. */
+    /** The value of {@code name} in the facts; empty if it is not there. */
     public String fact(String name) {
         for (String pair : facts.split(",")) {
             if (pair.startsWith(name) && pair.startsWith("=", name.length())) {
@@ -21,7 +21,7 @@
         return "";
     }
 
-    /** The facts, with {@code d} telling how long this proxy waits. */
+    /** The facts with {@code d} replaced by the time in ms that this proxy waits for the answer. */
     public String factsWaiting(long waitMs) {
         StringBuilder changed = new StringBuilder();
         for (String pair : facts.split(",")) {
@@ -31,6 +31,7 @@
         return changed.toString();
     }
 
+    /** Returns the buffers of the value to the pool. */
     public void release() {
         if (value != null) {
             value.release();
--- a/src/main/java/dappleseam/query/Connections.java
+++ b/src/main/java/dappleseam/query/Connections.java
@@ -1,17 +1,17 @@
 package dappleseam.query;
 
 /**
- * What a deployment allows of connections: commands on one at once, whether it is to be shared before
- * another is opened, as where open ones have a price, the time after which the node closes an idle one,
- * the time in which one comes up, and whether giving up must end the connection, as where two executions
- * of a query may never be out together; and what has been seen of connections used again.
+ * Rules for the connections to a node: the commands in flight on one connection; whether to share a connection before another is opened,
+ * as where open ones carry a penalty; the idle time after which the node closes a connection; the connect timeout; whether cancelling an
+ * execution must close its connection, as where two executions of a query must never be in flight together; and the statistics of reused
+ * connections.
  */
 public record Connections(int commandsAtOnce, boolean share, double idleCloseMs, double connectTimeoutMs,
                           boolean closeToGiveUp, Reuse reuse) {
-    /** Share of the node's own idle time after which a connection is closed, before the node does. */
+    /** Share of the node's idle timeout after which a connection is closed here, before the node closes it. */
     private static final double IDLE_SHARE = 0.7;
 
-    /** How long a connection may stand idle here. */
+    /** Time after which an idle connection is closed here. */
     public double retireMs() {
         return IDLE_SHARE * idleCloseMs;
     }
--- a/src/main/java/dappleseam/query/Ending.java
+++ b/src/main/java/dappleseam/query/Ending.java
@@ -3,18 +3,19 @@
 import dappleseam.router.Outcome;
 import dappleseam.wire.Chain;
 
-/** How an execution ended: a value, or a long one on its way, where it completed, and a cause where it failed. */
+/** Result of an execution: a value, or a large value still arriving, if it completed, and a cause if it failed. */
 public record Ending(Outcome outcome, Chain value, Transfer transfer, String cause) {
+    /** Completed with a whole value. */
     public static Ending completed(Chain value) {
         return new Ending(Outcome.COMPLETED, value, null, "");
     }
 
-    /** The first bytes of a long value are there. */
+    /** Completed with a large value whose first bytes have arrived. */
     public static Ending begun(Transfer transfer) {
         return new Ending(Outcome.COMPLETED, null, transfer, "");
     }
 
-    /** Nobody wants what it brought. */
+    /** Releases the value, which is not needed. */
     public void release() {
         if (value != null) {
             value.release();
@@ -24,14 +25,17 @@
         }
     }
 
+    /** An outcome without a value or cause. */
     public static Ending of(Outcome outcome) {
         return new Ending(outcome, null, null, "");
     }
 
+    /** The node answered with an error, or with something that is not a valid answer. */
     public static Ending erred(String cause) {
         return new Ending(Outcome.ERRED, null, null, cause);
     }
 
+    /** The connection failed; the outcome depends on how far the request had been written. */
     public static Ending broken(Reached reached, String cause) {
         return new Ending(reached.whenBroken, null, null, cause);
     }
--- a/src/main/java/dappleseam/query/Execution.java
+++ b/src/main/java/dappleseam/query/Execution.java
@@ -3,16 +3,17 @@
 import dappleseam.router.Outcome;
 import dappleseam.router.QueryId;
 
-/** One execution on its way; it ends once, and what comes for it later is dropped. */
+/** One execution in flight. It ends once; a later result is released. */
 public final class Execution {
-    /** Who is told of it. */
+    /** Receives the events of an execution. */
     public interface Owner {
-        /** Whether it may still begin, asked where something has come between its decision and its sending. */
+        /** Whether it may still begin; asked if it could not be sent right after the decision. */
         boolean mayBegin(Execution execution);
 
-        /** Its last byte has gone to the node. */
+        /** Its last byte has been written to the node. */
         void written(Execution execution);
 
+        /** It has ended; called once. */
         void ended(Execution execution, Ending ending);
     }
 
@@ -35,7 +36,7 @@
         this.owner = owner;
     }
 
-    /** Its last byte has gone to the node. */
+    /** Reports that its last byte has been written to the node. */
     public void written() {
         if (!written) {
             written = true;
@@ -43,7 +44,7 @@
         }
     }
 
-    /** Whether it may still begin; it ends as never sent where it may not. */
+    /** Whether it may still begin; if not, it ends as unsent. */
     public boolean mayBegin() {
         if (!ended && !owner.mayBegin(this)) {
             end(Ending.of(Outcome.UNSENT));
@@ -55,11 +56,12 @@
         return ended;
     }
 
-    /** Whether it is not known to have had no effect. */
+    /** Whether it may have had an effect. */
     public boolean mayHaveRun() {
         return !neverRan;
     }
 
+    /** Ends the execution, or releases the result if it has ended already. */
     public void end(Ending ending) {
         if (!ended) {
             ended = true;
--- a/src/main/java/dappleseam/query/Inflow.java
+++ b/src/main/java/dappleseam/query/Inflow.java
@@ -5,16 +5,16 @@
 import dappleseam.wire.Loop;
 import java.nio.ByteBuffer;
 
-/** The long values that come on one connection to a node, each handed to whoever waits for it, or passed over. */
+/** Receives the large values that arrive on one connection to a node; passes each to its execution, or discards it. */
 public final class Inflow implements Large, Transfer.Source {
-    /** The connection they come on. */
+    /** The connection on which the values arrive. */
     public interface Connection extends Link.Events {
-        /** The execution whose answer begins with a long value; null where none is owed. */
+        /** The execution whose answer starts with a large value; null if no answer is expected. */
         Execution begins();
 
         Link link();
 
-        /** Nobody wants the rest of the value that comes. */
+        /** The rest of the value being received is not needed any more. */
         void abandoned();
     }
 
@@ -49,16 +49,16 @@
         if (transfer != null) {
             transfer.put(in, count);
         } else {
-            in.position(in.position() + count); // nobody waits for it any more
+            in.position(in.position() + count); // discarded
         }
     }
 
-    /** Guards a client against a node that stops in the middle of a value. */
+    /** Closes the connection if the node stalls in the middle of a value, so that the client does not wait forever. */
     private void watch(Transfer watched) {
         long before = came;
         loop.at(loop.nowMs() + Transfer.STALLED_MS, () -> {
             if (transfer == watched && came == before && !paused) {
-                connection.ended("a value stopped half-way");
+                connection.ended("stalled in the middle of a value");
             } else if (transfer == watched) {
                 watch(watched);
             }
@@ -83,7 +83,7 @@
         connection.abandoned();
     }
 
-    /** The answer has ended as it should. */
+    /** The answer has ended correctly. */
     public void whole() {
         Transfer passed = transfer;
         transfer = null;
@@ -92,7 +92,7 @@
         }
     }
 
-    /** The connection is of no further use. */
+    /** The connection cannot be used any more. */
     public void broken() {
         Transfer cut = transfer;
         transfer = null;
--- a/src/main/java/dappleseam/query/Reached.java
+++ b/src/main/java/dappleseam/query/Reached.java
@@ -2,11 +2,11 @@
 
 import dappleseam.router.Outcome;
 
-/** How far an execution had come when its connection failed it. */
+/** How far the request of an execution had been written when its connection failed. */
 public enum Reached {
-    /** Its last byte was not written: it never ran. */
+    /** The last byte was not written, so it never ran. */
     NOT_WHOLE(Outcome.CONNECT_FAILED),
-    /** Written whole, with no answer: it may have run. */
+    /** Written completely and not answered, so it may have run. */
     WHOLE(Outcome.RESET);
 
     public final Outcome whenBroken;
--- a/src/main/java/dappleseam/query/Reuse.java
+++ b/src/main/java/dappleseam/query/Reuse.java
@@ -1,21 +1,21 @@
 package dappleseam.query;
 
 /**
- * What became of connections used again, by how long they had been idle. Guards queries against a network or nodes
- * that forget idle connections without a word, long before the time after which they are said to close them.
+ * Statistics of reused connections, by the time they had been idle. Protects queries from networks or nodes that silently drop idle
+ * connections long before the configured idle timeout.
  */
 public final class Reuse {
-    /** Bounds of the shortest time told apart, in ms; each next is twice as long. */
+    /** Upper bound of the first class of idle times, in ms; each further class is twice as long. */
     private static final double SHORTEST_MS = 25;
     private static final int CLASSES = 12;
-    /** Share of broken ones from which a time idle is too long, and the fewest that tell, in connections. */
+    /** Share of failed reuses above which an idle time is too long, and the fewest reuses that count. */
     private static final double BROKEN_SHARE = 0.2;
     private static final double LEAST = 4;
-    /** What each further one leaves of those before: about the latest twenty tell. */
+    /** Decay of the counts with each reuse: about the last twenty count. */
     private static final double KEPT = 0.95;
-    /** Each so many-th is used all the same: the trouble may be over. */
+    /** One in so many is reused all the same, as the cause may have gone. */
     private static final int TRIED = 16;
-    /** Time in ms for which an answer spoilt or missing, or a broken connection, tells of more to come. */
+    /** Time in ms for which more failures are expected after a corrupt or missing answer or a broken connection. */
     private static final double TROUBLED_MS = 10_000;
 
     private final double[] all = new double[CLASSES];
@@ -28,23 +28,23 @@
         return Math.min(CLASSES - 1, doublings);
     }
 
-    /** Whether a connection that has been idle for so long is likely to carry another command. */
+    /** Whether a connection that has been idle for so long may carry another command. */
     public boolean isLikely(double idleMs) {
         int c = classOf(idleMs);
         return all[c] < LEAST || broken[c] <= BROKEN_SHARE * all[c] || ++passedOver % TRIED == 0;
     }
 
-    /** An answer was spoilt or never came, or a connection broke under a command. */
+    /** Records a corrupt or missing answer, or a connection that broke during a command. */
     public void troubled(double nowMs) {
         troubledAt = nowMs;
     }
 
-    /** Whether commands may share a connection without one's trouble being the others'. */
+    /** Whether commands may share a connection; false for a while after a failure, which would affect all commands on it. */
     public boolean isCalm(double nowMs) {
         return nowMs - troubledAt > TROUBLED_MS;
     }
 
-    /** One was used again after so long, and broke before an answer, or did not. */
+    /** Records a reuse after so long an idle time, and whether the connection broke before the answer. */
     public void told(double idleMs, boolean broke) {
         int c = classOf(idleMs);
         all[c] = all[c] * KEPT + 1;
--- a/src/main/java/dappleseam/query/Slots.java
+++ b/src/main/java/dappleseam/query/Slots.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * A table of numbered slots. The number handed out names the slot and how often it was used, so that a
- * number kept too long finds nothing rather than the slot's next holder.
+ * A table of numbered slots. A number consists of the slot's index and its generation, so that a stale number finds nothing instead of
+ * the slot's next value.
  */
 public final class Slots<T> {
     private static final int INDEX_BITS = 12;
@@ -16,11 +16,12 @@
     private final List<Integer> numbers = new ArrayList<>();
     private final ArrayDeque<Integer> free = new ArrayDeque<>();
 
-    /** Whether there is no slot left, of the table's or of as many as {@code most}. */
+    /** Whether all slots are used, of the table or of the first {@code most}. */
     public boolean isFull(int most) {
         return used() >= Math.min(most, MOST);
     }
 
+    /** Stores a value and returns its number; the table must not be full. */
     public int put(T value) {
         if (free.isEmpty()) {
             free.addLast(held.size());
@@ -32,6 +33,7 @@
         return numbers.get(index);
     }
 
+    /** The value with this number; null if it was freed. */
     public T get(int number) {
         int index = number & MOST - 1;
         return index < held.size() && numbers.get(index) == number ? held.get(index) : null;
@@ -50,7 +52,7 @@
         return held.size() - free.size();
     }
 
-    /** What is held now, in the order of the slots; the table may change while it is walked. */
+    /** A copy of the current values in the order of the slots; the table may change while it is iterated. */
     public List<T> all() {
         List<T> all = new ArrayList<>(used());
         for (T value : held) {
--- a/src/main/java/dappleseam/query/Transfer.java
+++ b/src/main/java/dappleseam/query/Transfer.java
@@ -5,32 +5,32 @@
 import java.nio.ByteBuffer;
 
 /**
- * A long value on its way from a node to a client, with a bounded part of it held here. Either side may be slow or end. Once it
- * has begun there is no other execution, and what is not whole is never made to look so.
+ * A large value being transferred from a node to a client, of which a bounded part is buffered here. Either side may be slow or
+ * disconnect. Once the transfer has started there is no other execution, and an incomplete value is never presented as complete.
  */
 public final class Transfer {
-    /** Bytes held here from which the node is not read, and few enough to read it again. */
+    /** Buffered bytes from which reading from the node pauses, and down to which it resumes. */
     private static final int MOST = 64 << 10;
     private static final int FEW = 8 << 10;
-    /** The same from which it is not read while buffers are scarce. */
+    /** Buffered bytes from which reading pauses while buffers are scarce. */
     private static final int MOST_SCARCE = 16 << 10;
-    /** Time in ms without a byte after which a long value will not go on: peers may take seconds. */
+    /** Time in ms without a byte after which a large value counts as stalled; peers may take seconds. */
     public static final double STALLED_MS = 10_000;
 
-    /** The node's side. */
+    /** The side of the node. */
     public interface Source {
-        /** Read no more of the node until {@link #resume}. */
+        /** Stops reading from the node until {@link #resume}. */
         void pause();
 
         void resume();
 
-        /** Nobody wants the rest. */
+        /** The rest of the value is not needed. */
         void abandoned();
     }
 
-    /** The client's side. */
+    /** The side of the client. */
     public interface Taker {
-        /** There is more to take, or the value has ended. */
+        /** More bytes are available, or the value has ended. */
         void more();
     }
 
@@ -47,6 +47,7 @@
     private boolean over;
     private boolean wanted = true;
 
+    /** {@code length} is the length of the whole value. */
     public Transfer(long length, BufferPool pool, Source source) {
         this.length = length;
         this.source = source;
@@ -54,7 +55,7 @@
         held = new Chain(pool);
     }
 
-    /** {@code whenOver} is told once: the client has all of it, or never will. */
+    /** Connects the client; {@code onFinished} runs once, when the client has the whole value or never will. */
     public void into(Taker client, Runnable whenTold) {
         taker = client;
         whenOver = whenTold;
@@ -62,6 +63,7 @@
 
     // the node's side
 
+    /** Takes the next {@code count} bytes of {@code in}. */
     public void put(ByteBuffer in, int count) {
         if (!wanted) {
             in.position(in.position() + count);
@@ -75,12 +77,12 @@
         taker.more();
     }
 
-    /** The node's answer has ended as it should. */
+    /** The node's answer has ended correctly. */
     public void whole() {
         end(State.WHOLE);
     }
 
-    /** It has not: the node's connection broke, or what followed makes the value doubtful. */
+    /** The connection to the node broke, or what followed the value makes it doubtful. */
     public void broken() {
         end(State.BROKEN);
     }
@@ -96,7 +98,7 @@
 
     // the client's side
 
-    /** Moves what is held, up to so many bytes. */
+    /** Moves up to {@code most} buffered bytes to {@code out}. */
     public void takeTo(Chain out, long most) {
         out.takePart(held, most);
         if (paused && held.size() <= FEW && state == State.UNDER_WAY) {
@@ -105,7 +107,7 @@
         }
     }
 
-    /** All of it was taken, and the node's answer ended as it should. */
+    /** All bytes were moved out, and the node's answer ended correctly. */
     public boolean isDone() {
         return state == State.WHOLE && held.size() == 0;
     }
@@ -114,12 +116,12 @@
         return state == State.BROKEN;
     }
 
-    /** The client has all of it. */
+    /** The client has received the whole value. */
     public void delivered() {
         tellOver();
     }
 
-    /** The client has gone, or cannot be given the rest. */
+    /** The client has disconnected, or cannot get the rest. */
     public void abandon() {
         if (wanted) {
             wanted = false;
--- a/src/main/java/dappleseam/router/Deployment.java
+++ b/src/main/java/dappleseam/router/Deployment.java
@@ -36,7 +36,7 @@
         double fallMultiple,
         double openPrice,
         double handshakePrice) {
-    /** A copy for a proxy whose share of the fleet is 1 / {@code proxies}. */
+    /** A copy for a proxy whose share of the fleet is 1 / {@code proxyCount}. */
     public Deployment sharedBy(double proxies) {
         return new Deployment(grades, proxies, originModel, scaleIsStable, scaleMoves, zone, crossPrice, tickMs, mostExecutions, parallelExecutions, mayCancel,
                 maxRetryAfterMs, askEveryMs, coldFrom, warmAfterMs, fallMultiple, openPrice, handshakePrice);
--- a/src/main/java/dappleseam/site/FaultySettingException.java
+++ b/src/main/java/dappleseam/site/FaultySettingException.java
@@ -1,6 +1,6 @@
 package dappleseam.site;
 
-/** Something read at start is missing or makes no sense; the message names the key. */
+/** A key of the configuration is missing or has an invalid value; the message starts with the key. */
 public final class FaultySettingException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/dappleseam/site/FleetFileReader.java
+++ b/src/main/java/dappleseam/site/FleetFileReader.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads and checks the operator's file that {@code serve --fleet} names; a fault is told by its key. */
+/** Reads and validates the file given with {@code serve --fleet}. Errors are reported by key. */
 public final class FleetFileReader {
     private static final Set<String> KEYS = Set.of("fleet", "name", "bind", "advertise", "seeds", "period_ms", "counted", "most",
             "forget_s", "record", "leases", "signals", "shares", "turns", "subsets");
@@ -31,7 +31,7 @@
 
     private FleetFileReader() {}
 
-    /** {@code name} and {@code counted} are the deployment's own, for where the file says nothing. */
+    /** Reads the file; {@code name} and {@code initialFleetSize} are the defaults from the proxy's configuration for what the file leaves out. */
     public static Identity read(Path file, String name, int counted) throws IOException {
         byte[] text;
         try {
@@ -46,7 +46,7 @@
             throw new FaultySettingException(file.getFileName().toString(), "is not JSON: " + e.getOriginalMessage());
         }
         if (!root.isObject()) {
-            throw new FaultySettingException(file.getFileName().toString(), "is no JSON object");
+            throw new FaultySettingException(file.getFileName().toString(), "is not a JSON object");
         }
         root.fieldNames().forEachRemaining(key -> {
             if (!KEYS.contains(key)) {
@@ -56,18 +56,18 @@
         InetSocketAddress bind = address("bind", text(root, "bind", null));
         InetSocketAddress advertise = root.has("advertise") ? address("advertise", text(root, "advertise", null)) : bind;
         if (advertise.getAddress().isAnyLocalAddress()) {
-            throw new FaultySettingException(root.has("advertise") ? "advertise" : "bind", "is no address that others can send to; set advertise");
+            throw new FaultySettingException(root.has("advertise") ? "advertise" : "bind", "is not an address that other members can reach; set advertise");
         }
         List<InetSocketAddress> seeds = new ArrayList<>();
         JsonNode listed = root.path("seeds");
         if (!listed.isMissingNode() && !listed.isArray()) {
-            throw new FaultySettingException("seeds", "is no list");
+            throw new FaultySettingException("seeds", "is not a list");
         }
         for (JsonNode seed : listed) {
             seeds.add(address("seeds[" + seeds.size() + "]", seed.asText()));
         }
         if (seeds.size() > MOST_SEEDS) {
-            throw new FaultySettingException("seeds", "are over " + MOST_SEEDS);
+            throw new FaultySettingException("seeds", "has more entries than the limit of " + MOST_SEEDS);
         }
         Terms terms = new Terms(number(root, "period_ms", Terms.PERIOD_MS, 20, 60_000), (int) number(root, "counted", counted, 1, 20_000),
                 (int) number(root, "most", Terms.MOST, 2, 20_000), MS_PER_S * number(root, "forget_s", Terms.FORGET_MS / MS_PER_S, 10, 86_400),
@@ -82,7 +82,7 @@
             return null;
         }
         if (!leases.isObject()) {
-            throw new FaultySettingException("leases", "is no JSON object");
+            throw new FaultySettingException("leases", "is not a JSON object");
         }
         leases.fieldNames().forEachRemaining(key -> {
             if (!LEASE_KEYS.contains(key)) {
@@ -98,10 +98,10 @@
             }
         }
         if (voters.size() != 3 && voters.size() != 5) {
-            throw new FaultySettingException("leases.voters", "are neither three nor five");
+            throw new FaultySettingException("leases.voters", "does not name three or five members");
         }
         if (voters.stream().distinct().count() < voters.size()) {
-            throw new FaultySettingException("leases.voters", "names one twice");
+            throw new FaultySettingException("leases.voters", "names a member twice");
         }
         return new LeaseTerms(voters, (int) number(leases, "leases.", "number", 1, 0, 1_000_000),
                 number(leases, "leases.", "lease_ms", LeaseTerms.LEASE_MS, 500, 600_000), number(leases, "leases.", "drift", LeaseTerms.DRIFT, 0, 0.1));
@@ -116,10 +116,10 @@
             try {
                 URI uri = new URI(store);
                 if (!"http".equals(uri.getScheme()) || uri.getHost() == null || uri.getUserInfo() != null || uri.getQuery() != null) {
-                    throw new FaultySettingException("leases.list_store", "is no address of the form http://host:port/path: " + store);
+                    throw new FaultySettingException("leases.list_store", "is not an address of the form http://host:port/path: " + store);
                 }
             } catch (URISyntaxException e) {
-                throw new FaultySettingException("leases.list_store", "is no address: " + e.getMessage());
+                throw new FaultySettingException("leases.list_store", "is not an address: " + e.getMessage());
             }
         }
         return store;
@@ -149,7 +149,7 @@
             throw new FaultySettingException(at + key, "is missing");
         }
         if (!found.isTextual() || found.asText().isEmpty()) {
-            throw new FaultySettingException(at + key, "is no text");
+            throw new FaultySettingException(at + key, "is not a non-empty string");
         }
         return found.asText();
     }
@@ -170,7 +170,7 @@
             throw new FaultySettingException(key, "is " + e.getMessage());
         }
         if (address.getPort() == 0 || !(address.getAddress() instanceof Inet4Address)) {
-            throw new FaultySettingException(key, "is no IPv4 address with a port: " + text);
+            throw new FaultySettingException(key, "is not an IPv4 address with a port: " + text);
         }
         return address;
     }
@@ -185,7 +185,7 @@
             return byDefault;
         }
         if (!found.isNumber() || found.asDouble() < least || found.asDouble() > most) {
-            throw new FaultySettingException(at + key, "is no number from " + plain(least) + " to " + plain(most));
+            throw new FaultySettingException(at + key, "is not a number from " + plain(least) + " to " + plain(most));
         }
         return found.asDouble();
     }
--- a/src/main/java/dappleseam/site/Post.java
+++ b/src/main/java/dappleseam/site/Post.java
@@ -4,11 +4,12 @@
 import java.net.InetSocketAddress;
 
 /**
- * What one proxy is told at its start. {@code known} is the list as it last had it, as it was given; {@code control} is
- * null where operators have no door.
+ * The configuration of one proxy. {@code knownList} is a previously received list as JSON, missing or not an object if there is none;
+ * {@code control} is null if there is no control port.
  */
 public record Post(String name, InetSocketAddress listen, InetSocketAddress control, InetSocketAddress listService, long seed,
                    int descriptors, int memoryMb, JsonNode known, Site site) {
+    /** A copy with another list. */
     public Post withKnown(JsonNode list) {
         return new Post(name, listen, control, listService, seed, descriptors, memoryMb, list, site);
     }
--- a/src/main/java/dappleseam/site/Site.java
+++ b/src/main/java/dappleseam/site/Site.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What a deployment says of itself: what the router reads, and what only a proxy on sockets does. The
- * names of the service grades stand in the order in which the deployment has them.
+ * The settings of a deployment: those that the router reads, and those that only a proxy on sockets needs. {@code gradeNames} is in the
+ * order of the grades in {@code routerSettings}; nodes refer to {@code modelNames} and {@code zones} by index.
  */
 public record Site(Deployment deployment, List<String> gradeNames, List<String> machines,
                    List<String> zones, int commandsAtOnce, double idleCloseMs,
--- a/src/main/java/dappleseam/site/SiteReader.java
+++ b/src/main/java/dappleseam/site/SiteReader.java
@@ -15,26 +15,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The one place where what is given at start is read, checked and given defaults. */
+/** Reads and validates the configuration and the settings of a deployment, and applies defaults. */
 public final class SiteReader {
     private static final Logger LOG = System.getLogger(SiteReader.class.getName());
-    /** What {@code weightSource} may say of the list's scales; the last two are its absence. */
+    /** Known values of {@code weightSource}, the origin of the list's weights; the last two mean that there are none. */
     private static final List<String> SCALES = List.of("nominal", "rough", "live", "off", "");
     private static final double MS_PER_S = 1000;
-    /** Default of descriptors where no limit is told: what systems usually allow. */
+    /** Default limit of file descriptors: what systems usually allow. */
     private static final int DESCRIPTORS = 1024;
     private static final int LEAST_DESCRIPTORS = 96;
-    /** Default of memory in MB where no limit is told: what the launcher takes then, too. */
+    /** Default memory limit in MB; the launcher uses the same default. */
     private static final int MEMORY_MB = 192;
     private static final int LEAST_MEMORY_MB = 16;
 
-    /** Multiple of what a cold node can take at which it falls, where the settings do not tell: of all pages' the usual. */
+    /** Default for the multiple of its capacity at which a cold node fails: the most common value. */
     private static final double FALL_MULTIPLE = 3;
 
-    /** The file last taken; null before the first. */
+    /** The last configuration that was accepted; null before the first. */
     private JsonNode inForce;
 
-    /** What a proxy is told, from its file; a file read again may lack nothing that the one before it had. */
+    /** Reads the configuration of a proxy. When it is read again, no key of the previous one may be missing. */
     public synchronized Post readPost(Path file) throws IOException {
         JsonNode root = parse(Files.readAllBytes(file), file.getFileName().toString());
         Post post = post(root);
@@ -45,7 +45,7 @@
         return post;
     }
 
-    /** Guards a proxy in service against a file that lost some of its keys on its way and is still JSON. */
+    /** Protects a running proxy from a file that was truncated or edited such that keys are missing though it is still valid JSON. */
     private static void needAll(JsonNode before, JsonNode now, String at) {
         before.fields().forEachRemaining(field -> {
             JsonNode found = need(now, at, field.getKey());
@@ -65,12 +65,12 @@
     private static int limit(JsonNode root, String name, int byDefault, int least) {
         int limit = (int) number(root.path("limits"), "limits.", name, byDefault);
         if (limit < least) {
-            throw new FaultySettingException("limits." + name, "is under " + least);
+            throw new FaultySettingException("limits." + name, "is less than " + least);
         }
         return limit;
     }
 
-    /** The settings alone, from their JSON text. */
+    /** Reads the settings alone, from their JSON text. */
     public Site readSite(byte[] json) {
         return site(parse(json, "settings"), "");
     }
@@ -79,7 +79,7 @@
         try {
             JsonNode root = Json.read(json);
             if (!root.isObject()) {
-                throw new FaultySettingException(what, "is no JSON object");
+                throw new FaultySettingException(what, "is not a JSON object");
             }
             return root;
         } catch (JsonProcessingException e) {
@@ -141,14 +141,14 @@
                 (int) number(ceilings, inCeilings, "mostHeld", Integer.MAX_VALUE));
     }
 
-    /** The flavor of the origin where it stands in the list; -1 where nodes fetch by themselves. */
+    /** The index of the origin in {@code flavors} for cache-aside; -1 where nodes fetch by themselves (read-through). */
     private static int originModel(JsonNode extra, int flavors, String at) {
         if (!extra.path("mode").asText().equals("aside")) {
             return -1;
         }
         double kind = number(extra, at, "originKind");
         if (kind != Math.rint(kind) || kind >= flavors) {
-            throw new FaultySettingException(at + "originKind", "names none of the flavors");
+            throw new FaultySettingException(at + "originKind", "is not an index into flavors");
         }
         return (int) kind;
     }
@@ -156,22 +156,22 @@
     private static double share(JsonNode node, String at, String name) {
         double share = number(node, at, name);
         if (share > 1) {
-            throw new FaultySettingException(at + name, "is over 1");
+            throw new FaultySettingException(at + name, "is greater than 1");
         }
         return share;
     }
 
-    /** 0 is no such limit, as for the origin's. */
+    /** 0 means no limit. */
     private static double fallMultiple(JsonNode rules, String at) {
         double multiple = number(rules, at, "fallMultiple", FALL_MULTIPLE);
         return multiple == 0 ? Double.POSITIVE_INFINITY : multiple;
     }
 
-    /** Where this proxy stands among the locations that {@code dcs} names; -1 where nothing tells. */
+    /** Index of the proxy's own zone in {@code dcs}; -1 if it is not given. */
     private static int zone(JsonNode root, String at) {
         double zone = number(root, at, "zone", -1);
         if (zone != Math.rint(zone)) {
-            throw new FaultySettingException(at + "zone", "is no whole number");
+            throw new FaultySettingException(at + "zone", "is not an integer");
         }
         return (int) zone;
     }
@@ -182,7 +182,7 @@
                     case "read_like" -> ServiceGrade.Repeat.IDEMPOTENT;
                     case "idempotency_key" -> ServiceGrade.Repeat.DEDUPLICATED;
                     case "non_idempotent" -> ServiceGrade.Repeat.NON_IDEMPOTENT;
-                    default -> throw new FaultySettingException(at + "semantics", "is none of read_like, idempotency_key"
+                    default -> throw new FaultySettingException(at + "semantics", "is not one of read_like, idempotency_key"
                             + " and non_idempotent");
                 },
                 switch (grade.path("group").asText()) {
@@ -215,7 +215,7 @@
     private static double number(JsonNode node, String at, String name) {
         JsonNode found = need(node, at, name);
         if (!found.isNumber() || found.asDouble() < 0) {
-            throw new FaultySettingException(at + name, "is not a number from 0");
+            throw new FaultySettingException(at + name, "is not a number of at least 0");
         }
         return found.asDouble();
     }
@@ -223,7 +223,7 @@
     private static double positive(JsonNode node, String at, String name) {
         double number = number(node, at, name);
         if (number <= 0) {
-            throw new FaultySettingException(at + name, "is not over 0");
+            throw new FaultySettingException(at + name, "is not greater than 0");
         }
         return number;
     }
@@ -244,7 +244,7 @@
         }
     }
 
-    /** The file's, or where it says nothing the environment's; null for no door. */
+    /** The control address from the file, or else from the environment; null for no control port. */
     private static InetSocketAddress control(JsonNode root) {
         String told = System.getenv("NODE_CONTROL");
         if (!root.path("control").isMissingNode() && !root.path("control").isNull()) {
--- a/src/test/java/dappleseam/drill/DrillTest.java
+++ b/src/test/java/dappleseam/drill/DrillTest.java
@@ -23,7 +23,7 @@
         return Drill.serve(new ByteArrayInputStream(input), out);
     }
 
-    /** A frame at clock 2.5 s around records given as code, fields, code, fields ... */
+    /** A frame with the clock at 2.5 s and the records given as code, fields, code, fields ... */
     private static byte[] frame(Object... records) {
         ByteBuffer b = ByteBuffer.allocate(4096).order(ByteOrder.LITTLE_ENDIAN).position(16);
         for (int i = 0; i < records.length; i += 2) {
--- a/src/test/java/dappleseam/proxy/InFleetTest.java
+++ b/src/test/java/dappleseam/proxy/InFleetTest.java
@@ -121,7 +121,7 @@
         sockets.start(folder, "");
         assertThat(sockets.program.waitFor(Sockets.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
         assertThat(sockets.program.exitValue()).isEqualTo(1);
-        assertThat(Files.readString(folder.resolve("log"))).contains("dappleseam serve: most: is no number from 2 to 20000");
+        assertThat(Files.readString(folder.resolve("log"))).contains("dappleseam serve: most: is not a number from 2 to 20000");
     }
 
     @Test
--- a/src/test/java/dappleseam/query/CommandTest.java
+++ b/src/test/java/dappleseam/query/CommandTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class CommandTest {
-    /** Guards what goes on to a cache: only {@code d} changes, and only as a name of its own. */
+    /** In what is forwarded to a cache only {@code d} changes, and not where the text appears inside another value. */
     @Test
     void onlyTheWaitIsChanged() {
         Command command = new Command("k", "id", "c=put,d=480,k=d=5,id=7", null);
--- a/src/test/java/dappleseam/query/ReuseTest.java
+++ b/src/test/java/dappleseam/query/ReuseTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class ReuseTest {
-    /** Guards commands against sharing a connection with one whose answer is spoilt. */
+    /** After a corrupt answer, commands must not share a connection, as the failure would affect all of them. */
     @Test
     void troubleEndsSharingForAWhile() {
         Reuse reuse = new Reuse();
@@ -15,7 +15,7 @@
         assertThat(reuse.isCalm(12_000)).isTrue();
     }
 
-    /** litoral wide+reset+stale: four in ten connections idle for over 0.1 s broke at the next command. */
+    /** In a network that drops idle connections, four in ten connections idle for over 0.1 s broke at the next command. */
     @Test
     void connectionsIdleForTooLongAreSeldomUsedAgain() {
         Reuse reuse = new Reuse();
@@ -30,7 +30,7 @@
         }
         assertThat(likely).isEqualTo(2);
         for (int i = 0; i < 60; i++) {
-            reuse.told(300, false); // the trouble is over
+            reuse.told(300, false); // the network has recovered
         }
         assertThat(reuse.isLikely(300)).isTrue();
     }
--- a/src/test/java/dappleseam/query/SlotsTest.java
+++ b/src/test/java/dappleseam/query/SlotsTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 class SlotsTest {
-    /** Guards a query against the late answer of the one that had its slot before. */
+    /** A late answer to a previous query must not reach the query that now uses its slot. */
     @Test
     void aNumberFindsNothingOnceItsSlotIsUsedAgain() {
         Slots<String> slots = new Slots<>();
--- a/src/test/java/dappleseam/router/ColdNodeTest.java
+++ b/src/test/java/dappleseam/router/ColdNodeTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What many routers that share nothing send a cold cache together; rule 4 holds for their sum. */
+/** The total that many routers without shared state send to a cold cache; rule 4, its capacity, holds for the sum. */
 class ColdNodeTest {
     private static final int CACHES = 12;
     private static final int KEYS = 3000;
@@ -28,12 +28,12 @@
 
     private record Due(double at, long number, Runnable what) {}
 
-    /** Many proxies, twelve caches of which one starts anew, and an origin, in simulated time. */
+    /** Many proxies, twelve caches of which one restarts, and an origin, in simulated time. */
     private static final class Crowd {
         final SplittableRandom random;
         final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
         final List<Router> routers = new ArrayList<>();
-        /** Keys that the cold one has been filled with. */
+        /** Keys that the cold cache holds by now. */
         final Set<Integer> heldCold = new HashSet<>();
         final List<Integer> keyOf = new ArrayList<>(List.of(0));
         final double[] upTo = new double[KEYS];
@@ -43,7 +43,7 @@
         double now;
         long count;
         int queries;
-        /** The most of what the cold one got in a window, over what it bears. */
+        /** Highest ratio of executions at the cold cache in a window to its capacity. */
         double worst;
 
         final double multiple;
@@ -70,7 +70,7 @@
                 routers.add(new Router(site, random.split(), new Seat(own), 0));
                 routers.get(i).listGiven(0, list(0), false);
             }
-            // Uneven: some get several times the mean.
+            // Uneven traffic: some proxies get several times the mean.
             double[] share = random.doubles(proxies).map(x -> 0.3 + 3 * x * x * x).toArray();
             double all = Arrays.stream(share).sum();
             for (int i = 0; i < proxies; i++) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /** brink throng: twenty to thirty proxies, a burst, caches that come back cold; multiples and windows of all pages. */
+    /** Twenty to thirty proxies and a burst while a cache returns cold, with the fall multiples and windows of all deployments. */
     @ParameterizedTest
     @CsvSource({"20,600,0.9,1.0,3,1500,0.36", "30,150,0.9,1.0,3,1500,0.36", "30,60,0.9,1.2,3,1500,0.36", "30,600,0.6,1.2,4,1500,0.13",
         "25,300,0.9,1.2,3,1500,0.36", "20,600,0.9,1.0,2,1000,0.3", "30,600,0.9,1.2,2,1000,0.3", "30,150,0.9,1.2,2,1000,0.15", "30,600,0.9,1.2,2,1000,0.15"})
@@ -187,7 +187,7 @@
         assertThat(worst(proxies, perSecond, load, skew, multiple, windowMs, coldFrom, multiple)).isLessThan(1);
     }
 
-    /** The check fails where the routers are told that a cache bears more than it does. */
+    /** Proves that the check can fail: the routers are given a higher fall multiple than the cache has. */
     @Test
     void aCacheFallsThatBearsLessThanIsTold() {
         assertThat(worst(30, 600, 0.9, 1.2, 2, 1000, 0.3, 3)).isGreaterThan(1);
--- a/src/test/java/dappleseam/router/GrowthTest.java
+++ b/src/test/java/dappleseam/router/GrowthTest.java
@@ -7,12 +7,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a decision costs where the fleet is sixteen times its usual size. */
+/** Cost of list changes in a fleet of sixteen times the usual size. */
 class GrowthTest {
     private static final int CACHES = 3200;
     private static final int CHANGES = 40;
     private static final double NANOS_PER_MS = 1e6;
-    /** The acceptance allows 0.12 s of processor time for each thousand caches over a day in which half of them are replaced, in steps. */
+    /** From the acceptance target: 0.12 s of CPU time per thousand caches over a day in which half of them are replaced, in steps. */
     private static final double MOST_MS = 4;
 
     private static Member cache(long number, Member.State state) {
@@ -23,7 +23,7 @@
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() / NANOS_PER_MS;
     }
 
-    /** The ring was sorted anew for each change: 100 to 120 ms of the one I/O thread at 3,200 caches. */
+    /** Sorting the whole ring for each change took 100 to 120 ms of the only I/O thread at 3,200 caches. */
     @Test
     void aChangeOfALargeListCostsByWhatChanged() {
         OneProxy proxy = new OneProxy(OneProxy.through(OneProxy.READ));
--- a/src/test/java/dappleseam/router/OneProxy.java
+++ b/src/test/java/dappleseam/router/OneProxy.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.random.RandomGeneratorFactory;
 
-/** A router with a host that writes down what it is told to do, and a small deployment around it. */
+/** A router in a small deployment, whose host records the actions of the router. */
 final class OneProxy implements Host {
     static final ServiceGrade READ = grade(ServiceGrade.Repeat.IDEMPOTENT, ServiceGrade.Group.ALL);
     static final int ORIGIN_MODEL = 9;
@@ -24,7 +24,7 @@
         return new ServiceGrade(repeat, group, 2000, 600, 2000, 1, 0, false);
     }
 
-    /** Two proxies, three executions, caches that fetch for themselves, a pushed list. */
+    /** Two proxies, three executions per query, read-through caches, a pushed list. */
     static Deployment through(ServiceGrade grade) {
         return site(grade, -1, false, 0);
     }
@@ -45,7 +45,7 @@
         return site(READ, -1, false, 8000);
     }
 
-    /** A list whose scales move with load, at location 1 of two. */
+    /** Weights that change with load, and a proxy in zone 1 of two. */
     static Deployment live(double crossPrice) {
         return live(crossPrice, -1);
     }
@@ -75,7 +75,7 @@
         return new Member(new NodeId(node), state, model, (int) node % 2, (int) node % 2, 1, startedAt);
     }
 
-    /** Lists caches 1 to {@code count}, and the origin. */
+    /** Sets a list of caches 1 to {@code count} and the origin. */
     OneProxy listed(int count) {
         List<Member> members = new ArrayList<>(List.of(ready(ORIGIN.value())));
         for (int i = 1; i <= count; i++) {
--- a/src/test/java/dappleseam/router/RingTest.java
+++ b/src/test/java/dappleseam/router/RingTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A ring that is changed in part is the ring that is built as a whole. */
+/** An incrementally changed ring equals one that is built from scratch. */
 class RingTest {
     private static final int TOKENS = 256;
     private static final int SLOT_BITS = 12;
@@ -24,7 +24,7 @@
         return cache;
     }
 
-    /** The owners of all tokens in their order, by the design: a cache's tokens are hashes of its id and of their numbers. */
+    /** The owners of all tokens in order, built from scratch: the tokens of a cache are hashes of its id and the token number. */
     private static List<Long> builtAsAWhole(Collection<Node> caches) {
         List<Node> sorted = caches.stream().sorted(Comparator.comparingLong(n -> n.id.value())).toList();
         double largest = sorted.stream().mapToDouble(n -> n.scale).max().orElse(1);
@@ -78,7 +78,7 @@
         }
     }
 
-    /** From any hash the walk begins with the first token at it or behind it, and goes round. */
+    /** A walk starts with the first token at or after its hash, and wraps around. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 15, 300})
     void aWalkBeginsAtItsHashAndGoesRound(int count) {
--- a/src/test/java/dappleseam/router/RouterTest.java
+++ b/src/test/java/dappleseam/router/RouterTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 class RouterTest {
-    /** The cache each of 200 keys goes to, each on a fresh router so that load plays no part. */
+    /** The cache of each of 200 keys, each on a new router so that load has no influence. */
     private static NodeId[] owners(Member... members) {
         NodeId[] owners = new NodeId[200];
         for (int key = 1; key <= owners.length; key++) {
@@ -125,7 +125,7 @@
         assertThat(p.sentTo).filteredOn(new NodeId(2)::equals).hasSizeBetween(1, 45);
     }
 
-    /** tarlat rules-3: a hot key's worth of waiting queries was sent to a cold cache at once. */
+    /** All waiting queries of a hot key were sent to a cold cache at once. */
     @Test
     void aHotKeyDoesNotPushAColdCacheOver() {
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
@@ -182,7 +182,7 @@
         assertThat(p.done).containsExactly("reject 1");
     }
 
-    /** pallet i0c9b7b: misses behind a slow origin took the places of hits. */
+    /** Misses that waited for a slow origin used up the limit that hits need. */
     @Test
     void keysNotKnownToBeHeldAreLimitedBeforeHits() {
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(20);
@@ -208,7 +208,7 @@
         assertThat(p.last()).isNotEqualTo(owner);
     }
 
-    /** litoral wide+reset+stale: a key whose connection broke moved to a cache that lacks it, and on to the origin. */
+    /** After a reset the key was sent to a cache that does not hold it, and from there to the origin. */
     @Test
     void aResetIsTriedOnceMoreWhereTheKeyIs() {
         OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(4);
@@ -220,12 +220,12 @@
         assertThat(p.last()).isNotEqualTo(owner);
     }
 
-    /** litoral wide+reset+stale: broken connections to the origin cut its limit until most misses were rejected. */
+    /** Broken connections to the origin reduced its limit until most misses were rejected. */
     @ParameterizedTest
     @EnumSource(value = Outcome.class, names = {"RESET", "CONNECT_FAILED"})
     void brokenConnectionsDoNotCutTheOriginsLimit(Outcome broken) {
         OneProxy p = new OneProxy(OneProxy.aside(OneProxy.grade(Repeat.DEDUPLICATED, Group.ALL))).listed(4);
-        for (int i = 0; i < 40; i++) { // one broken connection in four
+        for (int i = 0; i < 40; i++) { // one connection in four breaks
             p.write(1000 + 10 * i, i, i);
             p.ended(1001 + 10 * i, i, 0, i % 4 == 0 ? broken : Outcome.COMPLETED, 1);
             if (i % 4 == 0) {
@@ -237,7 +237,7 @@
         assertThat(p.done).hasSize(10).allMatch(act -> act.startsWith("execute"));
     }
 
-    /** Guards long days: ids are ever new, so what was known of a node that is gone goes with it. */
+    /** Ids are never reused, so the state of a node that is gone is dropped, or memory would grow without bound. */
     @Test
     void aNodeThatIsGoneIsForgotten() {
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(4);
@@ -253,7 +253,7 @@
         assertThat(p.sentTo).contains(owner);
     }
 
-    /** litoral churn+long: four in ten of its answers lost, the origin's limit fell to nothing and stayed there. */
+    /** With four in ten of its answers lost in transit, the limit of the origin fell to nothing and stayed there. */
     @Test
     void anOriginThatMostlyAnswersInTimeKeepsItsLimit() {
         OneProxy p = new OneProxy(OneProxy.aside(OneProxy.grade(Repeat.NON_IDEMPOTENT, Group.ALL))).listed(4);
@@ -262,7 +262,7 @@
             boolean lost = i % 7 < 3;
             p.ended(1010 + 20 * i, i, 0, lost ? Outcome.TIMED_OUT : Outcome.COMPLETED, lost ? 1990 : 10);
             double at = 1010 + 20 * i;
-            List.copyOf(p.timers).forEach(timer -> p.router.woken(at, timer)); // what is lost gives its place back
+            List.copyOf(p.timers).forEach(timer -> p.router.woken(at, timer)); // the place of a lost answer becomes free
         }
         p.done.clear();
         IntStream.range(100, 102).forEach(i -> p.write(5000, i, i));
@@ -285,7 +285,7 @@
         assertThat(p.done).filteredOn(act -> act.startsWith("execute")).isNotEmpty();
     }
 
-    /** litoral wide+reset+stale: caches that were set aside as sick cut what the others were given. */
+    /** Ejected caches counted as an overload, which reduced the limit for the others. */
     @Test
     void cachesSetAsideAreNoOverloadOfTheOthers() {
         OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(10);
@@ -295,7 +295,7 @@
             keys.put(p.last(), key);
             p.ended(1001, key, 0, Outcome.COMPLETED, 1);
         }
-        List<Integer> sick = keys.values().stream().limit(5).toList(); // four are silent twice, the fifth is late once
+        List<Integer> sick = keys.values().stream().limit(5).toList(); // four do not answer twice, the fifth is late once
         for (int i = 0; i < 9; i++) {
             p.ask(1100, 1000 + i, sick.get(i / 2));
         }
@@ -309,7 +309,7 @@
         assertThat(p.done).filteredOn(done -> done.startsWith("execute")).hasSizeGreaterThan(45);
     }
 
-    /** litoral i14f780: caches that merely had a queue stood set aside for silence. */
+    /** Caches that only had a queue were ejected for silence; a second copy elsewhere answers the query instead. */
     @Test
     void aSilentCacheGetsASecondCopyElsewhere() {
         OneProxy p = new OneProxy(OneProxy.asideInParallel()).listed(4);
@@ -318,7 +318,7 @@
         assertThat(new HashSet<>(p.sentTo)).hasSize(2);
     }
 
-    /** Sockets, herd: proxies killed together came back to cold caches, and rejected most misses of their first seconds. */
+    /** Proxies restarted together found cold caches, and rejected most misses of their first seconds. */
     @Test
     void aProxyThatHasJustStartedTakesItsMissesToTheOrigin() {
         OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(5);
@@ -329,7 +329,7 @@
         assertThat(p.sentTo).filteredOn(OneProxy.ORIGIN::equals).hasSize(24);
     }
 
-    /** Guards open queries against new settings: executions that were allowed stay allowed, and those to come are fewer. */
+    /** New settings must not affect open queries: the executions allowed at their start stay allowed, later queries get fewer. */
     @Test
     void openQueriesKeepTheExecutionsTheyWereTakenWith() {
         Deployment site = OneProxy.through(OneProxy.READ);
@@ -343,7 +343,7 @@
         assertThat(p.done).containsSubsequence("execute 1", "execute 2", "execute 1", "reject 2");
     }
 
-    /** Guards against answers of the origin that get lost; not where all of it is slow. */
+    /** A second copy replaces an answer of the origin that was lost in transit, but is not sent if the origin is slow in general. */
     @Test
     void aQuickOriginThatOwesAnAnswerIsAskedOnceMore() {
         for (double usual : new double[] {30, 500}) {
@@ -361,7 +361,7 @@
         }
     }
 
-    /** Guards everybody against clients that wait for less time than an answer takes. */
+    /** Clients that wait for less time than an answer takes must not reduce the limits for all others. */
     @Test
     void impatientClientsCutNoLimit() {
         for (boolean write : new boolean[] {true, false}) {
@@ -369,7 +369,7 @@
             for (int i = 0; i < 60; i++) {
                 p.router.query(1000 + 100 * i, new QueryId(i), new Asking(0, new Key(i + 1), 60, 0, write, false));
                 p.ended(1050 + 100 * i, i, 0, Outcome.TIMED_OUT, 50);
-                p.router.woken(1099 + 100 * i, p.timers.get(p.timers.size() - 1)); // its place is free again
+                p.router.woken(1099 + 100 * i, p.timers.get(p.timers.size() - 1)); // its place becomes free again
             }
             p.done.clear();
             for (int i = 100; i < 110; i++) {
@@ -415,7 +415,7 @@
         assertThat(p.done).containsExactly("execute 1", "cancel 1/0");
     }
 
-    /** litoral ib257ba: the origin's own spread held its limit at a tenth of its room. */
+    /** The normal variation of the origin's answer times kept its limit at a tenth of its capacity. */
     @Test
     void oneLateOriginAnswerAmongManyGoodOnesLeavesItsLimit() {
         OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(3);
@@ -432,7 +432,7 @@
         assertThat(p.done).filteredOn(act -> act.startsWith("reject")).hasSizeLessThanOrEqualTo(3);
     }
 
-    /** tarlat i88d483: each of hundreds of proxies let two queries into a cold cache for every window. */
+    /** Each of hundreds of proxies sent two queries to a cold cache in every window. */
     @Test
     void manyProxiesTogetherStayUnderTheColdBudget() {
         int sent = 0;
@@ -449,7 +449,7 @@
         assertThat(sent).isLessThan(200 * 20 / 20);
     }
 
-    /** tarlat-budapest-later big-1: the caches' tables were full of connections rarely used. */
+    /** The connection tables of the caches were full of rarely used connections. */
     @Test
     void aRarelyUsedConnectionIsClosed() {
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(4);
@@ -469,7 +469,7 @@
         assertThat(p.done).noneMatch(act -> act.startsWith("close"));
     }
 
-    /** litoral-homebanking-later big-1: thin proxies came back to a full cache once each. */
+    /** Each of many proxies with little traffic returned to a full cache once. */
     @Test
     void aFullCacheIsPassedOverForAWhile() {
         NodeId[] owners = owners(OneProxy.ready(1), OneProxy.ready(2), OneProxy.ready(3));
@@ -490,7 +490,7 @@
         assertThat(p.last()).isEqualTo(owners[0]);
     }
 
-    /** tarlat i88d483: retries for a missing key took the caches' time while the origin had no room. */
+    /** Retries for a missing key kept the caches busy while the origin had no room. */
     @Test
     void aKeyJustMissedIsNotAskedForAgainWhileTheOriginHasNoRoom() {
         OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ));
@@ -501,7 +501,7 @@
         assertThat(p.done).endsWith("reject 2").filteredOn("execute 2"::equals).isEmpty();
     }
 
-    /** tarlat i88d483: hundreds of proxies with at least one execution each at a full origin. */
+    /** With a limit of at least one each, hundreds of proxies overloaded the origin. */
     @Test
     void aLimitUnderOneIsAChance() {
         OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(3);
@@ -516,7 +516,7 @@
         assertThat(toOrigin).isBetween(10, 120);
     }
 
-    /** The back-off grows, but two calls, each up to a second late, fit into the 6 s after which a change counts as told. */
+    /** The back-off grows, but two calls, each up to a second late, fit into the 6 s within which a change has to be known. */
     @Test
     void theBackOffOfFailedCallsToTheListLeavesTimeForASecondOne() {
         OneProxy p = new OneProxy(OneProxy.onRequest());
@@ -530,8 +530,8 @@
     }
 
     /**
-     * A watch that falls silent is given up after 3.5 s and opened anew within 0.1 s; where that call is given up, too, after a second, the next
-     * one has to begin and may take a second, all within the 6 s after which a change counts as told.
+     * A silent watch times out after 3.5 s and is reopened within 0.1 s. If that call times out, too, after a second, the next one has to
+     * start and may take another second, all within the 6 s within which a change has to be known.
      */
     @Test
     void aCallThatIsGivenUpBehindASilentWatchIsMadeAgainInTime() {
@@ -543,7 +543,7 @@
         }
     }
 
-    /** kingston big-2: jammed caches kept their keys; keys must not move for a list that is merely of another age. */
+    /** Overloaded caches kept all their keys. Tokens stay, so that no key moves between proxies whose lists differ only in age. */
     @Test
     void aFullCacheShedsKeysAndTokensStay() {
         OneProxy calm = new OneProxy(OneProxy.live(0)).listed(5);
@@ -564,7 +564,7 @@
         assertThat(atFull).isBetween(1, 30);
     }
 
-    /** dakar, every day: half of the queries crossed at twelve points each. */
+    /** Half of the queries crossed zones at a penalty of twelve points each. */
     @Test
     void theOwnLocationIsFirstOnlyWhereCrossingIsDear() {
         for (double price : new double[] {0.12, 0.01}) {
@@ -586,7 +586,7 @@
         assertThat(p.last()).isEqualTo(new NodeId(2));
     }
 
-    /** dakar big-1, a squeeze: tables were full of idle connections, which cost nothing there. */
+    /** Connection tables of the caches were full of idle connections in a deployment without a penalty for them. */
     @Test
     void idleConnectionsAreClosedWhileConnectsFailThoughNoneHasAPrice() {
         OneProxy p = new OneProxy(OneProxy.live(0)).listed(5);
@@ -599,7 +599,7 @@
         assertThat(p.done).anyMatch(done -> done.startsWith("close"));
     }
 
-    /** kingston big-2: clients asked up to three times more, also past the SLO time, and were served for nothing. */
+    /** Clients retried up to three times, also past the SLO time, where serving them earned nothing. */
     @Test
     void aLastTryPastItsSloTimeIsAnsweredAtOnce() {
         OneProxy p = new OneProxy(OneProxy.live(0)).listed(5);
@@ -609,7 +609,7 @@
         assertThat(p.done).containsExactly("execute 1", "execute 2", "reject 3");
     }
 
-    /** kingston big-1: copies at successors were fetches more, and the origin made everything late. */
+    /** With read-through caches each second copy caused another fetch, and the overloaded origin made everything late. */
     @Test
     void thereAreNoCopiesWhereCachesFetch() {
         OneProxy p = new OneProxy(OneProxy.parallel()).listed(4);
@@ -618,7 +618,7 @@
         assertThat(p.done).containsExactly("execute 1");
     }
 
-    /** dakar fresh-big: copies at both locations doubled the misses, and the origin made a quarter late. */
+    /** Copies in both zones doubled the misses, and the overloaded origin made a quarter of the answers late. */
     @Test
     void copiesAtEachLocationAreAsManyAsTheOriginBears() {
         for (double tookAtOrigin : new double[] {50, 400}) {
@@ -634,7 +634,7 @@
         }
     }
 
-    /** Guards the first seconds after a switch: with what was learnt an ill cache is avoided, without it each finds out anew. */
+    /** In the first seconds after a takeover an unhealthy cache is avoided only if its health was handed over. */
     @Test
     void aRouterThatTakesOverAvoidsWhatIsIllAndNothingElse() {
         OneProxy old = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
@@ -659,7 +659,7 @@
         assertThat(restarted.router.avoided(1300)).isZero();
     }
 
-    /** Guards against a file that is wrong: what it says of a node holds for seconds at most, and the list wins. */
+    /** Wrong values in a handed-over file affect a node for seconds at most, and the list takes precedence. */
     @Test
     void whatIsRecalledIsBoundedAndNeverOverrulesTheList() {
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
@@ -673,7 +673,7 @@
         assertThat(p.last().value()).isIn(1L, 2L);
     }
 
-    /** Guards against a ring that is kept though two caches have changed places in size. */
+    /** The ring must be updated if two caches exchange their weights, though the total stays the same. */
     @Test
     void cachesThatExchangeTheirScalesExchangeTheirKeys() {
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
@@ -691,7 +691,7 @@
         assertThat(ofSecond[1]).isBetween(120, 190);
     }
 
-    /** Where the own location is full, a key goes where the other location keeps it: from its hash on, not from the last one met. */
+    /** If the local zone is full, the walk restarts at the hash of the key, so that it reaches the cache that holds it in the other zone. */
     @Test
     void aKeyThatSpillsOverGoesToItsOwnerThere() {
         for (int key = 0; key < 60; key++) {
@@ -712,14 +712,14 @@
         }
     }
 
-    /** What limits were learnt under goes along with the share: half of the whole's divisor, twice in flight; settings told anew keep it. */
+    /** Learned limits scale with this proxy's share: with half as many proxies, twice as many queries in flight. */
     @Test
     void limitsGoAlongWithTheShare() {
         assertThat(inFlightAtMost(1)).isPositive();
         assertThat(inFlightAtMost(4)).isBetween(3.5 * inFlightAtMost(1), 4.5 * inFlightAtMost(1));
     }
 
-    /** Queries that find room at once, where the share is so many times what the settings say. */
+    /** Number of queries that the limits allow at once if the proxy's share is {@code times} that in the settings. */
     private static double inFlightAtMost(double times) {
         OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(5);
         p.ask(1000, 0, 0);
--- a/src/test/java/dappleseam/site/SiteReaderTest.java
+++ b/src/test/java/dappleseam/site/SiteReaderTest.java
@@ -30,21 +30,21 @@
 
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {
-        "\"mostExecutions\":2 | \"mostExecutions\":\"two\" | ceilings.mostExecutions: is not a number from 0",
-        "\"coldFrom\":0.2 | \"coldFrom\":-1 | rules.coldFrom: is not a number from 0",
-        "\"coldFrom\":0.2 | \"coldFrom\":1.5 | rules.coldFrom: is over 1",
-        "\"coldFrom\":0.2 | \"coldFrom\":0.2,\"fallMultiple\":-2 | rules.fallMultiple: is not a number from 0",
+        "\"mostExecutions\":2 | \"mostExecutions\":\"two\" | ceilings.mostExecutions: is not a number of at least 0",
+        "\"coldFrom\":0.2 | \"coldFrom\":-1 | rules.coldFrom: is not a number of at least 0",
+        "\"coldFrom\":0.2 | \"coldFrom\":1.5 | rules.coldFrom: is greater than 1",
+        "\"coldFrom\":0.2 | \"coldFrom\":0.2,\"fallMultiple\":-2 | rules.fallMultiple: is not a number of at least 0",
         "\"rules\" | \"extra\":{\"mode\":\"aside\"},\"rules\" | extra.originKind: is missing",
-        "\"rules\" | \"flavors\":[\"m\"],\"extra\":{\"mode\":\"aside\",\"originKind\":1},\"rules\" | extra.originKind: names none of the flavors",
+        "\"rules\" | \"flavors\":[\"m\"],\"extra\":{\"mode\":\"aside\",\"originKind\":1},\"rules\" | extra.originKind: is not an index into flavors",
         "\"sloTimeS\":0.5 | \"slo\":1 | serviceGrades[0].sloTimeS: is missing",
-        "\"mostExecutions\":2 | \"mostExecutions\":0 | ceilings.mostExecutions: is not over 0",
-        "\"statementTimeoutS\":1 | \"statementTimeoutS\":0 | serviceGrades[0].statementTimeoutS: is not over 0",
+        "\"mostExecutions\":2 | \"mostExecutions\":0 | ceilings.mostExecutions: is not greater than 0",
+        "\"statementTimeoutS\":1 | \"statementTimeoutS\":0 | serviceGrades[0].statementTimeoutS: is not greater than 0",
         "\"statementTimeoutS\":1 | \"x\":1 | serviceGrades[0].statementTimeoutS: is missing",
         "\"name\":\"read\" | \"x\":1 | serviceGrades[0].name: is missing",
         "\"rules\" | \"rule\" | rules: is missing",
-        "\"rules\" | \"zone\":\"north\",\"rules\" | zone: is not a number from 0",
-        "\"rules\" | \"zone\":0.5,\"rules\" | zone: is no whole number",
-        "\"rules\" | \"penalties\":{\"crossZone\":-1},\"rules\" | penalties.crossZone: is not a number from 0",
+        "\"rules\" | \"zone\":\"north\",\"rules\" | zone: is not a number of at least 0",
+        "\"rules\" | \"zone\":0.5,\"rules\" | zone: is not an integer",
+        "\"rules\" | \"penalties\":{\"crossZone\":-1},\"rules\" | penalties.crossZone: is not a number of at least 0",
         "{\"name\":\"read\",\"semantics\":\"read_like\",\"sloTimeS\":0.5,\"statementTimeoutS\":1} | '' | serviceGrades: is empty"})
     void aFaultNamesItsKey(String sound, String faulty, String message) {
         assertThat(SITE).contains(sound);
@@ -52,7 +52,7 @@
                 .isInstanceOf(FaultySettingException.class).hasMessage(message);
     }
 
-    /** A cold cache that never falls, as 0 says, gets all of its due, as one for which nothing is told. */
+    /** 0 says that a cold cache never fails, so there is no limit; a missing key has the default. */
     @Test
     void noMultipleIsNoLimit() {
         assertThat(read(SITE).deployment().fallMultiple()).isEqualTo(3);
@@ -60,7 +60,7 @@
         assertThat(read(SITE.replace("\"coldFrom\":0.2", "\"coldFrom\":0.2,\"fallMultiple\":0")).deployment().fallMultiple()).isInfinite();
     }
 
-    /** The move: what the module newly reads, and that its absence or an unknown word leaves all as it was. */
+    /** Settings for dynamic weights and zones are read; without them, or with an unknown weight source, all nodes count alike. */
     @Test
     void scalesThatMoveTheOwnZoneAndThePriceOfCrossingAreRead() {
         Deployment told = read(SITE.replace("\"rules\"", "\"weightSource\":\"live\",\"zone\":1,\"penalties\":"
