--- a/src/main/java/dappleseam/router/Router.java
+++ b/src/main/java/dappleseam/router/Router.java
@@ -53,7 +53,7 @@
     private static final double ASIDE_RANDOM_MS = 1000;
     /** Largest share of the ring's weight that may be ejected; beyond it the cause is shared, and ejection does not help. */
     private static final double ASIDE_MOST = 0.4;
-    /** Answered executions that end the trial after an ejection. */
+    /** Consecutive answers, in executions, that end the trial after an ejection. */
     private static final int TRIAL_GOOD = 3;
     /**
      * In-flight limits, in executions: initial size over all proxies, its minimum at one proxy, the minimum of a limit, and the minimum
@@ -431,7 +431,7 @@
      * falls slowly, since the report is late and the same for all proxies, which would otherwise move back and forth together. */
     private void shed(Node n) {
         double over = n.held / Math.max(HELD_FLOOR, SKIP_MULTIPLE * heldUsually) - 1;
-        double due = over > 0 ? 1 - (1 - n.shed) / (over + 1) : 0; // the excess as a share of what it receives now
+        double due = over > 0 ? 1 - (1 - n.shed) / (over + 1) : 0; // load is taken as proportional to the keys it keeps
         n.shed += (due > n.shed ? SHED_UP : SHED_DOWN) * (due - n.shed);
     }
 
@@ -655,7 +655,7 @@
         if (answered || outcome == Outcome.FULL || outcome == Outcome.ERRED) {
             n.heard(now);
         }
-        boolean alive = n.isOrigin && n.heardAt > now - q.grade.sloMs(); // then a failed connect says something about the connection only
+        boolean alive = n.isOrigin && n.heardAt > now - q.grade.sloMs(); // then a failed connect does not mean that the node is down
         if (queue || outcome == Outcome.FULL || outcome == Outcome.CONNECT_FAILED && !alive) {
             cut(n.limit, e.sentAt);
         } else if (answered) {
