--- a/src/main/java/dappleseam/Main.java
+++ b/src/main/java/dappleseam/Main.java
@@ -1,7 +1,7 @@
 package dappleseam;
 
 import dappleseam.control.FleetCommand;
-import dappleseam.drill.Drill;
+import dappleseam.drill.SimulatorCommand;
 import dappleseam.lab.Lab;
 import dappleseam.proxy.Serve;
 import picocli.CommandLine;
@@ -9,7 +9,7 @@
 
 /** Entry point of the command line. */
 @Command(name = "dappleseam", mixinStandardHelpOptions = true, version = "dappleseam 0.1.0-SNAPSHOT",
-        description = "Client-side router for fleets of cache servers.", subcommands = {Drill.class, FleetCommand.class, Lab.class, Serve.class},
+        description = "Client-side router for fleets of cache servers.", subcommands = {SimulatorCommand.class, FleetCommand.class, Lab.class, Serve.class},
         synopsisSubcommandLabel = "COMMAND")
 public final class Main implements Runnable {
     @CommandLine.Spec
--- a/src/main/java/dappleseam/drill/Exchange.java
+++ b/src/main/java/dappleseam/drill/BatchProcessor.java
@@ -1,7 +1,7 @@
 package dappleseam.drill;
 
-import dappleseam.router.Asking;
-import dappleseam.router.Deployment;
+import dappleseam.router.QueryRequest;
+import dappleseam.router.RouterSettings;
 import dappleseam.router.Key;
 import dappleseam.router.Member;
 import dappleseam.router.NodeId;
@@ -9,8 +9,8 @@
 import dappleseam.router.QueryId;
 import dappleseam.router.Router;
 import dappleseam.router.TimerId;
-import dappleseam.site.FaultySettingException;
-import dappleseam.site.SiteReader;
+import dappleseam.site.InvalidConfigException;
+import dappleseam.site.ConfigReader;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -21,23 +21,23 @@
 import java.util.random.RandomGeneratorFactory;
 
 /** Passes each event of a batch to the router of its instance, and collects the routers' actions into the reply. */
-final class Exchange {
+final class BatchProcessor {
     private static final double MS_PER_S = 1000;
     private static final int RECORD_HEADER = 5;
-    private static final int HINT_BIT = 1;
-    private static final int AGAIN_BIT = 2;
+    private static final int WORK_ESTIMATE_BIT = 1;
+    private static final int RETRY_BIT = 2;
     private static final int WRITE_BIT = 4;
-    private static final Outcome[] ENDINGS = {
+    private static final Outcome[] FAILURES = {
         Outcome.ERRED, Outcome.FULL, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED, Outcome.RESET,
         Outcome.CANCELLED, Outcome.UNSENT
     };
 
-    private final SiteReader sites = new SiteReader();
+    private final ConfigReader configReader = new ConfigReader();
     private final Map<Integer, Router> routers = new HashMap<>();
-    private final Reply reply = new Reply();
+    private final ReplyFrame reply = new ReplyFrame();
 
     /** Processes a batch of {@code records} events and returns the reply; {@code batch} holds what follows the length field. */
-    ByteBuffer answer(int records, ByteBuffer batch) {
+    ByteBuffer process(int records, ByteBuffer batch) {
         reply.begin();
         int end = batch.limit();
         double nowMs = batch.getDouble() * MS_PER_S;
@@ -56,7 +56,7 @@
             int next = batch.position() + size;
             batch.limit(next);
             try {
-                event(code, nowMs, batch);
+                handleEvent(code, nowMs, batch);
             } catch (BufferUnderflowException e) {
                 throw new MalformedFrameException("event " + i + " at byte " + at + ", code " + code
                         + ": its fields do not fit into " + size + " bytes");
@@ -69,13 +69,13 @@
         return reply.finish();
     }
 
-    private void event(int code, double nowMs, ByteBuffer in) {
+    private void handleEvent(int code, double nowMs, ByteBuffer in) {
         if (code < 1 || code > 10) {
             return;
         }
         int instance = in.getShort() & 0xFFFF;
         if (code == 1) {
-            enlist(instance, nowMs, in);
+            createRouter(instance, nowMs, in);
             return;
         }
         if (code == 10) {
@@ -86,25 +86,25 @@
         if (router == null) {
             return;
         }
-        guarded(instance, decoded(code, router, nowMs, in));
+        runGuarded(instance, decode(code, router, nowMs, in));
     }
 
-    private void enlist(int instance, double nowMs, ByteBuffer in) {
+    private void createRouter(int instance, double nowMs, ByteBuffer in) {
         long seed = in.getLong();
         byte[] settings = bytes(in, in.getInt());
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        Deployment deployment;
+        RouterSettings routerSettings;
         try {
-            deployment = sites.readSite(settings).deployment();
-        } catch (FaultySettingException e) {
+            routerSettings = configReader.readSettings(settings).routerSettings();
+        } catch (InvalidConfigException e) {
             throw new MalformedFrameException(e.getMessage());
         }
-        guarded(instance, () ->
-                routers.put(instance, new Router(deployment, random, reply.forInstance(instance), nowMs)));
+        runGuarded(instance, () ->
+                routers.put(instance, new Router(routerSettings, random, reply.forInstance(instance), nowMs)));
     }
 
     /** Reads all fields of the event before acting on it, which separates malformed input from failures of the router. */
-    private Runnable decoded(int code, Router router, double nowMs, ByteBuffer in) {
+    private Runnable decode(int code, Router router, double nowMs, ByteBuffer in) {
         switch (code) {
             case 2: {
                 int mode = in.get();
@@ -117,7 +117,7 @@
                 return switch (mode) {
                     case 1 -> () -> router.listFailed(nowMs);
                     case 3 -> () -> router.listChanged(nowMs, members);
-                    default -> () -> router.listGiven(nowMs, members, mode == 2);
+                    default -> () -> router.listReplaced(nowMs, members, mode == 2);
                 };
             }
             case 3: {
@@ -129,9 +129,9 @@
                 double workMs = in.getDouble() * MS_PER_S;
                 in.getFloat();
                 int flags = in.get();
-                Asking asking = new Asking(grade, new Key(key), leftMs, (flags & HINT_BIT) != 0 ? workMs : 0,
-                        (flags & WRITE_BIT) != 0, (flags & AGAIN_BIT) != 0);
-                return () -> router.query(nowMs, query, asking);
+                QueryRequest request = new QueryRequest(grade, new Key(key), leftMs, (flags & WORK_ESTIMATE_BIT) != 0 ? workMs : 0,
+                        (flags & WRITE_BIT) != 0, (flags & RETRY_BIT) != 0);
+                return () -> router.query(nowMs, query, request);
             }
             case 4: {
                 QueryId query = query(in);
@@ -155,7 +155,7 @@
             }
             case 7: {
                 TimerId timer = new TimerId(in.getInt());
-                return () -> router.woken(nowMs, timer);
+                return () -> router.timerFired(nowMs, timer);
             }
             case 8: {
                 node(in);
@@ -172,7 +172,7 @@
         }
     }
 
-    private void guarded(int instance, Runnable call) {
+    private void runGuarded(int instance, Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
@@ -201,7 +201,7 @@
             return code == 0 ? Outcome.COMPLETED : Outcome.MISS;
         }
         // With an unknown outcome the execution may have run, as with an error.
-        return code > 255 || code < 249 ? Outcome.ERRED : ENDINGS[255 - code];
+        return code > 255 || code < 249 ? Outcome.ERRED : FAILURES[255 - code];
     }
 
     private static QueryId query(ByteBuffer in) {
--- a/src/main/java/dappleseam/drill/Reply.java
+++ b/src/main/java/dappleseam/drill/ReplyFrame.java
@@ -10,9 +10,9 @@
 import java.util.Arrays;
 
 /** Builds the reply frame from the actions of the routers; {@link #forInstance} returns the host of one instance. */
-final class Reply {
+final class ReplyFrame {
     private static final int HEADER = 8;
-    private static final int LONGEST_TEXT = 0xFFFF;
+    private static final int MAX_TEXT_BYTES = 0xFFFF;
     private static final double S_PER_MS = 0.001;
 
     private ByteBuffer frame = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
@@ -52,7 +52,7 @@
 
     private void text(int code, int instance, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(bytes.length, LONGEST_TEXT);
+        int length = Math.min(bytes.length, MAX_TEXT_BYTES);
         start(code, instance, 2 + length).putShort((short) length).put(bytes, 0, length);
     }
 
@@ -102,7 +102,7 @@
         }
 
         @Override
-        public void wake(TimerId timer, double delayMs) {
+        public void startTimer(TimerId timer, double delayMs) {
             start(2, instance, 12).putDouble(delayMs * S_PER_MS).putInt(timer.value());
         }
 
--- a/src/main/java/dappleseam/drill/Drill.java
+++ b/src/main/java/dappleseam/drill/SimulatorCommand.java
@@ -14,9 +14,9 @@
 /** Runs routers for the simulator: reads batches of events from standard input and writes a reply to each to standard output. */
 @Command(name = "drill", mixinStandardHelpOptions = true,
         description = "Make the routing decisions for the proxies of a simulation, with events on standard input and replies on standard output.")
-public final class Drill implements Callable<Integer> {
+public final class SimulatorCommand implements Callable<Integer> {
     /** Longest valid frame in bytes; a longer one is malformed input. */
-    private static final int LONGEST_FRAME = 1 << 30;
+    private static final int MAX_FRAME_BYTES = 1 << 30;
 
     @Override
     public Integer call() throws IOException {
@@ -25,7 +25,7 @@
 
     /** Answers batches until the end of the input; returns the exit status. */
     static int serve(InputStream in, OutputStream out) throws IOException {
-        Exchange exchange = new Exchange();
+        BatchProcessor processor = new BatchProcessor();
         byte[] header = new byte[8];
         byte[] body = new byte[1 << 16];
         for (long frame = 0; ; frame++) {
@@ -40,7 +40,7 @@
                 if (got < header.length) {
                     throw new MalformedFrameException("input ends inside the header");
                 }
-                if (length < 8 || length > LONGEST_FRAME) {
+                if (length < 8 || length > MAX_FRAME_BYTES) {
                     throw new MalformedFrameException("invalid length " + Integer.toUnsignedString(length));
                 }
                 if (length > body.length) {
@@ -52,7 +52,7 @@
                             "input ends after " + read + " of " + length + " bytes");
                 }
                 ByteBuffer batch = ByteBuffer.wrap(body, 0, length).order(ByteOrder.LITTLE_ENDIAN);
-                ByteBuffer reply = exchange.answer(records, batch);
+                ByteBuffer reply = processor.process(records, batch);
                 out.write(reply.array(), 0, reply.limit());
                 out.flush();
             } catch (MalformedFrameException e) {
--- a/src/main/java/dappleseam/proxy/Proxy.java
+++ b/src/main/java/dappleseam/proxy/Proxy.java
@@ -1,7 +1,7 @@
 package dappleseam.proxy;
 
-import dappleseam.clients.Owed;
-import dappleseam.clients.Queries;
+import dappleseam.clients.PendingReply;
+import dappleseam.clients.QueryHandler;
 import dappleseam.control.Figures;
 import dappleseam.list.ListReader;
 import dappleseam.list.ListWatch;
@@ -9,18 +9,18 @@
 import dappleseam.list.StartTimes;
 import dappleseam.query.Backend;
 import dappleseam.query.Command;
-import dappleseam.query.Connections;
-import dappleseam.query.Ending;
+import dappleseam.query.ConnectionPolicy;
+import dappleseam.query.ExecutionResult;
 import dappleseam.query.Execution;
-import dappleseam.query.Reached;
-import dappleseam.query.Reuse;
+import dappleseam.query.WriteProgress;
+import dappleseam.query.ReuseStats;
 import dappleseam.query.Slots;
 import dappleseam.query.Transfer;
-import dappleseam.router.Asking;
-import dappleseam.router.Deployment;
+import dappleseam.router.QueryRequest;
+import dappleseam.router.RouterSettings;
 import dappleseam.router.Host;
 import dappleseam.router.Key;
-import dappleseam.router.Learnt;
+import dappleseam.router.NodeHealth;
 import dappleseam.router.Member;
 import dappleseam.router.NodeId;
 import dappleseam.router.Outcome;
@@ -28,9 +28,9 @@
 import dappleseam.router.Router;
 import dappleseam.router.ServiceGrade;
 import dappleseam.router.TimerId;
-import dappleseam.site.Post;
-import dappleseam.site.Site;
-import dappleseam.wire.Loop;
+import dappleseam.site.ProxyConfig;
+import dappleseam.site.Settings;
+import dappleseam.wire.IoLoop;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -44,7 +44,7 @@
 import java.util.regex.Pattern;
 
 /** Between the router and the peers: holds the queries taken, and does what the router decides. */
-final class Proxy implements Host, Queries, Execution.Owner, Lookout.Whole {
+final class Proxy implements Host, QueryHandler, Execution.Listener, Lookout.Whole {
     private static final Logger LOG = System.getLogger(Proxy.class.getName());
     /** The answer of an aborted query. */
     private static final String FAILED = "-ERR failed";
@@ -66,15 +66,15 @@
     /** Time to come back in ms where no more queries can be held. */
     private static final double TABLE_FULL_MS = 250;
 
-    private final Loop loop;
-    private Site site;
+    private final IoLoop loop;
+    private Settings site;
     private final Figures figures;
     private final Router router;
     private ListReader lists;
     private final ListWatch watch;
     private final Nodes nodes;
     private final StartTimes startTimes = new StartTimes();
-    private volatile List<Learnt> learnt = List.of();
+    private volatile List<NodeHealth> learnt = List.of();
     private final Slots<Taken> queries = new Slots<>();
     /** The ids of the queries taken last, as the clients gave them, in order: those of all that are open among them. */
     private final Set<String> ids = new LinkedHashSet<>();
@@ -92,18 +92,18 @@
     /** A query taken, until it is answered and its last execution has ended. */
     private static final class Taken {
         final Command command;
-        final Owed owed;
+        final PendingReply owed;
         final String grade;
         /** By the rules it was taken under. */
         final ServiceGrade rules;
         final int mostExecutions;
         final double quitAt;
         final List<Sent> execs = new ArrayList<>(3);
-        Loop.Deadline forgotten;
+        IoLoop.PendingTask forgotten;
         boolean answered;
         int out;
 
-        Taken(Command command, Owed owed, String grade, ServiceGrade rules, int mostExecutions, double quitAt) {
+        Taken(Command command, PendingReply owed, String grade, ServiceGrade rules, int mostExecutions, double quitAt) {
             this.command = command;
             this.owed = owed;
             this.grade = grade;
@@ -113,64 +113,64 @@
         }
     }
 
-    private record Sent(Execution execution, NodeId node, Backend backend, Loop.Deadline deadline) {
+    private record Sent(Execution execution, NodeId node, Backend backend, IoLoop.PendingTask deadline) {
         /** Guards rule 1 and a node: nothing more of it goes out, as its query is over or its time to begin is. */
         void takeBack() {
-            if (backend != null && !execution.hasEnded() && backend.takeBack(execution)) {
-                execution.end(Ending.of(Outcome.UNSENT));
+            if (backend != null && !execution.hasEnded() && backend.cancelUnsent(execution)) {
+                execution.end(ExecutionResult.of(Outcome.UNSENT));
             }
         }
     }
 
-    Proxy(Loop loop, Post post, Figures figures) throws IOException {
+    Proxy(IoLoop loop, ProxyConfig post, Figures figures) throws IOException {
         this.loop = loop;
         this.figures = figures;
-        site = post.site();
+        site = post.settings();
         figures.grades(site.gradeNames());
-        lists = new ListReader(site.machines(), site.zones());
-        NodeList known = post.known().isObject() ? lists.read(post.known()) : new NodeList(0, true, List.of());
+        lists = new ListReader(site.modelNames(), site.zones());
+        NodeList known = post.knownList().isObject() ? lists.read(post.knownList()) : new NodeList(0, true, List.of());
         SplittableRandom random = new SplittableRandom(post.seed()); // its factory would search for all there are
         watch = new ListWatch(loop, post.listService(), lists, known.version(), this::news, this::listFailed,
                 this::againMs, random.split());
-        router = new Router(site.deployment(), random, this, loop.nowMs());
-        nodes = new Nodes(loop, site.deployment().originModel(), connections(site, new Reuse()));
+        router = new Router(site.routerSettings(), random, this, loop.nowMs());
+        nodes = new Nodes(loop, site.routerSettings().originModel(), connections(site, new ReuseStats()));
         nodes.learn(known);
-        List<Member> members = startTimes.ofFirst(known, loop.nowMs(), System.currentTimeMillis());
-        tell(() -> router.listGiven(loop.nowMs(), members, true));
+        List<Member> members = startTimes.adjustFirstList(known, loop.nowMs(), System.currentTimeMillis());
+        tell(() -> router.listReplaced(loop.nowMs(), members, true));
         if (isPushed()) {
-            watch.followAlways();
+            watch.watchPermanently();
         }
     }
 
-    private static Connections connections(Site site, Reuse reuse) {
+    private static ConnectionPolicy connections(Settings site, ReuseStats reuse) {
         // Where two executions may never be out together, giving one up has to end its connection, and so
         // each has one of its own: a neighbour's would be reset with it.
-        boolean together = site.deployment().parallelExecutions();
-        boolean share = together && site.deployment().openPrice() > 0;
-        return new Connections(together ? site.commandsAtOnce() : 1, share, site.idleCloseMs(),
+        boolean together = site.routerSettings().parallelExecutions();
+        boolean share = together && site.routerSettings().connectionPenalty() > 0;
+        return new ConnectionPolicy(together ? site.maxCommandsPerConnection() : 1, share, site.idleCloseMs(),
                 site.connectTimeoutMs(), !together, reuse);
     }
 
     /** The router asks for the list only where it has to; what is pushed there, is watched for here. */
     private boolean isPushed() {
-        return site.deployment().askEveryMs() == 0;
+        return site.routerSettings().askEveryMs() == 0;
     }
 
     /** A new configuration: its settings hold for queries to come, and the list may be at another address. */
-    void reloaded(Post post) {
-        Site before = site;
-        site = post.site();
+    void reloaded(ProxyConfig post) {
+        Settings before = site;
+        site = post.settings();
         figures.grades(site.gradeNames());
-        nodes.limit(site.deployment().originModel(), connections(site, nodes.reuse()));
-        Deployment told = Double.isNaN(sharedBy) ? site.deployment() : site.deployment().sharedBy(sharedBy);
+        nodes.limit(site.routerSettings().originModel(), connections(site, nodes.reuse()));
+        RouterSettings told = Double.isNaN(sharedBy) ? site.routerSettings() : site.routerSettings().withProxyCount(sharedBy);
         tell(() -> router.settingsChanged(loop.nowMs(), told));
-        if (!before.machines().equals(site.machines()) || !before.zones().equals(site.zones())) {
-            lists = new ListReader(site.machines(), site.zones());
-            watch.readAnew(lists);
+        if (!before.modelNames().equals(site.modelNames()) || !before.zones().equals(site.zones())) {
+            lists = new ListReader(site.modelNames(), site.zones());
+            watch.refetchWith(lists);
         }
         watch.moveTo(post.listService());
         if (isPushed()) {
-            watch.followAlways();
+            watch.watchPermanently();
         }
     }
 
@@ -190,23 +190,23 @@
     }
 
     /** What was learnt of the nodes when it was last told; for any thread. */
-    List<Learnt> learnt() {
+    List<NodeHealth> learnt() {
         return learnt;
     }
 
-    void recall(List<Learnt> known) {
-        List<Learnt> ofProcesses = known.stream().map(one -> one.startedAt(startTimes.startedAtMs(one.node(), one.startedAtMs()))).toList();
-        tell(() -> router.recall(loop.nowMs(), ofProcesses));
+    void recall(List<NodeHealth> known) {
+        List<NodeHealth> ofProcesses = known.stream().map(one -> one.withStartedAt(startTimes.startedAtMs(one.node(), one.startedAtMs()))).toList();
+        tell(() -> router.restoreNodeHealth(loop.nowMs(), ofProcesses));
     }
 
     /** Tells the figures what takes a walk to count. */
     void publish() {
-        learnt = router.learnt().stream().map(one -> one.startedAt(startTimes.bootMs(one.node()))).toList();
+        learnt = router.nodeHealth().stream().map(one -> one.withStartedAt(startTimes.bootMs(one.node()))).toList();
         if (lookout != null) {
             lookout.look(loop.nowMs(), learnt, nodes.readyCaches());
         }
         nodes.publish();
-        figures.list(nodes.count(), router.avoided(loop.nowMs()));
+        figures.list(nodes.count(), router.unavailableCount(loop.nowMs()));
     }
 
     /** Tells it from now on what it is there for. */
@@ -216,18 +216,18 @@
 
     @Override
     public double proxies() {
-        return site.deployment().proxies();
+        return site.routerSettings().proxyCount();
     }
 
     @Override
     public void stands(double proxies, double place) {
         sharedBy = proxies;
-        tell(() -> router.toldOfFleet(proxies, place));
+        tell(() -> router.fleetShareChanged(proxies, place));
     }
 
     @Override
     public void callIn(double ms) {
-        loop.at(loop.nowMs() + ms, watch::follow);
+        loop.scheduleAt(loop.nowMs() + ms, watch::startWatching);
     }
 
     private double againMs(double ownMs) {
@@ -239,7 +239,7 @@
         for (Taken taken : queries.all()) {
             if (!taken.answered) {
                 answered(taken, Figures.End.FAILED);
-                taken.owed.line(FAILED);
+                taken.owed.replyLine(FAILED);
             }
         }
     }
@@ -272,13 +272,13 @@
         }
         nodes.learn(list);
         if (isFirst) { // with what the file knew: all of it is judged together
-            List<Member> all = startTimes.ofFirst(nodes.wholeList(), now, System.currentTimeMillis());
-            tell(() -> router.listGiven(loop.nowMs(), all, false));
+            List<Member> all = startTimes.adjustFirstList(nodes.wholeList(), now, System.currentTimeMillis());
+            tell(() -> router.listReplaced(loop.nowMs(), all, false));
             return;
         }
-        List<Member> members = startTimes.of(list, now);
-        if (list.whole()) {
-            tell(() -> router.listGiven(loop.nowMs(), members, false));
+        List<Member> members = startTimes.adjustUpdate(list, now);
+        if (list.full()) {
+            tell(() -> router.listReplaced(loop.nowMs(), members, false));
         } else {
             tell(() -> router.listChanged(loop.nowMs(), members));
         }
@@ -301,14 +301,14 @@
     }
 
     @Override
-    public QueryId take(Command command, Owed owed, double waitedMs) {
+    public QueryId submit(Command command, PendingReply owed, double waitedMs) {
         String named = command.fact("c");
         int grade = site.gradeNames().indexOf(named);
         double waits = waits(command, grade);
         if (grade < 0 || waits <= 0) {
             command.release();
             figures.turnedAway(named, Figures.End.FAILED);
-            owed.line("-ERR malformed list of names and values");
+            owed.replyLine("-ERR malformed list of names and values");
             return null;
         }
         if (queries.isFull(site.mostHeld())) {
@@ -318,38 +318,38 @@
         if (!ids.add(command.id())) { // nodes know a query by its id: another's may be open, or just have been
             command.release();
             figures.turnedAway(named, Figures.End.FAILED);
-            owed.line("-ERR this id is in use");
+            owed.replyLine("-ERR this id is in use");
             return null;
         }
         if (ids.size() > IDS) {
             ids.remove(ids.iterator().next());
         }
         double left = Math.max(1, waits - waitedMs - LAST_HOP_MS);
-        Taken taken = new Taken(command, owed, named, site.deployment().grades().get(grade), site.deployment().mostExecutions(),
+        Taken taken = new Taken(command, owed, named, site.routerSettings().grades().get(grade), site.routerSettings().mostExecutions(),
                 loop.nowMs() + left);
         figures.taken();
         if (lookout != null) {
             lookout.taken();
         }
         QueryId id = new QueryId(queries.put(taken));
-        taken.forgotten = loop.at(taken.quitAt + FORGOTTEN_MS, () -> forgotten(id));
-        tell(() -> router.query(loop.nowMs(), id, new Asking(grade, key(command.key()), taken.quitAt - loop.nowMs(),
+        taken.forgotten = loop.scheduleAt(taken.quitAt + FORGOTTEN_MS, () -> forgotten(id));
+        tell(() -> router.query(loop.nowMs(), id, new QueryRequest(grade, key(command.key()), taken.quitAt - loop.nowMs(),
                 workMs(command), command.isWrite(), command.fact("r").equals("1"))));
         return id;
     }
 
     @Override
-    public void reject(Command command, Owed owed) {
+    public void reject(Command command, PendingReply owed) {
         command.release();
         figures.turnedAway(command.fact("c"), Figures.End.REJECTED);
-        owed.busy(site.deployment().maxRetryAfterMs() > 0 ? TABLE_FULL_MS : 0);
+        owed.replyBusy(site.routerSettings().maxRetryAfterMs() > 0 ? TABLE_FULL_MS : 0);
     }
 
     /** What {@code d} says, in ms, up to the statement timeout; -1 where it is missing or no plain number. */
     private double waits(Command command, int grade) {
         String text = command.fact("d");
         return grade < 0 || !MS.matcher(text).matches() ? -1
-                : Math.min(Double.parseDouble(text), site.deployment().grades().get(grade).timeoutMs());
+                : Math.min(Double.parseDouble(text), site.routerSettings().grades().get(grade).timeoutMs());
     }
 
     /** The client's guess of the work, which it gives in s; 0 where there is none, or none that can be. */
@@ -370,7 +370,7 @@
         Taken taken = queries.get(id.value());
         if (taken != null && !taken.answered) {
             LOG.log(Level.ERROR, "query {0} had no answer at its statement timeout", taken.command.id());
-            taken.owed.line(FAILED);
+            taken.owed.replyLine(FAILED);
             clientLeft(id);
         }
     }
@@ -393,7 +393,7 @@
     /** Guards rule 1: what waits for a connection still, such as a second copy, is not sent for it afterwards. */
     private static void answered(Taken taken) {
         taken.answered = true;
-        taken.forgotten.callOff();
+        taken.forgotten.cancelTask();
         List.copyOf(taken.execs).forEach(Sent::takeBack);
     }
 
@@ -413,20 +413,20 @@
         }
         double now = loop.nowMs();
         double until = timeoutMs == 0 ? taken.quitAt : Math.min(taken.quitAt, now + timeoutMs);
-        boolean clientIsHere = taken.execs.isEmpty() || taken.owed.isClientHere(); // the first goes out as its query is read
+        boolean clientIsHere = taken.execs.isEmpty() || taken.owed.isClientConnected(); // the first goes out as its query is read
         Execution execution = new Execution(id, taken.execs.size(), taken.command, now, until, this);
         Backend backend = nodes.backend(node);
         taken.out++;
         if (!clientIsHere || taken.answered || backend == null || taken.execs.size() >= taken.mostExecutions) {
             taken.execs.add(new Sent(execution, node, null, () -> { }));
-            execution.end(Ending.of(Outcome.UNSENT));
+            execution.end(ExecutionResult.of(Outcome.UNSENT));
             return;
         }
-        Loop.Deadline deadline = loop.at(until, () -> timedOut(execution, backend));
+        IoLoop.PendingTask deadline = loop.scheduleAt(until, () -> timedOut(execution, backend));
         double windowEnds = windowEnds(taken);
         Sent sent = new Sent(execution, node, backend, deadline);
         if (windowEnds < until) {
-            loop.at(windowEnds, sent::takeBack);
+            loop.scheduleAt(windowEnds, sent::takeBack);
         }
         taken.execs.add(sent);
         backend.begin(execution);
@@ -434,16 +434,16 @@
 
     /** By when a further execution has to have begun whole, where nodes know a repeat for a time only; it may have to wait to be sent. */
     private static double windowEnds(Taken taken) {
-        return taken.rules.repeat() != ServiceGrade.Repeat.DEDUPLICATED ? Double.POSITIVE_INFINITY
+        return taken.rules.semantics() != ServiceGrade.Semantics.DEDUPLICATED ? Double.POSITIVE_INFINITY
                 : taken.execs.stream().filter(s -> s.execution.mayHaveRun()).mapToDouble(s -> s.execution.sentAt).min()
-                        .orElse(Double.POSITIVE_INFINITY) + taken.rules.windowMs() - WAY_MS;
+                        .orElse(Double.POSITIVE_INFINITY) + taken.rules.dedupWindowMs() - WAY_MS;
     }
 
     @Override
     public boolean mayBegin(Execution execution) {
         Taken taken = queries.get(execution.query.value());
         double now = loop.nowMs();
-        return taken != null && !taken.answered && now < execution.waitUntil && taken.owed.isClientHere() && !taken.answered;
+        return taken != null && !taken.answered && now < execution.deadlineMs && taken.owed.isClientConnected() && !taken.answered;
     }
 
     @Override
@@ -452,8 +452,8 @@
     }
 
     private void timedOut(Execution execution, Backend backend) {
-        Reached reached = backend.giveUp(execution);
-        execution.end(Ending.of(reached == Reached.WHOLE ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED));
+        WriteProgress reached = backend.stopWaiting(execution);
+        execution.end(ExecutionResult.of(reached == WriteProgress.COMPLETE ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED));
     }
 
     @Override
@@ -461,15 +461,15 @@
         Taken taken = queries.get(id.value());
         if (taken != null && !taken.execs.get(number).execution.hasEnded()) {
             Sent sent = taken.execs.get(number);
-            Reached reached = sent.backend.giveUp(sent.execution);
-            sent.execution.end(Ending.of(reached == Reached.WHOLE ? Outcome.CANCELLED : Outcome.UNSENT));
+            WriteProgress reached = sent.backend.stopWaiting(sent.execution);
+            sent.execution.end(ExecutionResult.of(reached == WriteProgress.COMPLETE ? Outcome.CANCELLED : Outcome.UNSENT));
         }
     }
 
     @Override
-    public void ended(Execution execution, Ending ending) {
+    public void ended(Execution execution, ExecutionResult ending) {
         Taken taken = queries.get(execution.query.value());
-        taken.execs.get(execution.number).deadline.callOff();
+        taken.execs.get(execution.number).deadline.cancelTask();
         double took = loop.nowMs() - execution.sentAt;
         if (lookout != null) {
             tellOf(taken.execs.get(execution.number).node, execution.sentAt, took, ending.outcome());
@@ -479,13 +479,13 @@
                 ending.release();
             } else if (ending.transfer() == null) {
                 answered(taken, Figures.End.COMPLETED);
-                taken.owed.value(ending.value());
+                taken.owed.replyValue(ending.value());
             } else { // it is answered from its first bytes on, and ended when the client has the last
                 answered(taken);
                 Transfer transfer = ending.transfer();
-                transfer.into(taken.owed::more, () -> figures.ended(taken.grade,
+                transfer.connect(taken.owed::transferAdvanced, () -> figures.ended(taken.grade,
                         transfer.isDone() ? Figures.End.COMPLETED : Figures.End.FAILED));
-                taken.owed.begun(transfer);
+                taken.owed.replyTransfer(transfer);
             }
         } else if (ending.outcome() == Outcome.ERRED && loop.nowMs() > errorLoggedAt + ERRORS_APART_MS) {
             errorLoggedAt = loop.nowMs();
@@ -510,15 +510,15 @@
 
     @Override
     public void reject(QueryId id, double retryAfterMs) {
-        answer(id, Figures.End.REJECTED, owed -> owed.busy(retryAfterMs));
+        answer(id, Figures.End.REJECTED, owed -> owed.replyBusy(retryAfterMs));
     }
 
     @Override
     public void abort(QueryId id) {
-        answer(id, Figures.End.FAILED, owed -> owed.line(FAILED));
+        answer(id, Figures.End.FAILED, owed -> owed.replyLine(FAILED));
     }
 
-    private void answer(QueryId id, Figures.End how, Consumer<Owed> last) {
+    private void answer(QueryId id, Figures.End how, Consumer<PendingReply> last) {
         Taken taken = queries.get(id.value());
         if (taken != null && !taken.answered) {
             answered(taken, how);
@@ -541,13 +541,13 @@
         if (inMs > 0) {
             callIn(inMs);
         } else {
-            watch.follow();
+            watch.startWatching();
         }
     }
 
     @Override
-    public void wake(TimerId timer, double delayMs) {
-        loop.at(loop.nowMs() + delayMs, () -> tell(() -> router.woken(loop.nowMs(), timer)));
+    public void startTimer(TimerId timer, double delayMs) {
+        loop.scheduleAt(loop.nowMs() + delayMs, () -> tell(() -> router.timerFired(loop.nowMs(), timer)));
     }
 
     @Override
--- a/src/main/java/dappleseam/query/Backend.java
+++ b/src/main/java/dappleseam/query/Backend.java
@@ -6,19 +6,19 @@
     void begin(Execution execution);
 
     /** Stops waiting for the answer; returns whether the request had been written completely. */
-    Reached giveUp(Execution execution);
+    WriteProgress stopWaiting(Execution execution);
 
     /** Drops an execution whose request has not been written, for example as its query is over. Returns whether it did: then it never runs. */
-    boolean takeBack(Execution execution);
+    boolean cancelUnsent(Execution execution);
 
     /** Sets the policy for connections from now on. */
-    void limit(Connections limits);
+    void setPolicy(ConnectionPolicy limits);
 
     /** Closes idle connections. */
     void closeIdle();
 
     /** Fails executions that still wait for a connection: they must not begin at a draining node. */
-    void endWaiting();
+    void failWaiting();
 
     /** Accepts no further executions, and closes each connection as soon as it is idle. */
     void retire();
--- a/src/main/java/dappleseam/query/Command.java
+++ b/src/main/java/dappleseam/query/Command.java
@@ -1,12 +1,12 @@
 package dappleseam.query;
 
-import dappleseam.wire.Chain;
+import dappleseam.wire.BufferChain;
 
 /**
  * A client's command as it is forwarded. {@code facts} is the comma-separated list of {@code name=value} pairs as received;
  * {@code value} is null for a read.
  */
-public record Command(String key, String id, String facts, Chain value) {
+public record Command(String key, String id, String facts, BufferChain value) {
     public boolean isWrite() {
         return value != null;
     }
@@ -22,7 +22,7 @@
     }
 
     /** The facts with {@code d} replaced by the time in ms that this proxy waits for the answer. */
-    public String factsWaiting(long waitMs) {
+    public String factsWithTimeout(long waitMs) {
         StringBuilder changed = new StringBuilder();
         for (String pair : facts.split(",")) {
             changed.append(changed.length() == 0 ? "" : ",");
--- a/src/main/java/dappleseam/query/Connections.java
+++ b/src/main/java/dappleseam/query/ConnectionPolicy.java
@@ -6,13 +6,13 @@
  * execution must close its connection, as where two executions of a query must never be in flight together; and the statistics of reused
  * connections.
  */
-public record Connections(int commandsAtOnce, boolean share, double idleCloseMs, double connectTimeoutMs,
-                          boolean closeToGiveUp, Reuse reuse) {
+public record ConnectionPolicy(int maxCommandsPerConnection, boolean preferSharing, double idleCloseMs, double connectTimeoutMs,
+                          boolean closeToCancel, ReuseStats reuseStats) {
     /** Share of the node's idle timeout after which a connection is closed here, before the node closes it. */
     private static final double IDLE_SHARE = 0.7;
 
     /** Time after which an idle connection is closed here. */
-    public double retireMs() {
+    public double idleTimeoutMs() {
         return IDLE_SHARE * idleCloseMs;
     }
 }
--- a/src/main/java/dappleseam/query/Execution.java
+++ b/src/main/java/dappleseam/query/Execution.java
@@ -6,7 +6,7 @@
 /** One execution in flight. It ends once; a later result is released. */
 public final class Execution {
     /** Receives the events of an execution. */
-    public interface Owner {
+    public interface Listener {
         /** Whether it may still begin; asked if it could not be sent right after the decision. */
         boolean mayBegin(Execution execution);
 
@@ -14,40 +14,40 @@
         void written(Execution execution);
 
         /** It has ended; called once. */
-        void ended(Execution execution, Ending ending);
+        void ended(Execution execution, ExecutionResult ending);
     }
 
     public final QueryId query;
     public final int number;
     public final Command command;
     public final double sentAt;
-    public final double waitUntil;
-    private final Owner owner;
+    public final double deadlineMs;
+    private final Listener listener;
     private boolean ended;
     private boolean neverRan;
     private boolean written;
 
-    public Execution(QueryId query, int number, Command command, double sentAt, double waitUntil, Owner owner) {
+    public Execution(QueryId query, int number, Command command, double sentAt, double deadlineMs, Listener listener) {
         this.query = query;
         this.number = number;
         this.command = command;
         this.sentAt = sentAt;
-        this.waitUntil = waitUntil;
-        this.owner = owner;
+        this.deadlineMs = deadlineMs;
+        this.listener = listener;
     }
 
     /** Reports that its last byte has been written to the node. */
     public void written() {
         if (!written) {
             written = true;
-            owner.written(this);
+            listener.written(this);
         }
     }
 
     /** Whether it may still begin; if not, it ends as unsent. */
     public boolean mayBegin() {
-        if (!ended && !owner.mayBegin(this)) {
-            end(Ending.of(Outcome.UNSENT));
+        if (!ended && !listener.mayBegin(this)) {
+            end(ExecutionResult.of(Outcome.UNSENT));
         }
         return !ended;
     }
@@ -62,11 +62,11 @@
     }
 
     /** Ends the execution, or releases the result if it has ended already. */
-    public void end(Ending ending) {
+    public void end(ExecutionResult ending) {
         if (!ended) {
             ended = true;
             neverRan = ending.outcome().neverRan;
-            owner.ended(this, ending);
+            listener.ended(this, ending);
         } else {
             ending.release();
         }
--- a/src/main/java/dappleseam/query/Inflow.java
+++ b/src/main/java/dappleseam/query/LargeValueReceiver.java
@@ -1,16 +1,16 @@
 package dappleseam.query;
 
-import dappleseam.wire.Large;
+import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.nio.ByteBuffer;
 
 /** Receives the large values that arrive on one connection to a node; passes each to its execution, or discards it. */
-public final class Inflow implements Large, Transfer.Source {
+public final class LargeValueReceiver implements LargeValueHandler, Transfer.Source {
     /** The connection on which the values arrive. */
-    public interface Connection extends Link.Events {
+    public interface Connection extends Link.Listener {
         /** The execution whose answer starts with a large value; null if no answer is expected. */
-        Execution begins();
+        Execution answeringExecution();
 
         Link link();
 
@@ -18,34 +18,34 @@
         void abandoned();
     }
 
-    private final Loop loop;
+    private final IoLoop loop;
     private final Connection connection;
     private Transfer transfer;
     private boolean paused;
-    private long came;
+    private long receivedBytes;
 
-    public Inflow(Loop loop, Connection connection) {
+    public LargeValueReceiver(IoLoop loop, Connection connection) {
         this.loop = loop;
         this.connection = connection;
     }
 
-    public boolean isUnderWay() {
+    public boolean isReceiving() {
         return transfer != null;
     }
 
     @Override
-    public void begins(long length) {
-        Execution execution = connection.begins();
+    public void valueStarted(long length) {
+        Execution execution = connection.answeringExecution();
         if (execution != null && !execution.hasEnded()) {
             transfer = new Transfer(length, loop.pool(), this);
             watch(transfer);
-            execution.end(Ending.begun(transfer));
+            execution.end(ExecutionResult.streaming(transfer));
         }
     }
 
     @Override
-    public void part(ByteBuffer in, int count) {
-        came += count;
+    public void valueBytes(ByteBuffer in, int count) {
+        receivedBytes += count;
         if (transfer != null) {
             transfer.put(in, count);
         } else {
@@ -55,10 +55,10 @@
 
     /** Closes the connection if the node stalls in the middle of a value, so that the client does not wait forever. */
     private void watch(Transfer watched) {
-        long before = came;
-        loop.at(loop.nowMs() + Transfer.STALLED_MS, () -> {
-            if (transfer == watched && came == before && !paused) {
-                connection.ended("stalled in the middle of a value");
+        long before = receivedBytes;
+        loop.scheduleAt(loop.nowMs() + Transfer.STALL_TIMEOUT_MS, () -> {
+            if (transfer == watched && receivedBytes == before && !paused) {
+                connection.disconnected("stalled in the middle of a value");
             } else if (transfer == watched) {
                 watch(watched);
             }
@@ -68,7 +68,7 @@
     @Override
     public void pause() {
         paused = true;
-        connection.link().pause();
+        connection.link().pauseReading();
     }
 
     @Override
@@ -84,20 +84,20 @@
     }
 
     /** The answer has ended correctly. */
-    public void whole() {
-        Transfer passed = transfer;
+    public void complete() {
+        Transfer completed = transfer;
         transfer = null;
-        if (passed != null) {
-            passed.whole();
+        if (completed != null) {
+            completed.complete();
         }
     }
 
     /** The connection cannot be used any more. */
-    public void broken() {
-        Transfer cut = transfer;
+    public void fail() {
+        Transfer failed = transfer;
         transfer = null;
-        if (cut != null) {
-            cut.broken();
+        if (failed != null) {
+            failed.fail();
         }
     }
 }
--- a/src/main/java/dappleseam/query/Reuse.java
+++ b/src/main/java/dappleseam/query/ReuseStats.java
@@ -4,50 +4,50 @@
  * Statistics of reused connections, by the time they had been idle. Protects queries from networks or nodes that silently drop idle
  * connections long before the configured idle timeout.
  */
-public final class Reuse {
+public final class ReuseStats {
     /** Upper bound of the first class of idle times, in ms; each further class is twice as long. */
-    private static final double SHORTEST_MS = 25;
+    private static final double SHORTEST_CLASS_MS = 25;
     private static final int CLASSES = 12;
     /** Share of failed reuses above which an idle time is too long, and the fewest reuses that count. */
     private static final double BROKEN_SHARE = 0.2;
-    private static final double LEAST = 4;
+    private static final double MIN_SAMPLES = 4;
     /** Decay of the counts with each reuse: about the last twenty count. */
-    private static final double KEPT = 0.95;
+    private static final double DECAY = 0.95;
     /** One in so many is reused all the same, as the cause may have gone. */
-    private static final int TRIED = 16;
+    private static final int PROBE_INTERVAL = 16;
     /** Time in ms for which more failures are expected after a corrupt or missing answer or a broken connection. */
-    private static final double TROUBLED_MS = 10_000;
+    private static final double FAILURE_MEMORY_MS = 10_000;
 
     private final double[] all = new double[CLASSES];
     private final double[] broken = new double[CLASSES];
-    private int passedOver;
-    private double troubledAt = Double.NEGATIVE_INFINITY;
+    private int refusals;
+    private double failedAt = Double.NEGATIVE_INFINITY;
 
     private static int classOf(double idleMs) {
-        int doublings = (int) Math.ceil(Math.log(Math.max(1, idleMs / SHORTEST_MS)) / Math.log(2));
+        int doublings = (int) Math.ceil(Math.log(Math.max(1, idleMs / SHORTEST_CLASS_MS)) / Math.log(2));
         return Math.min(CLASSES - 1, doublings);
     }
 
     /** Whether a connection that has been idle for so long may carry another command. */
-    public boolean isLikely(double idleMs) {
+    public boolean mayReuse(double idleMs) {
         int c = classOf(idleMs);
-        return all[c] < LEAST || broken[c] <= BROKEN_SHARE * all[c] || ++passedOver % TRIED == 0;
+        return all[c] < MIN_SAMPLES || broken[c] <= BROKEN_SHARE * all[c] || ++refusals % PROBE_INTERVAL == 0;
     }
 
     /** Records a corrupt or missing answer, or a connection that broke during a command. */
-    public void troubled(double nowMs) {
-        troubledAt = nowMs;
+    public void recordFailure(double nowMs) {
+        failedAt = nowMs;
     }
 
     /** Whether commands may share a connection; false for a while after a failure, which would affect all commands on it. */
-    public boolean isCalm(double nowMs) {
-        return nowMs - troubledAt > TROUBLED_MS;
+    public boolean isSharingSafe(double nowMs) {
+        return nowMs - failedAt > FAILURE_MEMORY_MS;
     }
 
     /** Records a reuse after so long an idle time, and whether the connection broke before the answer. */
-    public void told(double idleMs, boolean broke) {
+    public void recordReuse(double idleMs, boolean broke) {
         int c = classOf(idleMs);
-        all[c] = all[c] * KEPT + 1;
-        broken[c] = broken[c] * KEPT + (broke ? 1 : 0);
+        all[c] = all[c] * DECAY + 1;
+        broken[c] = broken[c] * DECAY + (broke ? 1 : 0);
     }
 }
--- a/src/main/java/dappleseam/query/Slots.java
+++ b/src/main/java/dappleseam/query/Slots.java
@@ -10,7 +10,7 @@
  */
 public final class Slots<T> {
     private static final int INDEX_BITS = 12;
-    private static final int MOST = 1 << INDEX_BITS;
+    private static final int MAX_SLOTS = 1 << INDEX_BITS;
 
     private final List<T> held = new ArrayList<>();
     private final List<Integer> numbers = new ArrayList<>();
@@ -18,7 +18,7 @@
 
     /** Whether all slots are used, of the table or of the first {@code most}. */
     public boolean isFull(int most) {
-        return used() >= Math.min(most, MOST);
+        return used() >= Math.min(most, MAX_SLOTS);
     }
 
     /** Stores a value and returns its number; the table must not be full. */
@@ -35,15 +35,15 @@
 
     /** The value with this number; null if it was freed. */
     public T get(int number) {
-        int index = number & MOST - 1;
+        int index = number & MAX_SLOTS - 1;
         return index < held.size() && numbers.get(index) == number ? held.get(index) : null;
     }
 
     public void free(int number) {
         if (get(number) != null) {
-            int index = number & MOST - 1;
+            int index = number & MAX_SLOTS - 1;
             held.set(index, null);
-            numbers.set(index, number + MOST);
+            numbers.set(index, number + MAX_SLOTS);
             free.addLast(index);
         }
     }
--- a/src/main/java/dappleseam/query/Transfer.java
+++ b/src/main/java/dappleseam/query/Transfer.java
@@ -1,7 +1,7 @@
 package dappleseam.query;
 
 import dappleseam.wire.BufferPool;
-import dappleseam.wire.Chain;
+import dappleseam.wire.BufferChain;
 import java.nio.ByteBuffer;
 
 /**
@@ -10,12 +10,12 @@
  */
 public final class Transfer {
     /** Buffered bytes from which reading from the node pauses, and down to which it resumes. */
-    private static final int MOST = 64 << 10;
-    private static final int FEW = 8 << 10;
+    private static final int PAUSE_BYTES = 64 << 10;
+    private static final int RESUME_BYTES = 8 << 10;
     /** Buffered bytes from which reading pauses while buffers are scarce. */
-    private static final int MOST_SCARCE = 16 << 10;
+    private static final int PAUSE_BYTES_SCARCE = 16 << 10;
     /** Time in ms without a byte after which a large value counts as stalled; peers may take seconds. */
-    public static final double STALLED_MS = 10_000;
+    public static final double STALL_TIMEOUT_MS = 10_000;
 
     /** The side of the node. */
     public interface Source {
@@ -29,69 +29,69 @@
     }
 
     /** The side of the client. */
-    public interface Taker {
+    public interface Sink {
         /** More bytes are available, or the value has ended. */
-        void more();
+        void dataAvailable();
     }
 
-    private enum State { UNDER_WAY, WHOLE, BROKEN }
+    private enum State { IN_PROGRESS, COMPLETE, FAILED }
 
     public final long length;
     private final Source source;
     private final BufferPool pool;
-    private final Chain held;
-    private Taker taker = () -> { };
-    private Runnable whenOver = () -> { };
-    private State state = State.UNDER_WAY;
+    private final BufferChain held;
+    private Sink sink = () -> { };
+    private Runnable finishedCallback = () -> { };
+    private State state = State.IN_PROGRESS;
     private boolean paused;
-    private boolean over;
-    private boolean wanted = true;
+    private boolean isFinished;
+    private boolean isWanted = true;
 
     /** {@code length} is the length of the whole value. */
     public Transfer(long length, BufferPool pool, Source source) {
         this.length = length;
         this.source = source;
         this.pool = pool;
-        held = new Chain(pool);
+        held = new BufferChain(pool);
     }
 
     /** Connects the client; {@code onFinished} runs once, when the client has the whole value or never will. */
-    public void into(Taker client, Runnable whenTold) {
-        taker = client;
-        whenOver = whenTold;
+    public void connect(Sink newSink, Runnable onFinished) {
+        sink = newSink;
+        finishedCallback = onFinished;
     }
 
     // the node's side
 
     /** Takes the next {@code count} bytes of {@code in}. */
     public void put(ByteBuffer in, int count) {
-        if (!wanted) {
+        if (!isWanted) {
             in.position(in.position() + count);
             return;
         }
         held.put(in, count);
-        if (!paused && held.size() >= (pool.isScarce() ? MOST_SCARCE : MOST)) {
+        if (!paused && held.size() >= (pool.isScarce() ? PAUSE_BYTES_SCARCE : PAUSE_BYTES)) {
             paused = true;
             source.pause();
         }
-        taker.more();
+        sink.dataAvailable();
     }
 
     /** The node's answer has ended correctly. */
-    public void whole() {
-        end(State.WHOLE);
+    public void complete() {
+        end(State.COMPLETE);
     }
 
     /** The connection to the node broke, or what followed the value makes it doubtful. */
-    public void broken() {
-        end(State.BROKEN);
+    public void fail() {
+        end(State.FAILED);
     }
 
-    private void end(State how) {
-        if (state == State.UNDER_WAY) {
-            state = how;
-            if (wanted) {
-                taker.more();
+    private void end(State finalState) {
+        if (state == State.IN_PROGRESS) {
+            state = finalState;
+            if (isWanted) {
+                sink.dataAvailable();
             }
         }
     }
@@ -99,9 +99,9 @@
     // the client's side
 
     /** Moves up to {@code most} buffered bytes to {@code out}. */
-    public void takeTo(Chain out, long most) {
-        out.takePart(held, most);
-        if (paused && held.size() <= FEW && state == State.UNDER_WAY) {
+    public void moveTo(BufferChain out, long most) {
+        out.moveUpTo(held, most);
+        if (paused && held.size() <= RESUME_BYTES && state == State.IN_PROGRESS) {
             paused = false;
             source.resume();
         }
@@ -109,34 +109,34 @@
 
     /** All bytes were moved out, and the node's answer ended correctly. */
     public boolean isDone() {
-        return state == State.WHOLE && held.size() == 0;
+        return state == State.COMPLETE && held.size() == 0;
     }
 
-    public boolean isBroken() {
-        return state == State.BROKEN;
+    public boolean isFailed() {
+        return state == State.FAILED;
     }
 
     /** The client has received the whole value. */
     public void delivered() {
-        tellOver();
+        notifyFinished();
     }
 
     /** The client has disconnected, or cannot get the rest. */
     public void abandon() {
-        if (wanted) {
-            wanted = false;
+        if (isWanted) {
+            isWanted = false;
             held.release();
-            if (state == State.UNDER_WAY) {
+            if (state == State.IN_PROGRESS) {
                 source.abandoned();
             }
-            tellOver();
+            notifyFinished();
         }
     }
 
-    private void tellOver() {
-        if (!over) {
-            over = true;
-            whenOver.run();
+    private void notifyFinished() {
+        if (!isFinished) {
+            isFinished = true;
+            finishedCallback.run();
         }
     }
 }
--- a/src/main/java/dappleseam/router/Host.java
+++ b/src/main/java/dappleseam/router/Host.java
@@ -21,7 +21,7 @@
     void followList();
 
     /** Calls {@link Router#timerFired} after the delay. */
-    void wake(TimerId timer, double delayMs);
+    void startTimer(TimerId timer, double delayMs);
 
     void log(String text);
 }
--- a/src/main/java/dappleseam/router/Limit.java
+++ b/src/main/java/dappleseam/router/Limit.java
@@ -3,11 +3,11 @@
 /** An adaptive limit of executions in flight; below one it is the probability of allowing one. */
 final class Limit {
     double size;
-    double least;
+    double minimum;
     double lastCut;
 
     Limit(double size, double least) {
         this.size = size;
-        this.least = least;
+        this.minimum = least;
     }
 }
--- a/src/main/java/dappleseam/router/Learnt.java
+++ b/src/main/java/dappleseam/router/NodeHealth.java
@@ -5,10 +5,10 @@
  * avoided as busy (clock times in ms), its weight without load, and its shed share. Valid only for the node process started at
  * {@code startedAtMs}.
  */
-public record Learnt(NodeId node, double startedAtMs, double asideUntilMs, double busyUntilMs, double idleScale,
-                     double shed) {
+public record NodeHealth(NodeId node, double startedAtMs, double ejectedUntilMs, double busyUntilMs, double idleWeight,
+                     double shedShare) {
     /** A copy with another start time. */
-    public Learnt startedAt(double atMs) {
-        return new Learnt(node, atMs, asideUntilMs, busyUntilMs, idleScale, shed);
+    public NodeHealth withStartedAt(double atMs) {
+        return new NodeHealth(node, atMs, ejectedUntilMs, busyUntilMs, idleWeight, shedShare);
     }
 }
--- a/src/main/java/dappleseam/router/Tally.java
+++ b/src/main/java/dappleseam/router/OutcomeCounts.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /** Sliding-window counts of executions sent, good and bad, in a ring buffer of time buckets. */
-final class Tally {
+final class OutcomeCounts {
     static final int SENT = 0;
     static final int GOOD = 1;
     static final int BAD = 2;
@@ -12,9 +12,9 @@
     private final int buckets;
     private final double bucketMs;
     private final int[] counts;
-    private long newest;
+    private long newestBucket;
 
-    Tally(int buckets, double bucketMs) {
+    OutcomeCounts(int buckets, double bucketMs) {
         this.buckets = buckets;
         this.bucketMs = bucketMs;
         counts = new int[buckets * KINDS];
@@ -22,7 +22,7 @@
 
     void add(double atMs, int kind) {
         advance(atMs);
-        counts[(int) (newest % buckets) * KINDS + kind]++;
+        counts[(int) (newestBucket % buckets) * KINDS + kind]++;
     }
 
     /** The count over at least the span ending now, limited to the time that the buckets cover. */
@@ -30,17 +30,17 @@
         advance(atMs);
         int sum = 0;
         int span = (int) Math.min(buckets, Math.ceil(spanMs / bucketMs) + 1);
-        for (int i = 0; i < span && i <= newest; i++) {
-            sum += counts[(int) ((newest - i) % buckets) * KINDS + kind];
+        for (int i = 0; i < span && i <= newestBucket; i++) {
+            sum += counts[(int) ((newestBucket - i) % buckets) * KINDS + kind];
         }
         return sum;
     }
 
     /** Share of bad among good and bad; 0 with fewer than {@code minSamples} of both together. */
-    double badShare(double atMs, double spanMs, int least) {
+    double badShare(double atMs, double spanMs, int minSamples) {
         double bad = count(atMs, spanMs, BAD);
         double all = bad + count(atMs, spanMs, GOOD);
-        return all < least ? 0 : bad / all;
+        return all < minSamples ? 0 : bad / all;
     }
 
     void clear() {
@@ -49,13 +49,13 @@
 
     private void advance(double atMs) {
         long bucket = (long) (atMs / bucketMs);
-        if (bucket - newest >= buckets) {
+        if (bucket - newestBucket >= buckets) {
             clear();
-            newest = bucket;
+            newestBucket = bucket;
         }
-        while (newest < bucket) {
-            newest++;
-            int from = (int) (newest % buckets) * KINDS;
+        while (newestBucket < bucket) {
+            newestBucket++;
+            int from = (int) (newestBucket % buckets) * KINDS;
             Arrays.fill(counts, from, from + KINDS, 0);
         }
     }
--- a/src/main/java/dappleseam/router/Query.java
+++ b/src/main/java/dappleseam/router/Query.java
@@ -7,45 +7,45 @@
 final class Query {
     final QueryId id;
     /** The settings in force when the query was accepted. */
-    final Deployment site;
+    final RouterSettings settings;
     final ServiceGrade grade;
-    final Asking asking;
-    final List<Execution> execs = new ArrayList<>(3);
+    final QueryRequest request;
+    final List<Execution> executions = new ArrayList<>(3);
     long hash;
-    RecentKeys.Asked asked;
+    RecentKeys.KeyStats keyStats;
     /** Its key's share of this proxy's recent queries, not counting this one. */
     double keyShare;
     /** The caches of the proxy's own zone are tried first. */
-    boolean nearFirst;
+    boolean localFirst;
     /** Weight of the caches skipped on the walk, to spread a hot key. */
-    double passOver;
+    double weightToSkip;
     /** When the client stops waiting. */
-    double quitAt;
+    double deadline;
     /** When an answer stops being worth anything. */
     double usefulUntil;
     /** The client waits for less time than a slow answer takes, so its timeout must not reduce any limit. */
-    boolean impatient;
-    int out;
+    boolean hasShortDeadline;
+    int inFlight;
     boolean answered;
     boolean streaming;
     /** The last walk of the ring visited a cache whose limit was reached. */
-    boolean crowded;
+    boolean metFullCache;
 
-    Query(QueryId id, Deployment site, ServiceGrade grade, Asking asking) {
+    Query(QueryId id, RouterSettings settings, ServiceGrade grade, QueryRequest request) {
         this.id = id;
-        this.site = site;
+        this.settings = settings;
         this.grade = grade;
-        this.asking = asking;
+        this.request = request;
     }
 
-    int execsLeft() {
-        return site.mostExecutions() - execs.size();
+    int executionsLeft() {
+        return settings.mostExecutions() - executions.size();
     }
 
     /** Whether the node is used up for this query. A first reset does not count: it concerns the connection, and only this node may hold the key. */
-    boolean triedAt(Node node) {
+    boolean wasTriedAt(Node node) {
         int resets = 0;
-        for (Execution e : execs) {
+        for (Execution e : executions) {
             if (e.node == node && (!e.reset || ++resets > 1)) {
                 return true;
             }
@@ -55,7 +55,7 @@
 
     /** The first execution that may have had an effect; null if there is none. */
     Execution firstThatMayHaveRun() {
-        for (Execution e : execs) {
+        for (Execution e : executions) {
             if (!e.neverRan) {
                 return e;
             }
@@ -65,7 +65,7 @@
 
     /** The node of the first miss; null if there was none. */
     Node firstMissedAt() {
-        for (Execution e : execs) {
+        for (Execution e : executions) {
             if (e.missed) {
                 return e.node;
             }
@@ -74,8 +74,8 @@
     }
 
     /** Whether an execution is in flight at the origin. */
-    boolean atOrigin() {
-        for (Execution e : execs) {
+    boolean isAtOrigin() {
+        for (Execution e : executions) {
             if (e.node.isOrigin && !e.ended) {
                 return true;
             }
@@ -93,7 +93,7 @@
         /** The connection broke after the request was written. */
         boolean reset;
         /** In flight for so long that it no longer counts against the limit for all caches. */
-        boolean pinned;
+        boolean isStuck;
         /** The node was not known to hold the key, so it may have to fetch it. */
         final boolean mayFetch;
 
--- a/src/main/java/dappleseam/router/Deployment.java
+++ b/src/main/java/dappleseam/router/RouterSettings.java
@@ -17,14 +17,14 @@
  *     hundred connections held open at each cache, {@code handshakePenalty} for a new connection with each query.
  * </ul>
  */
-public record Deployment(
+public record RouterSettings(
         List<ServiceGrade> grades,
-        double proxies,
+        double proxyCount,
         int originModel,
-        boolean scaleIsStable,
-        boolean scaleMoves,
+        boolean staticWeights,
+        boolean dynamicWeights,
         int zone,
-        double crossPrice,
+        double crossZonePenalty,
         double tickMs,
         int mostExecutions,
         boolean parallelExecutions,
@@ -34,11 +34,11 @@
         double coldFrom,
         double warmAfterMs,
         double fallMultiple,
-        double openPrice,
-        double handshakePrice) {
+        double connectionPenalty,
+        double handshakePenalty) {
     /** A copy for a proxy whose share of the fleet is 1 / {@code proxyCount}. */
-    public Deployment sharedBy(double proxies) {
-        return new Deployment(grades, proxies, originModel, scaleIsStable, scaleMoves, zone, crossPrice, tickMs, mostExecutions, parallelExecutions, mayCancel,
-                maxRetryAfterMs, askEveryMs, coldFrom, warmAfterMs, fallMultiple, openPrice, handshakePrice);
+    public RouterSettings withProxyCount(double proxyCount) {
+        return new RouterSettings(grades, proxyCount, originModel, staticWeights, dynamicWeights, zone, crossZonePenalty, tickMs, mostExecutions, parallelExecutions, mayCancel,
+                maxRetryAfterMs, askEveryMs, coldFrom, warmAfterMs, fallMultiple, connectionPenalty, handshakePenalty);
     }
 }
--- a/src/main/java/dappleseam/router/Timers.java
+++ b/src/main/java/dappleseam/router/Timers.java
@@ -7,15 +7,15 @@
 final class Timers {
     private final Map<Integer, Runnable> pending = new HashMap<>();
     private final Host host;
-    private int last;
+    private int lastId;
 
     Timers(Host host) {
         this.host = host;
     }
 
-    void after(double delayMs, Runnable action) {
-        pending.put(++last, action);
-        host.wake(new TimerId(last), delayMs);
+    void schedule(double delayMs, Runnable action) {
+        pending.put(++lastId, action);
+        host.startTimer(new TimerId(lastId), delayMs);
     }
 
     /** Runs the timer's action; ignores unknown timers. */
--- a/src/main/java/dappleseam/site/SiteReader.java
+++ b/src/main/java/dappleseam/site/ConfigReader.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import dappleseam.router.Deployment;
+import dappleseam.router.RouterSettings;
 import dappleseam.router.ServiceGrade;
 import dappleseam.wire.Address;
 import dappleseam.wire.Json;
@@ -16,111 +16,111 @@
 import java.util.List;
 
 /** Reads and validates the configuration and the settings of a deployment, and applies defaults. */
-public final class SiteReader {
-    private static final Logger LOG = System.getLogger(SiteReader.class.getName());
+public final class ConfigReader {
+    private static final Logger LOG = System.getLogger(ConfigReader.class.getName());
     /** Known values of {@code weightSource}, the origin of the list's weights; the last two mean that there are none. */
-    private static final List<String> SCALES = List.of("nominal", "rough", "live", "off", "");
+    private static final List<String> WEIGHT_SOURCES = List.of("nominal", "rough", "live", "off", "");
     private static final double MS_PER_S = 1000;
     /** Default limit of file descriptors: what systems usually allow. */
-    private static final int DESCRIPTORS = 1024;
-    private static final int LEAST_DESCRIPTORS = 96;
+    private static final int DEFAULT_DESCRIPTORS = 1024;
+    private static final int MIN_DESCRIPTORS = 96;
     /** Default memory limit in MB; the launcher uses the same default. */
-    private static final int MEMORY_MB = 192;
-    private static final int LEAST_MEMORY_MB = 16;
+    private static final int DEFAULT_MEMORY_MB = 192;
+    private static final int MIN_MEMORY_MB = 16;
 
     /** Default for the multiple of its capacity at which a cold node fails: the most common value. */
-    private static final double FALL_MULTIPLE = 3;
+    private static final double DEFAULT_FALL_MULTIPLE = 3;
 
     /** The last configuration that was accepted; null before the first. */
-    private JsonNode inForce;
+    private JsonNode current;
 
     /** Reads the configuration of a proxy. When it is read again, no key of the previous one may be missing. */
-    public synchronized Post readPost(Path file) throws IOException {
+    public synchronized ProxyConfig readConfig(Path file) throws IOException {
         JsonNode root = parse(Files.readAllBytes(file), file.getFileName().toString());
-        Post post = post(root);
-        if (inForce != null) {
-            needAll(inForce, root, "");
+        ProxyConfig config = config(root);
+        if (current != null) {
+            requireAll(current, root, "");
         }
-        inForce = root;
-        return post;
+        current = root;
+        return config;
     }
 
     /** Protects a running proxy from a file that was truncated or edited such that keys are missing though it is still valid JSON. */
-    private static void needAll(JsonNode before, JsonNode now, String at) {
+    private static void requireAll(JsonNode before, JsonNode now, String at) {
         before.fields().forEachRemaining(field -> {
-            JsonNode found = need(now, at, field.getKey());
+            JsonNode found = require(now, at, field.getKey());
             if (field.getValue().isObject() && !field.getKey().equals("known")) {
-                needAll(field.getValue(), found, at + field.getKey() + ".");
+                requireAll(field.getValue(), found, at + field.getKey() + ".");
             }
         });
     }
 
-    private static Post post(JsonNode root) {
-        int descriptors = limit(root, "sockets", DESCRIPTORS, LEAST_DESCRIPTORS);
-        int memoryMb = limit(root, "memory_mb", MEMORY_MB, LEAST_MEMORY_MB);
-        return new Post(root.path("name").asText("proxy"), address(root, "listen"), control(root),
-                address(root, "discovery"), seed(root), descriptors, memoryMb, root.path("known"), site(need(root, "", "settings"), "settings."));
+    private static ProxyConfig config(JsonNode root) {
+        int descriptors = limit(root, "sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS);
+        int memoryMb = limit(root, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB);
+        return new ProxyConfig(root.path("name").asText("proxy"), address(root, "listen"), control(root),
+                address(root, "discovery"), seed(root), descriptors, memoryMb, root.path("known"), settings(require(root, "", "settings"), "settings."));
     }
 
-    private static int limit(JsonNode root, String name, int byDefault, int least) {
-        int limit = (int) number(root.path("limits"), "limits.", name, byDefault);
-        if (limit < least) {
-            throw new FaultySettingException("limits." + name, "is less than " + least);
+    private static int limit(JsonNode root, String name, int defaultValue, int min) {
+        int limit = (int) number(root.path("limits"), "limits.", name, defaultValue);
+        if (limit < min) {
+            throw new InvalidConfigException("limits." + name, "is less than " + min);
         }
         return limit;
     }
 
     /** Reads the settings alone, from their JSON text. */
-    public Site readSite(byte[] json) {
-        return site(parse(json, "settings"), "");
+    public Settings readSettings(byte[] json) {
+        return settings(parse(json, "settings"), "");
     }
 
     private static JsonNode parse(byte[] json, String what) {
         try {
             JsonNode root = Json.read(json);
             if (!root.isObject()) {
-                throw new FaultySettingException(what, "is not a JSON object");
+                throw new InvalidConfigException(what, "is not a JSON object");
             }
             return root;
         } catch (JsonProcessingException e) {
-            throw new FaultySettingException(what, "is not JSON: " + e.getOriginalMessage());
+            throw new InvalidConfigException(what, "is not JSON: " + e.getOriginalMessage());
         } catch (IOException e) {
-            throw new FaultySettingException(what, "cannot be read: " + e.getMessage());
+            throw new InvalidConfigException(what, "cannot be read: " + e.getMessage());
         }
     }
 
-    private static Site site(JsonNode root, String at) {
-        JsonNode ceilings = need(root, at, "ceilings");
-        JsonNode rules = need(root, at, "rules");
+    private static Settings settings(JsonNode root, String at) {
+        JsonNode ceilings = require(root, at, "ceilings");
+        JsonNode rules = require(root, at, "rules");
         JsonNode penalties = root.path("penalties");
         JsonNode extra = root.path("extra");
         String inCeilings = at + "ceilings.";
         List<ServiceGrade> grades = new ArrayList<>();
         List<String> names = new ArrayList<>();
-        for (JsonNode grade : need(root, at, "serviceGrades")) {
+        for (JsonNode grade : require(root, at, "serviceGrades")) {
             String inGrade = at + "serviceGrades[" + grades.size() + "].";
             grades.add(grade(grade, inGrade));
-            String name = need(grade, inGrade, "name").asText();
+            String name = require(grade, inGrade, "name").asText();
             if (name.isEmpty() || names.contains(name)) {
-                throw new FaultySettingException(inGrade + "name", name.isEmpty() ? "is empty" : "is used twice: " + name);
+                throw new InvalidConfigException(inGrade + "name", name.isEmpty() ? "is empty" : "is used twice: " + name);
             }
             names.add(name);
         }
         if (grades.isEmpty()) {
-            throw new FaultySettingException(at + "serviceGrades", "is empty");
+            throw new InvalidConfigException(at + "serviceGrades", "is empty");
         }
         boolean retryAfter = ceilings.path("retryAfter").asBoolean();
         boolean onRequest = root.path("membershipMode").asText().equals("on_request");
-        String scale = root.path("weightSource").asText();
-        if (!SCALES.contains(scale)) {
-            LOG.log(Level.WARNING, "{0}weightSource: {1} is not known, so all nodes count alike", at, scale);
+        String weightSource = root.path("weightSource").asText();
+        if (!WEIGHT_SOURCES.contains(weightSource)) {
+            LOG.log(Level.WARNING, "{0}weightSource: {1} is not known, so all nodes count alike", at, weightSource);
         }
-        Deployment deployment = new Deployment(
+        RouterSettings routerSettings = new RouterSettings(
                 List.copyOf(grades),
                 Math.max(1, root.path("balancers").asInt(1)),
                 originModel(extra, root.path("flavors").size(), at + "extra."),
-                scale.equals("nominal") || scale.equals("rough"),
-                scale.equals("live"),
+                weightSource.equals("nominal") || weightSource.equals("rough"),
+                weightSource.equals("live"),
                 zone(root, at),
                 number(penalties, at + "penalties.", "crossZone", 0),
                 MS_PER_S * number(root, at, "tickS", 0),
@@ -134,7 +134,7 @@
                 fallMultiple(rules, at + "rules."),
                 number(penalties, at + "penalties.", "connection", 0),
                 number(penalties, at + "penalties.", "handshake", 0));
-        return new Site(deployment, List.copyOf(names), names(root.path("flavors")), names(root.path("dcs")),
+        return new Settings(routerSettings, List.copyOf(names), names(root.path("flavors")), names(root.path("dcs")),
                 Math.max(1, (int) number(ceilings, inCeilings, "streamsPerConn", 1)),
                 MS_PER_S * number(ceilings, inCeilings, "idleCloseS", 60),
                 MS_PER_S * number(ceilings, inCeilings, "connectTimeoutS", 1),
@@ -148,7 +148,7 @@
         }
         double kind = number(extra, at, "originKind");
         if (kind != Math.rint(kind) || kind >= flavors) {
-            throw new FaultySettingException(at + "originKind", "is not an index into flavors");
+            throw new InvalidConfigException(at + "originKind", "is not an index into flavors");
         }
         return (int) kind;
     }
@@ -156,14 +156,14 @@
     private static double share(JsonNode node, String at, String name) {
         double share = number(node, at, name);
         if (share > 1) {
-            throw new FaultySettingException(at + name, "is greater than 1");
+            throw new InvalidConfigException(at + name, "is greater than 1");
         }
         return share;
     }
 
     /** 0 means no limit. */
     private static double fallMultiple(JsonNode rules, String at) {
-        double multiple = number(rules, at, "fallMultiple", FALL_MULTIPLE);
+        double multiple = number(rules, at, "fallMultiple", DEFAULT_FALL_MULTIPLE);
         return multiple == 0 ? Double.POSITIVE_INFINITY : multiple;
     }
 
@@ -171,24 +171,24 @@
     private static int zone(JsonNode root, String at) {
         double zone = number(root, at, "zone", -1);
         if (zone != Math.rint(zone)) {
-            throw new FaultySettingException(at + "zone", "is not an integer");
+            throw new InvalidConfigException(at + "zone", "is not an integer");
         }
         return (int) zone;
     }
 
     private static ServiceGrade grade(JsonNode grade, String at) {
         return new ServiceGrade(
-                switch (need(grade, at, "semantics").asText()) {
-                    case "read_like" -> ServiceGrade.Repeat.IDEMPOTENT;
-                    case "idempotency_key" -> ServiceGrade.Repeat.DEDUPLICATED;
-                    case "non_idempotent" -> ServiceGrade.Repeat.NON_IDEMPOTENT;
-                    default -> throw new FaultySettingException(at + "semantics", "is not one of read_like, idempotency_key"
+                switch (require(grade, at, "semantics").asText()) {
+                    case "read_like" -> ServiceGrade.Semantics.IDEMPOTENT;
+                    case "idempotency_key" -> ServiceGrade.Semantics.DEDUPLICATED;
+                    case "non_idempotent" -> ServiceGrade.Semantics.NON_IDEMPOTENT;
+                    default -> throw new InvalidConfigException(at + "semantics", "is not one of read_like, idempotency_key"
                             + " and non_idempotent");
                 },
                 switch (grade.path("group").asText()) {
-                    case "all" -> ServiceGrade.Group.ALL;
-                    case "zone" -> ServiceGrade.Group.ZONE;
-                    default -> ServiceGrade.Group.CELL;
+                    case "all" -> ServiceGrade.DedupScope.ALL;
+                    case "zone" -> ServiceGrade.DedupScope.ZONE;
+                    default -> ServiceGrade.DedupScope.CELL;
                 },
                 MS_PER_S * number(grade, at, "windowS", 0),
                 MS_PER_S * positive(grade, at, "sloTimeS"),
@@ -204,18 +204,18 @@
         return List.copyOf(names);
     }
 
-    private static JsonNode need(JsonNode node, String at, String name) {
+    private static JsonNode require(JsonNode node, String at, String name) {
         JsonNode found = node.get(name);
         if (found == null || found.isNull()) {
-            throw new FaultySettingException(at + name, "is missing");
+            throw new InvalidConfigException(at + name, "is missing");
         }
         return found;
     }
 
     private static double number(JsonNode node, String at, String name) {
-        JsonNode found = need(node, at, name);
+        JsonNode found = require(node, at, name);
         if (!found.isNumber() || found.asDouble() < 0) {
-            throw new FaultySettingException(at + name, "is not a number of at least 0");
+            throw new InvalidConfigException(at + name, "is not a number of at least 0");
         }
         return found.asDouble();
     }
@@ -223,34 +223,34 @@
     private static double positive(JsonNode node, String at, String name) {
         double number = number(node, at, name);
         if (number <= 0) {
-            throw new FaultySettingException(at + name, "is not greater than 0");
+            throw new InvalidConfigException(at + name, "is not greater than 0");
         }
         return number;
     }
 
-    private static double number(JsonNode node, String at, String name, double byDefault) {
-        return node.path(name).isMissingNode() || node.path(name).isNull() ? byDefault : number(node, at, name);
+    private static double number(JsonNode node, String at, String name, double defaultValue) {
+        return node.path(name).isMissingNode() || node.path(name).isNull() ? defaultValue : number(node, at, name);
     }
 
     private static InetSocketAddress address(JsonNode root, String name) {
-        return address(name, need(root, "", name).asText());
+        return address(name, require(root, "", name).asText());
     }
 
     private static InetSocketAddress address(String name, String text) {
         try {
             return Address.parse(text);
         } catch (IllegalArgumentException e) {
-            throw new FaultySettingException(name, "is " + e.getMessage());
+            throw new InvalidConfigException(name, "is " + e.getMessage());
         }
     }
 
     /** The control address from the file, or else from the environment; null for no control port. */
     private static InetSocketAddress control(JsonNode root) {
-        String told = System.getenv("NODE_CONTROL");
+        String fromEnvironment = System.getenv("NODE_CONTROL");
         if (!root.path("control").isMissingNode() && !root.path("control").isNull()) {
             return address(root, "control");
         }
-        return told == null || told.isEmpty() ? null : address("control", told);
+        return fromEnvironment == null || fromEnvironment.isEmpty() ? null : address("control", fromEnvironment);
     }
 
     private static long seed(JsonNode root) {
@@ -258,7 +258,7 @@
         try {
             return Long.parseUnsignedLong(digits, 16);
         } catch (NumberFormatException e) {
-            throw new FaultySettingException("seed", "is not 16 hexadecimal digits: " + digits);
+            throw new InvalidConfigException("seed", "is not 16 hexadecimal digits: " + digits);
         }
     }
 }
--- a/src/test/java/dappleseam/drill/DrillTest.java
+++ b/src/test/java/dappleseam/drill/SimulatorCommandTest.java
@@ -11,7 +11,7 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-class DrillTest {
+class SimulatorCommandTest {
     private static final String SETTINGS = """
             {"ceilings": {"mostExecutions": 2}, "somethingNew": [1],
              "rules": {"coldFrom": 0.2, "warmAfterS": 10, "fallS": 1.5},
@@ -20,7 +20,7 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
     private int serve(byte[] input) throws IOException {
-        return Drill.serve(new ByteArrayInputStream(input), out);
+        return SimulatorCommand.serve(new ByteArrayInputStream(input), out);
     }
 
     /** A frame with the clock at 2.5 s and the records given as code, fields, code, fields ... */
@@ -38,7 +38,7 @@
         return ByteBuffer.allocate(size).order(ByteOrder.LITTLE_ENDIAN).putShort((short) 6);
     }
 
-    private static byte[] enlist(String settings) {
+    private static byte[] createInstance(String settings) {
         byte[] json = settings.getBytes(StandardCharsets.UTF_8);
         return fields(14 + json.length).putLong(11).putInt(json.length).put(json).array();
     }
@@ -61,7 +61,7 @@
 
     @Test
     void aQueryIsSentToTheListedCacheWithItsBytesUnchanged() throws IOException {
-        assertThat(serve(frame(1, enlist(SETTINGS), 2, list(), 3, query(0x0A0B0C0D)))).isZero();
+        assertThat(serve(frame(1, createInstance(SETTINGS), 2, list(), 3, query(0x0A0B0C0D)))).isZero();
         ByteBuffer reply = ByteBuffer.wrap(out.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
         assertThat(reply.getInt(0)).isOne();
         assertThat(reply.getInt(4)).isEqualTo(reply.capacity() - 8);
@@ -75,24 +75,24 @@
     }
 
     @Test
-    void anInstanceThatExitsAndEnlistsInOneBatchHoldsNothing() throws IOException {
+    void anInstanceRecreatedInTheSameBatchIsEmpty() throws IOException {
         byte[] exit = fields(2).array();
-        assertThat(serve(frame(1, enlist(SETTINGS), 2, list(), 10, exit,
-                1, enlist(SETTINGS), 3, query(3)))).isZero();
+        assertThat(serve(frame(1, createInstance(SETTINGS), 2, list(), 10, exit,
+                1, createInstance(SETTINGS), 3, query(3)))).isZero();
         assertThat(out.toByteArray()[8]).as("rejected").isEqualTo((byte) 5);
     }
 
     @Test
-    void aFaultInTheDecisionsIsReported() throws IOException {
+    void anExceptionOfTheRouterIsReported() throws IOException {
         byte[] unknownGrade = query(3);
         unknownGrade[6] = 9;
-        assertThat(serve(frame(1, enlist(SETTINGS), 2, list(), 3, unknownGrade))).isZero();
+        assertThat(serve(frame(1, createInstance(SETTINGS), 2, list(), 3, unknownGrade))).isZero();
         assertThat(out.toByteArray()[8]).as("exception").isEqualTo((byte) 4);
     }
 
     @Test
-    void aCutFrameWritesNothing() throws IOException {
-        byte[] whole = frame(1, enlist(SETTINGS), 2, list(), 3, query(1));
+    void aTruncatedFrameWritesNothing() throws IOException {
+        byte[] whole = frame(1, createInstance(SETTINGS), 2, list(), 3, query(1));
         for (int length = 1; length < whole.length; length += 7) {
             assertThat(serve(Arrays.copyOf(whole, length))).isOne();
         }
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void lengthsThatDoNotAgreeEndIt() throws IOException {
+    void inconsistentLengthsEndTheProcess() throws IOException {
         byte[] tooMany = frame(3, query(1));
         tooMany[0] = 2;
         byte[] tooFew = frame(3, query(1));
@@ -109,15 +109,15 @@
         longList[11] = 100;
         assertThat(serve(tooMany)).isOne();
         assertThat(serve(tooFew)).isOne();
-        assertThat(serve(frame(3, new byte[4], 1, enlist(SETTINGS), 2, longList))).isOne();
+        assertThat(serve(frame(3, new byte[4], 1, createInstance(SETTINGS), 2, longList))).isOne();
         assertThat(out.size()).isZero();
     }
 
     @Test
-    void badSettingsEndIt() throws IOException {
-        assertThat(serve(frame(1, enlist("{")))).isOne();
-        assertThat(serve(frame(1, enlist("[]")))).isOne();
-        assertThat(serve(frame(1, enlist(SETTINGS.replace("coldFrom", "x"))))).isOne();
+    void invalidSettingsEndTheProcess() throws IOException {
+        assertThat(serve(frame(1, createInstance("{")))).isOne();
+        assertThat(serve(frame(1, createInstance("[]")))).isOne();
+        assertThat(serve(frame(1, createInstance(SETTINGS.replace("coldFrom", "x"))))).isOne();
         assertThat(out.size()).isZero();
     }
 }
--- a/src/test/java/dappleseam/query/SlotsTest.java
+++ b/src/test/java/dappleseam/query/SlotsTest.java
@@ -7,7 +7,7 @@
 class SlotsTest {
     /** A late answer to a previous query must not reach the query that now uses its slot. */
     @Test
-    void aNumberFindsNothingOnceItsSlotIsUsedAgain() {
+    void aStaleNumberFindsNothing() {
         Slots<String> slots = new Slots<>();
         int first = slots.put("first");
         slots.free(first);
--- a/src/test/java/dappleseam/router/ColdNodeTest.java
+++ b/src/test/java/dappleseam/router/ColdNodeTest.java
@@ -26,17 +26,17 @@
     private static final double ENDS_AT = STARTS_AT + WARM_AFTER_MS;
     private static final NodeId COLD = new NodeId(3);
 
-    private record Due(double at, long number, Runnable what) {}
+    private record Event(double at, long number, Runnable action) {}
 
     /** Many proxies, twelve caches of which one restarts, and an origin, in simulated time. */
-    private static final class Crowd {
+    private static final class SimulatedFleet {
         final SplittableRandom random;
-        final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
+        final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
         final List<Router> routers = new ArrayList<>();
         /** Keys that the cold cache holds by now. */
-        final Set<Integer> heldCold = new HashSet<>();
+        final Set<Integer> keysAtColdCache = new HashSet<>();
         final List<Integer> keyOf = new ArrayList<>(List.of(0));
-        final double[] upTo = new double[KEYS];
+        final double[] cumulativeWeights = new double[KEYS];
         final double perSecond;
         final double capacityPerSecond;
         final ArrayDeque<Double> window = new ArrayDeque<>();
@@ -44,13 +44,13 @@
         long count;
         int queries;
         /** Highest ratio of executions at the cold cache in a window to its capacity. */
-        double worst;
+        double maxLoad;
 
         final double multiple;
         final double windowMs;
         final double coldFrom;
 
-        Crowd(long seed, int proxies, double perSecond, double load, double skew, double multiple, double windowMs, double coldFrom,
+        SimulatedFleet(long seed, int proxies, double perSecond, double load, double skew, double multiple, double windowMs, double coldFrom,
               double toldMultiple) {
             this.multiple = multiple;
             this.windowMs = windowMs;
@@ -61,91 +61,91 @@
             double sum = 0;
             for (int i = 0; i < KEYS; i++) {
                 sum += 1 / Math.pow(i + 4, skew);
-                upTo[i] = sum;
+                cumulativeWeights[i] = sum;
             }
-            Deployment site = new Deployment(List.of(OneProxy.READ), proxies, OneProxy.ORIGIN_MODEL, true, false, 0, 0, 1, 4, true, true, 1000,
+            RouterSettings site = new RouterSettings(List.of(TestProxy.READ), proxies, TestProxy.ORIGIN_MODEL, true, false, 0, 0, 1, 4, true, true, 1000,
                     10_000, coldFrom, WARM_AFTER_MS, toldMultiple, 0.08, 0.08);
             for (int i = 0; i < proxies; i++) {
                 int own = i;
-                routers.add(new Router(site, random.split(), new Seat(own), 0));
-                routers.get(i).listGiven(0, list(0), false);
+                routers.add(new Router(site, random.split(), new ProxyHost(own), 0));
+                routers.get(i).listReplaced(0, list(0), false);
             }
             // Uneven traffic: some proxies get several times the mean.
             double[] share = random.doubles(proxies).map(x -> 0.3 + 3 * x * x * x).toArray();
             double all = Arrays.stream(share).sum();
             for (int i = 0; i < proxies; i++) {
-                arrive(i, perSecond * share[i] / all);
+                scheduleArrival(i, perSecond * share[i] / all);
             }
         }
 
         static List<Member> list(double startedAt) {
-            List<Member> members = new ArrayList<>(List.of(OneProxy.ready(OneProxy.ORIGIN.value())));
+            List<Member> members = new ArrayList<>(List.of(TestProxy.ready(TestProxy.ORIGIN.value())));
             for (int i = 1; i <= CACHES; i++) {
-                members.add(OneProxy.member(i, Member.State.READY, i == COLD.value() ? startedAt : 0));
+                members.add(TestProxy.member(i, Member.State.READY, i == COLD.value() ? startedAt : 0));
             }
             return members;
         }
 
         void at(double when, Runnable what) {
-            due.add(new Due(when, count++, what));
+            events.add(new Event(when, count++, what));
         }
 
-        void arrive(int proxy, double rate) {
+        void scheduleArrival(int proxy, double rate) {
             double burst = now > STARTS_AT && now < STARTS_AT + 3000 ? 1.5 : 1;
             at(now - Math.log(1 - random.nextDouble()) * 1000 / (rate * burst), () -> {
-                double x = random.nextDouble() * upTo[KEYS - 1];
-                int key = Arrays.binarySearch(upTo, x);
+                double x = random.nextDouble() * cumulativeWeights[KEYS - 1];
+                int key = Arrays.binarySearch(cumulativeWeights, x);
                 key = key < 0 ? -key - 1 : key;
                 keyOf.add(key);
-                routers.get(proxy).query(now, new QueryId(++queries), new Asking(0, new Key(Hash.mix(key + 1)), 2000, 0, false, false));
-                arrive(proxy, rate);
+                routers.get(proxy).query(now, new QueryId(++queries), new QueryRequest(0, new Key(Hash.mix(key + 1)), 2000, 0, false, false));
+                scheduleArrival(proxy, rate);
             });
         }
 
-        double bears(double at) {
+        double coldCapacity(double at) {
             double warm = coldFrom + (1 - coldFrom) * Math.min(1, (at - STARTS_AT) / WARM_AFTER_MS);
             double n = multiple * capacityPerSecond * warm * windowMs / 1000;
             return n + 2 * Math.sqrt(n) + 2;
         }
 
-        void play() {
+        void run() {
             at(STARTS_AT, () -> {
-                heldCold.clear();
-                routers.forEach(r -> r.listGiven(now, list(STARTS_AT), false));
+                keysAtColdCache.clear();
+                routers.forEach(r -> r.listReplaced(now, list(STARTS_AT), false));
             });
-            while (!due.isEmpty() && due.peek().at < ENDS_AT) {
-                Due next = due.poll();
+            while (!events.isEmpty() && events.peek().at < ENDS_AT) {
+                Event next = events.poll();
                 now = next.at;
-                next.what.run();
+                next.action.run();
             }
         }
 
-        private final class Seat implements Host {
-            final int own;
-            final Map<QueryId, Integer> execs = new HashMap<>();
-            final Map<QueryId, Boolean> over = new HashMap<>();
+        private final class ProxyHost implements Host {
+            final int proxy;
+            final Map<QueryId, Integer> executionCounts = new HashMap<>();
+            final Map<QueryId, Boolean> finishedQueries = new HashMap<>();
 
-            Seat(int own) {
-                this.own = own;
+            ProxyHost(int proxy) {
+                this.proxy = proxy;
             }
 
             @Override
             public void execute(QueryId query, NodeId node, double timeoutMs) {
-                int number = execs.merge(query, 1, Integer::sum) - 1;
+                int number = executionCounts.merge(query, 1, Integer::sum) - 1;
                 boolean isCold = node.equals(COLD) && now >= STARTS_AT;
                 if (isCold) {
                     window.add(now);
                     while (window.peek() < now - windowMs) {
                         window.poll();
                     }
-                    worst = Math.max(worst, window.size() / bears(now));
+                    maxLoad = Math.max(maxLoad, window.size() / coldCapacity(now));
                 }
-                boolean misses = isCold && heldCold.add(keyOf.get(query.value()));
-                double took = node.equals(OneProxy.ORIGIN) ? 80 : 10 + 30 * random.nextDouble();
+                boolean misses = isCold && keysAtColdCache.add(keyOf.get(query.value()));
+                double took = node.equals(TestProxy.ORIGIN) ? 80 : 10 + 30 * random.nextDouble();
                 at(now + took, () -> {
-                    boolean finished = misses ? over.getOrDefault(query, false) : true;
-                    over.put(query, finished);
-                    routers.get(own).executionEnded(now, query, number, misses ? Outcome.MISS : Outcome.COMPLETED, took, finished);
+                    boolean finished = misses ? finishedQueries.getOrDefault(query, false) : true;
+                    finishedQueries.put(query, finished);
+                    routers.get(proxy).executionEnded(now, query, number, misses ? Outcome.MISS : Outcome.COMPLETED, took, finished);
                 });
             }
 
@@ -154,12 +154,12 @@
 
             @Override
             public void reject(QueryId query, double retryAfterMs) {
-                over.put(query, true);
+                finishedQueries.put(query, true);
             }
 
             @Override
             public void abort(QueryId query) {
-                over.put(query, true);
+                finishedQueries.put(query, true);
             }
 
             @Override
@@ -169,8 +169,8 @@
             public void followList() {}
 
             @Override
-            public void wake(TimerId timer, double delayMs) {
-                at(now + delayMs, () -> routers.get(own).woken(now, timer));
+            public void startTimer(TimerId timer, double delayMs) {
+                at(now + delayMs, () -> routers.get(proxy).timerFired(now, timer));
             }
 
             @Override
@@ -182,25 +182,25 @@
     @ParameterizedTest
     @CsvSource({"20,600,0.9,1.0,3,1500,0.36", "30,150,0.9,1.0,3,1500,0.36", "30,60,0.9,1.2,3,1500,0.36", "30,600,0.6,1.2,4,1500,0.13",
         "25,300,0.9,1.2,3,1500,0.36", "20,600,0.9,1.0,2,1000,0.3", "30,600,0.9,1.2,2,1000,0.3", "30,150,0.9,1.2,2,1000,0.15", "30,600,0.9,1.2,2,1000,0.15"})
-    void theSumOfAllStaysWithinWhatAColdCacheBears(int proxies, double perSecond, double load, double skew, double multiple, double windowMs,
+    void allProxiesTogetherStayWithinTheCapacityOfAColdCache(int proxies, double perSecond, double load, double skew, double multiple, double windowMs,
                                                    double coldFrom) {
-        assertThat(worst(proxies, perSecond, load, skew, multiple, windowMs, coldFrom, multiple)).isLessThan(1);
+        assertThat(highestLoad(proxies, perSecond, load, skew, multiple, windowMs, coldFrom, multiple)).isLessThan(1);
     }
 
     /** Proves that the check can fail: the routers are given a higher fall multiple than the cache has. */
     @Test
-    void aCacheFallsThatBearsLessThanIsTold() {
-        assertThat(worst(30, 600, 0.9, 1.2, 2, 1000, 0.3, 3)).isGreaterThan(1);
+    void aColdCacheIsOverloadedIfItsCapacityIsOverstated() {
+        assertThat(highestLoad(30, 600, 0.9, 1.2, 2, 1000, 0.3, 3)).isGreaterThan(1);
     }
 
-    private static double worst(int proxies, double perSecond, double load, double skew, double multiple, double windowMs, double coldFrom,
+    private static double highestLoad(int proxies, double perSecond, double load, double skew, double multiple, double windowMs, double coldFrom,
                                 double toldMultiple) {
-        double worst = 0;
+        double highest = 0;
         for (int seed = 1; seed <= 20; seed++) {
-            Crowd crowd = new Crowd(seed, proxies, perSecond, load, skew, multiple, windowMs, coldFrom, toldMultiple);
-            crowd.play();
-            worst = Math.max(worst, crowd.worst);
+            SimulatedFleet fleet = new SimulatedFleet(seed, proxies, perSecond, load, skew, multiple, windowMs, coldFrom, toldMultiple);
+            fleet.run();
+            highest = Math.max(highest, fleet.maxLoad);
         }
-        return worst;
+        return highest;
     }
 }
--- a/src/test/java/dappleseam/router/GrowthTest.java
+++ b/src/test/java/dappleseam/router/GrowthTest.java
@@ -13,7 +13,7 @@
     private static final int CHANGES = 40;
     private static final double NANOS_PER_MS = 1e6;
     /** From the acceptance target: 0.12 s of CPU time per thousand caches over a day in which half of them are replaced, in steps. */
-    private static final double MOST_MS = 4;
+    private static final double MAX_CPU_MS_PER_CHANGE = 4;
 
     private static Member cache(long number, Member.State state) {
         return new Member(new NodeId(number), state, 0, 0, 0, 1 + number % 3, 0);
@@ -25,20 +25,20 @@
 
     /** Sorting the whole ring for each change took 100 to 120 ms of the only I/O thread at 3,200 caches. */
     @Test
-    void aChangeOfALargeListCostsByWhatChanged() {
-        OneProxy proxy = new OneProxy(OneProxy.through(OneProxy.READ));
+    void theCostOfAListChangeGrowsWithTheChangeOnly() {
+        TestProxy proxy = new TestProxy(TestProxy.readThrough(TestProxy.READ));
         List<Member> all = new ArrayList<>();
         for (int i = 1; i <= CACHES; i++) {
             all.add(cache(i, Member.State.READY));
         }
-        proxy.router.listGiven(1000, all, false);
-        proxy.router.query(1000, new QueryId(0), new Asking(0, new Key(5), 1000, 0, false, false));
+        proxy.router.listReplaced(1000, all, false);
+        proxy.router.query(1000, new QueryId(0), new QueryRequest(0, new Key(5), 1000, 0, false, false));
         double before = cpuMs();
         for (int i = 1; i <= CHANGES; i++) {
             double now = 1000 + i;
             proxy.router.listChanged(now, List.of(cache(i, Member.State.DRAINING), cache(CACHES + i, Member.State.READY)));
-            proxy.router.query(now, new QueryId(i), new Asking(0, new Key(i), 1000, 0, false, false));
+            proxy.router.query(now, new QueryId(i), new QueryRequest(0, new Key(i), 1000, 0, false, false));
         }
-        assertThat((cpuMs() - before) / CHANGES).isLessThan(MOST_MS);
+        assertThat((cpuMs() - before) / CHANGES).isLessThan(MAX_CPU_MS_PER_CHANGE);
     }
 }
--- a/src/test/java/dappleseam/router/RingTest.java
+++ b/src/test/java/dappleseam/router/RingTest.java
@@ -18,42 +18,42 @@
     private static final int TOKENS = 256;
     private static final int SLOT_BITS = 12;
 
-    private static Node cache(long id, double scale) {
-        Node cache = new Node(new NodeId(id), false, new Tally(1, 1), new Limit(1, 1), new Share(1));
-        cache.scale = scale;
+    private static Node cache(long id, double weight) {
+        Node cache = new Node(new NodeId(id), false, new OutcomeCounts(1, 1), new Limit(1, 1), new DecayingShare(1));
+        cache.weight = weight;
         return cache;
     }
 
     /** The owners of all tokens in order, built from scratch: the tokens of a cache are hashes of its id and the token number. */
-    private static List<Long> builtAsAWhole(Collection<Node> caches) {
+    private static List<Long> expectedOwners(Collection<Node> caches) {
         List<Node> sorted = caches.stream().sorted(Comparator.comparingLong(n -> n.id.value())).toList();
-        double largest = sorted.stream().mapToDouble(n -> n.scale).max().orElse(1);
+        double largest = sorted.stream().mapToDouble(n -> n.weight).max().orElse(1);
         double unit = Math.pow(2, Math.ceil(Math.log(largest) / Math.log(2) - 1e-9));
         List<Long> tokens = new ArrayList<>();
         for (int i = 0; i < sorted.size(); i++) {
-            for (int t = 0; t < Math.max(1, Math.round(TOKENS * sorted.get(i).scale / unit)); t++) {
+            for (int t = 0; t < Math.max(1, Math.round(TOKENS * sorted.get(i).weight / unit)); t++) {
                 tokens.add(Hash.mix(sorted.get(i).seed + t) >> SLOT_BITS << SLOT_BITS | i);
             }
         }
         return tokens.stream().sorted().map(token -> sorted.get((int) (token & (1 << SLOT_BITS) - 1)).id.value()).toList();
     }
 
-    private static List<Long> walked(Ring ring) {
+    private static List<Long> ownersInOrder(Ring ring) {
         List<Long> owners = new ArrayList<>();
         ring.seek(Long.MIN_VALUE);
         for (int i = 0; i < ring.size(); i++) {
-            owners.add(ring.next().id.value());
+            owners.add(ring.nextToken().id.value());
         }
         return owners;
     }
 
-    private static double scale(SplittableRandom random) {
+    private static double randomWeight(SplittableRandom random) {
         return random.nextInt(30) == 0 ? 9 : 0.2 + 3.5 * random.nextDouble(); // the largest class comes and goes
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-    void drawnChangesGiveTheSameOwnersInTheSameOrder(long seed) {
+    void randomChangesGiveTheSameRingAsBuildingItAnew(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Ring ring = new Ring();
         Map<Long, Node> caches = new TreeMap<>();
@@ -66,30 +66,30 @@
                     ring.remove(List.of(caches.remove(id)));
                 } else {
                     Node changed = known == null ? cache(id, 1) : known;
-                    changed.scale = scale(random);
+                    changed.weight = randomWeight(random);
                     caches.put(id, changed);
                     put.add(changed);
                 }
             }
-            ring.fit(caches.values().stream().mapToDouble(n -> n.scale).max().orElse(1));
+            ring.setLargestWeight(caches.values().stream().mapToDouble(n -> n.weight).max().orElse(1));
             put.stream().filter(n -> caches.get(n.id.value()) == n).forEach(ring::put);
-            ring.settle();
-            assertThat(walked(ring)).isEqualTo(builtAsAWhole(caches.values()));
+            ring.mergeAppended();
+            assertThat(ownersInOrder(ring)).isEqualTo(expectedOwners(caches.values()));
         }
     }
 
     /** A walk starts with the first token at or after its hash, and wraps around. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 15, 300})
-    void aWalkBeginsAtItsHashAndGoesRound(int count) {
+    void aWalkStartsAtItsHashAndWrapsAround(int count) {
         Ring ring = new Ring();
         List<Node> caches = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
             caches.add(cache(i, 1));
         }
         caches.forEach(ring::put);
-        ring.settle();
-        List<Long> owners = builtAsAWhole(caches);
+        ring.mergeAppended();
+        List<Long> owners = expectedOwners(caches);
         long[] positions = caches.stream().flatMapToLong(n -> Arrays.stream(tokens(n))).map(t -> t >> SLOT_BITS).sorted().toArray();
         SplittableRandom random = new SplittableRandom(count);
         for (int i = 0; i < 300; i++) {
@@ -98,7 +98,7 @@
             int at = found < 0 ? -found - 1 : found;
             ring.seek(hash);
             for (int step = 0; step < 5; step++) {
-                assertThat(ring.next().id.value()).isEqualTo(owners.get((at + step) % owners.size()));
+                assertThat(ring.nextToken().id.value()).isEqualTo(owners.get((at + step) % owners.size()));
             }
         }
     }
--- a/src/test/java/dappleseam/site/FleetFileReaderTest.java
+++ b/src/test/java/dappleseam/site/FleetConfigReaderTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import dappleseam.fleet.peers.Identity;
+import dappleseam.fleet.peers.FleetConfig;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
@@ -11,23 +11,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class FleetFileReaderTest {
+class FleetConfigReaderTest {
     private static final Path SHIPPED = Path.of("deploy/fleet.json");
 
     @TempDir
     Path folder;
 
-    private Identity read(String text) throws Exception {
-        return FleetFileReader.read(Files.writeString(folder.resolve("fleet.json"), text), "n1", 7);
+    private FleetConfig read(String text) throws Exception {
+        return FleetConfigReader.read(Files.writeString(folder.resolve("fleet.json"), text), "n1", 7);
     }
 
     @Test
-    void theExampleIsSoundAndLeavesDefaults() throws Exception {
-        Identity read = FleetFileReader.read(SHIPPED, "n1", 7);
+    void theExampleIsValidAndUsesDefaults() throws Exception {
+        FleetConfig read = FleetConfigReader.read(SHIPPED, "n1", 7);
         assertThat(read.name().text()).isEqualTo("n1");
-        assertThat(read.terms().counted()).isEqualTo(7);
+        assertThat(read.membershipConfig().initialFleetSize()).isEqualTo(7);
         assertThat(read.advertise()).isEqualTo(read.bind());
-        assertThat(read.record()).isNull();
+        assertThat(read.recordFile()).isNull();
     }
 
     @ParameterizedTest
@@ -39,10 +39,10 @@
         "\"period_ms\": 1000 | \"period_ms\": 5 | period_ms: is not a number from 20 to 60000",
         "\"period_ms\": 1000 | \"period_ms\": \"fast\" | period_ms: is not a number", "\"period_ms\" | \"periods\" | periods: is not known",
         "} | '' | fleet.json: is not JSON"})
-    void aFaultNamesItsKey(String sound, String faulty, String message) throws Exception {
+    void anInvalidValueIsReportedByKey(String sound, String faulty, String message) throws Exception {
         String shipped = Files.readString(SHIPPED);
         assertThat(shipped).contains(sound);
-        assertThatThrownBy(() -> read(shipped.replace(sound, faulty))).isInstanceOf(FaultySettingException.class).hasMessageStartingWith(message);
+        assertThatThrownBy(() -> read(shipped.replace(sound, faulty))).isInstanceOf(InvalidConfigException.class).hasMessageStartingWith(message);
     }
 
     @ParameterizedTest
@@ -60,13 +60,13 @@
         if (message.isEmpty()) {
             assertThat(read(text).leases().majority()).isEqualTo(2);
         } else {
-            assertThatThrownBy(() -> read(text)).isInstanceOf(FaultySettingException.class).hasMessageStartingWith(message);
+            assertThatThrownBy(() -> read(text)).isInstanceOf(InvalidConfigException.class).hasMessageStartingWith(message);
         }
     }
 
     @Test
-    void aFileThatIsNotThereIsSaidSo() {
-        assertThatThrownBy(() -> FleetFileReader.read(folder.resolve("none"), "n1", 1)).isInstanceOf(FaultySettingException.class)
+    void aMissingFileIsReported() {
+        assertThatThrownBy(() -> FleetConfigReader.read(folder.resolve("none"), "n1", 1)).isInstanceOf(InvalidConfigException.class)
                 .hasMessageStartingWith("--fleet: cannot be read");
     }
 }
