--- a/src/test/java/dappleseam/router/ColdNodeTest.java
+++ b/src/test/java/dappleseam/router/ColdNodeTest.java
@@ -108,7 +108,7 @@
             return n + 2 * Math.sqrt(n) + 2;
         }
 
-        void run() {
+        void simulate() {
             at(STARTS_AT, () -> {
                 keysAtColdCache.clear();
                 routers.forEach(r -> r.listReplaced(now, list(STARTS_AT), false));
@@ -121,12 +121,12 @@
         }
 
         private final class ProxyHost implements Host {
-            final int proxy;
+            final int proxyIndex;
             final Map<QueryId, Integer> executionCounts = new HashMap<>();
             final Map<QueryId, Boolean> finishedQueries = new HashMap<>();
 
-            ProxyHost(int proxy) {
-                this.proxy = proxy;
+            ProxyHost(int proxyIndex) {
+                this.proxyIndex = proxyIndex;
             }
 
             @Override
@@ -145,7 +145,7 @@
                 at(now + took, () -> {
                     boolean finished = misses ? finishedQueries.getOrDefault(query, false) : true;
                     finishedQueries.put(query, finished);
-                    routers.get(proxy).executionEnded(now, query, number, misses ? Outcome.MISS : Outcome.COMPLETED, took, finished);
+                    routers.get(proxyIndex).executionEnded(now, query, number, misses ? Outcome.MISS : Outcome.COMPLETED, took, finished);
                 });
             }
 
@@ -170,7 +170,7 @@
 
             @Override
             public void startTimer(TimerId timer, double delayMs) {
-                at(now + delayMs, () -> routers.get(proxy).timerFired(now, timer));
+                at(now + delayMs, () -> routers.get(proxyIndex).timerFired(now, timer));
             }
 
             @Override
@@ -198,7 +198,7 @@
         double highest = 0;
         for (int seed = 1; seed <= 20; seed++) {
             SimulatedFleet fleet = new SimulatedFleet(seed, proxies, perSecond, load, skew, multiple, windowMs, coldFrom, toldMultiple);
-            fleet.run();
+            fleet.simulate();
             highest = Math.max(highest, fleet.maxLoad);
         }
         return highest;
