--- a/src/main/java/dappleseam/query/Slots.java
+++ b/src/main/java/dappleseam/query/Slots.java
@@ -16,7 +16,7 @@
     private final List<Integer> numbers = new ArrayList<>();
     private final ArrayDeque<Integer> free = new ArrayDeque<>();
 
-    /** Whether all slots are used, of the table or of the first {@code most}. */
+    /** Whether {@code most} slots, or all slots of the table, are used. */
     public boolean isFull(int most) {
         return used() >= Math.min(most, MAX_SLOTS);
     }
--- a/src/test/java/dappleseam/router/RouterTest.java
+++ b/src/test/java/dappleseam/router/RouterTest.java
@@ -306,7 +306,7 @@
         for (int i = 2000; i < 2100; i++) {
             p.ask(1750, i, i);
         }
-        assertThat(p.calls).filteredOn(done -> done.startsWith("execute")).hasSizeGreaterThan(45);
+        assertThat(p.calls).filteredOn(call -> call.startsWith("execute")).hasSizeGreaterThan(45);
     }
 
     /** Caches that only had a queue were ejected for silence; a second copy elsewhere answers the query instead. */
@@ -375,7 +375,7 @@
             for (int i = 100; i < 110; i++) {
                 p.router.query(9000, new QueryId(i), new QueryRequest(0, new Key(i), 2000, 0, write, false));
             }
-            assertThat(p.calls).filteredOn(done -> done.startsWith("execute")).hasSize(10);
+            assertThat(p.calls).filteredOn(call -> call.startsWith("execute")).hasSize(10);
         }
     }
 
@@ -592,11 +592,11 @@
         TestProxy p = new TestProxy(TestProxy.live(0)).withCaches(5);
         p.ask(1000, 1, 42);
         p.ended(1005, 1, 0, Outcome.COMPLETED, 5);
-        assertThat(p.calls).noneMatch(done -> done.startsWith("close"));
+        assertThat(p.calls).noneMatch(call -> call.startsWith("close"));
         p.ask(1010, 2, 42);
         p.ended(1110, 2, 0, Outcome.CONNECT_FAILED, 100);
         p.ended(1115, 2, 1, Outcome.COMPLETED, 5);
-        assertThat(p.calls).anyMatch(done -> done.startsWith("close"));
+        assertThat(p.calls).anyMatch(call -> call.startsWith("close"));
     }
 
     /** Clients retried up to three times, also past the SLO time, where serving them earned nothing. */
