--- a/src/main/java/dappleseam/drill/BatchProcessor.java
+++ b/src/main/java/dappleseam/drill/BatchProcessor.java
@@ -125,11 +125,11 @@
                 int grade = in.get() & 0xFF;
                 in.getShort();
                 long key = in.getLong();
-                double leftMs = in.getDouble() * MS_PER_S;
-                double workMs = in.getDouble() * MS_PER_S;
+                double remainingMs = in.getDouble() * MS_PER_S;
+                double estimatedWorkMs = in.getDouble() * MS_PER_S;
                 in.getFloat();
                 int flags = in.get();
-                QueryRequest request = new QueryRequest(grade, new Key(key), leftMs, (flags & WORK_ESTIMATE_BIT) != 0 ? workMs : 0,
+                QueryRequest request = new QueryRequest(grade, new Key(key), remainingMs, (flags & WORK_ESTIMATE_BIT) != 0 ? estimatedWorkMs : 0,
                         (flags & WRITE_BIT) != 0, (flags & RETRY_BIT) != 0);
                 return () -> router.query(nowMs, query, request);
             }
--- a/src/main/java/dappleseam/query/Backend.java
+++ b/src/main/java/dappleseam/query/Backend.java
@@ -12,7 +12,7 @@
     boolean cancelUnsent(Execution execution);
 
     /** Sets the policy for connections from now on. */
-    void setPolicy(ConnectionPolicy limits);
+    void setPolicy(ConnectionPolicy policy);
 
     /** Closes idle connections. */
     void closeIdle();
--- a/src/main/java/dappleseam/query/Command.java
+++ b/src/main/java/dappleseam/query/Command.java
@@ -22,11 +22,11 @@
     }
 
     /** The facts with {@code d} replaced by the time in ms that this proxy waits for the answer. */
-    public String factsWithTimeout(long waitMs) {
+    public String factsWithTimeout(long timeoutMs) {
         StringBuilder changed = new StringBuilder();
         for (String pair : facts.split(",")) {
             changed.append(changed.length() == 0 ? "" : ",");
-            changed.append(pair.startsWith("d=") ? "d=" + waitMs : pair);
+            changed.append(pair.startsWith("d=") ? "d=" + timeoutMs : pair);
         }
         return changed.toString();
     }
--- a/src/main/java/dappleseam/query/Execution.java
+++ b/src/main/java/dappleseam/query/Execution.java
@@ -14,7 +14,7 @@
         void written(Execution execution);
 
         /** It has ended; called once. */
-        void ended(Execution execution, ExecutionResult ending);
+        void ended(Execution execution, ExecutionResult result);
     }
 
     public final QueryId query;
@@ -62,13 +62,13 @@
     }
 
     /** Ends the execution, or releases the result if it has ended already. */
-    public void end(ExecutionResult ending) {
+    public void end(ExecutionResult result) {
         if (!ended) {
             ended = true;
-            neverRan = ending.outcome().neverRan;
-            listener.ended(this, ending);
+            neverRan = result.outcome().neverRan;
+            listener.ended(this, result);
         } else {
-            ending.release();
+            result.release();
         }
     }
 }
--- a/src/main/java/dappleseam/router/RouterSettings.java
+++ b/src/main/java/dappleseam/router/RouterSettings.java
@@ -38,7 +38,7 @@
         double handshakePenalty) {
     /** A copy for a proxy whose share of the fleet is 1 / {@code proxyCount}. */
     public RouterSettings withProxyCount(double proxyCount) {
-        return new RouterSettings(grades, proxyCount, originModel, staticWeights, dynamicWeights, zone, crossZonePenalty, tickMs, mostExecutions, parallelExecutions, mayCancel,
-                maxRetryAfterMs, askEveryMs, coldFrom, warmAfterMs, fallMultiple, connectionPenalty, handshakePenalty);
+        return new RouterSettings(grades, proxyCount, originModel, staticWeights, dynamicWeights, zone, crossZonePenalty, tickMs,
+                mostExecutions, parallelExecutions, mayCancel, maxRetryAfterMs, askEveryMs, coldFrom, warmAfterMs, fallMultiple, connectionPenalty, handshakePenalty);
     }
 }
--- a/src/main/java/dappleseam/site/ConfigReader.java
+++ b/src/main/java/dappleseam/site/ConfigReader.java
@@ -59,7 +59,8 @@
         int descriptors = limit(root, "sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS);
         int memoryMb = limit(root, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB);
         return new ProxyConfig(root.path("name").asText("proxy"), address(root, "listen"), control(root),
-                address(root, "discovery"), seed(root), descriptors, memoryMb, root.path("known"), settings(require(root, "", "settings"), "settings."));
+                address(root, "discovery"), seed(root), descriptors, memoryMb, root.path("known"),
+                settings(require(root, "", "settings"), "settings."));
     }
 
     private static int limit(JsonNode root, String name, int defaultValue, int min) {
--- a/src/main/java/dappleseam/site/FleetConfigReader.java
+++ b/src/main/java/dappleseam/site/FleetConfigReader.java
@@ -56,7 +56,8 @@
         InetSocketAddress bind = address("bind", text(root, "bind", null));
         InetSocketAddress advertise = root.has("advertise") ? address("advertise", text(root, "advertise", null)) : bind;
         if (advertise.getAddress().isAnyLocalAddress()) {
-            throw new InvalidConfigException(root.has("advertise") ? "advertise" : "bind", "is not an address that other members can reach; set advertise");
+            throw new InvalidConfigException(root.has("advertise") ? "advertise" : "bind",
+                    "is not an address that other members can reach; set advertise");
         }
         List<InetSocketAddress> seeds = new ArrayList<>();
         JsonNode listed = root.path("seeds");
@@ -69,12 +70,15 @@
         if (seeds.size() > MAX_SEEDS) {
             throw new InvalidConfigException("seeds", "has more entries than the limit of " + MAX_SEEDS);
         }
-        MembershipConfig membershipConfig = new MembershipConfig(number(root, "period_ms", MembershipConfig.DEFAULT_PERIOD_MS, 20, 60_000), (int) number(root, "counted", initialFleetSize, 1, 20_000),
-                (int) number(root, "most", MembershipConfig.DEFAULT_MAX_MEMBERS, 2, 20_000), MS_PER_S * number(root, "forget_s", MembershipConfig.DEFAULT_FORGET_AFTER_MS / MS_PER_S, 10, 86_400),
+        MembershipConfig membershipConfig = new MembershipConfig(number(root, "period_ms", MembershipConfig.DEFAULT_PERIOD_MS, 20, 60_000),
+                (int) number(root, "counted", initialFleetSize, 1, 20_000),
+                (int) number(root, "most", MembershipConfig.DEFAULT_MAX_MEMBERS, 2, 20_000),
+                MS_PER_S * number(root, "forget_s", MembershipConfig.DEFAULT_FORGET_AFTER_MS / MS_PER_S, 10, 86_400),
                 true, MembershipConfig.DEFAULT_INDIRECT_PROBES);
         return new FleetConfig(name(root, "fleet", null).text(), name(root, "name", name), bind, advertise, List.copyOf(seeds), membershipConfig,
                 path(root, "record"), leases(root.path("leases")), path(root.path("leases"), "voter_file"),
-                listStore(root.path("leases")), new FleetFeatures(flag(root, "signals"), flag(root, "shares"), flag(root, "turns"), flag(root, "subsets")));
+                listStore(root.path("leases")),
+                new FleetFeatures(flag(root, "signals"), flag(root, "shares"), flag(root, "turns"), flag(root, "subsets")));
     }
 
     private static LeaseConfig leases(JsonNode leases) {
@@ -104,7 +108,8 @@
             throw new InvalidConfigException("leases.voters", "names a member twice");
         }
         return new LeaseConfig(voters, (int) number(leases, "leases.", "number", 1, 0, 1_000_000),
-                number(leases, "leases.", "lease_ms", LeaseConfig.DEFAULT_LEASE_MS, 500, 600_000), number(leases, "leases.", "drift", LeaseConfig.DEFAULT_DRIFT, 0, 0.1));
+                number(leases, "leases.", "lease_ms", LeaseConfig.DEFAULT_LEASE_MS, 500, 600_000),
+                number(leases, "leases.", "drift", LeaseConfig.DEFAULT_DRIFT, 0, 0.1));
     }
 
     private static String listStore(JsonNode leases) {
--- a/src/test/java/dappleseam/router/ColdNodeTest.java
+++ b/src/test/java/dappleseam/router/ColdNodeTest.java
@@ -51,7 +51,7 @@
         final double coldFrom;
 
         SimulatedFleet(long seed, int proxies, double perSecond, double load, double skew, double multiple, double windowMs, double coldFrom,
-              double toldMultiple) {
+              double configuredMultiple) {
             this.multiple = multiple;
             this.windowMs = windowMs;
             this.coldFrom = coldFrom;
@@ -63,11 +63,11 @@
                 sum += 1 / Math.pow(i + 4, skew);
                 cumulativeWeights[i] = sum;
             }
-            RouterSettings site = new RouterSettings(List.of(TestProxy.READ), proxies, TestProxy.ORIGIN_MODEL, true, false, 0, 0, 1, 4, true, true, 1000,
-                    10_000, coldFrom, WARM_AFTER_MS, toldMultiple, 0.08, 0.08);
+            RouterSettings settings = new RouterSettings(List.of(TestProxy.READ), proxies, TestProxy.ORIGIN_MODEL, true, false, 0, 0, 1, 4, true, true, 1000,
+                    10_000, coldFrom, WARM_AFTER_MS, configuredMultiple, 0.08, 0.08);
             for (int i = 0; i < proxies; i++) {
-                int own = i;
-                routers.add(new Router(site, random.split(), new ProxyHost(own), 0));
+                int index = i;
+                routers.add(new Router(settings, random.split(), new ProxyHost(index), 0));
                 routers.get(i).listReplaced(0, list(0), false);
             }
             // Uneven traffic: some proxies get several times the mean.
@@ -86,8 +86,8 @@
             return members;
         }
 
-        void at(double when, Runnable what) {
-            events.add(new Event(when, count++, what));
+        void at(double when, Runnable action) {
+            events.add(new Event(when, count++, action));
         }
 
         void scheduleArrival(int proxy, double rate) {
@@ -194,10 +194,10 @@
     }
 
     private static double highestLoad(int proxies, double perSecond, double load, double skew, double multiple, double windowMs, double coldFrom,
-                                double toldMultiple) {
+                                double configuredMultiple) {
         double highest = 0;
         for (int seed = 1; seed <= 20; seed++) {
-            SimulatedFleet fleet = new SimulatedFleet(seed, proxies, perSecond, load, skew, multiple, windowMs, coldFrom, toldMultiple);
+            SimulatedFleet fleet = new SimulatedFleet(seed, proxies, perSecond, load, skew, multiple, windowMs, coldFrom, configuredMultiple);
             fleet.simulate();
             highest = Math.max(highest, fleet.maxLoad);
         }
--- a/src/test/java/dappleseam/router/RouterTest.java
+++ b/src/test/java/dappleseam/router/RouterTest.java
@@ -567,13 +567,13 @@
     /** Half of the queries crossed zones at a penalty of twelve points each. */
     @Test
     void theLocalZoneIsPreferredOnlyWhereCrossingIsExpensive() {
-        for (double price : new double[] {0.12, 0.01}) {
-            TestProxy p = new TestProxy(TestProxy.live(price)).withCaches(8);
+        for (double penalty : new double[] {0.12, 0.01}) {
+            TestProxy p = new TestProxy(TestProxy.live(penalty)).withCaches(8);
             for (int key = 0; key < 100; key++) {
                 p.ask(1000, key, key);
                 p.ended(1000, key, 0, Outcome.COMPLETED, 0);
             }
-            assertThat(p.sentTo).filteredOn(node -> node.value() % 2 == 1).hasSizeBetween(price > 0.1 ? 100 : 20, price > 0.1 ? 100 : 80);
+            assertThat(p.sentTo).filteredOn(node -> node.value() % 2 == 1).hasSizeBetween(penalty > 0.1 ? 100 : 20, penalty > 0.1 ? 100 : 80);
         }
     }
 
--- a/src/test/java/dappleseam/router/TestProxy.java
+++ b/src/test/java/dappleseam/router/TestProxy.java
@@ -20,8 +20,8 @@
         router = new Router(settings, RandomGeneratorFactory.of("L64X128MixRandom").create(7), this, 1000);
     }
 
-    static ServiceGrade grade(ServiceGrade.Semantics repeat, ServiceGrade.DedupScope group) {
-        return new ServiceGrade(repeat, group, 2000, 600, 2000, 1, 0, false);
+    static ServiceGrade grade(ServiceGrade.Semantics semantics, ServiceGrade.DedupScope dedupScope) {
+        return new ServiceGrade(semantics, dedupScope, 2000, 600, 2000, 1, 0, false);
     }
 
     /** Two proxies, three executions per query, read-through caches, a pushed list. */
