--- a/src/test/java/dappleseam/router/RouterTest.java
+++ b/src/test/java/dappleseam/router/RouterTest.java
@@ -675,7 +675,7 @@
 
     /** The ring must be updated if two caches exchange their weights, though the total stays the same. */
     @Test
-    void cachesThatExchangeTheirScalesExchangeTheirKeys() {
+    void cachesThatExchangeTheirWeightsExchangeTheirKeys() {
         TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ));
         int[] ofSecond = new int[2];
         for (int turn = 0; turn < 2; turn++) {
