--- a/src/main/java/dappleseam/drill/Exchange.java
+++ b/src/main/java/dappleseam/drill/BatchProcessor.java
@@ -20,43 +20,43 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 
-/** Hands each event of a batch to the router of its instance, and gathers what they do into the reply. */
-final class Exchange {
+/** Passes each event of a batch to the router of its instance, and collects the routers' actions into the reply. */
+final class BatchProcessor {
     private static final double MS_PER_S = 1000;
     private static final int RECORD_HEADER = 5;
-    private static final int HINT_BIT = 1;
-    private static final int AGAIN_BIT = 2;
+    private static final int WORK_ESTIMATE_BIT = 1;
+    private static final int RETRY_BIT = 2;
     private static final int WRITE_BIT = 4;
-    private static final Outcome[] ENDINGS = {
+    private static final Outcome[] FAILURES = {
         Outcome.ERRED, Outcome.FULL, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED, Outcome.RESET,
         Outcome.CANCELLED, Outcome.UNSENT
     };
 
-    private final ConfigReader sites = new ConfigReader();
+    private final ConfigReader configReader = new ConfigReader();
     private final Map<Integer, Router> routers = new HashMap<>();
-    private final Reply reply = new Reply();
+    private final ReplyFrame reply = new ReplyFrame();
 
-    /** The reply to a batch of {@code records} events; {@code batch} holds what follows the length field. */
-    ByteBuffer answer(int records, ByteBuffer batch) {
+    /** Processes a batch of {@code records} events and returns the reply; {@code batch} holds what follows the length field. */
+    ByteBuffer process(int records, ByteBuffer batch) {
         reply.begin();
         int end = batch.limit();
         double nowMs = batch.getDouble() * MS_PER_S;
         for (int i = 0; i < records; i++) {
             if (end - batch.position() < RECORD_HEADER) {
-                throw new MalformedFrameException("ends before event " + i + " of " + records);
+                throw new MalformedFrameException("frame ends before event " + i + " of " + records);
             }
             int at = batch.position();
             int code = batch.get() & 0xFF;
             int size = batch.getInt();
             if (size < 0 || size > end - batch.position()) {
-                throw new MalformedFrameException("event " + i + " at byte " + at + " claims "
-                        + Integer.toUnsignedString(size) + " bytes, "
-                        + (end - batch.position()) + " are left");
+                throw new MalformedFrameException("event " + i + " at byte " + at + " has a size of "
+                        + Integer.toUnsignedString(size) + " bytes with only "
+                        + (end - batch.position()) + " left");
             }
             int next = batch.position() + size;
             batch.limit(next);
             try {
-                event(code, nowMs, batch);
+                handleEvent(code, nowMs, batch);
             } catch (BufferUnderflowException e) {
                 throw new MalformedFrameException("event " + i + " at byte " + at + ", code " + code
                         + ": its fields do not fit into " + size + " bytes");
@@ -69,13 +69,13 @@
         return reply.finish();
     }
 
-    private void event(int code, double nowMs, ByteBuffer in) {
+    private void handleEvent(int code, double nowMs, ByteBuffer in) {
         if (code < 1 || code > 10) {
             return;
         }
         int instance = in.getShort() & 0xFFFF;
         if (code == 1) {
-            enlist(instance, nowMs, in);
+            createRouter(instance, nowMs, in);
             return;
         }
         if (code == 10) {
@@ -86,25 +86,25 @@
         if (router == null) {
             return;
         }
-        guarded(instance, decoded(code, router, nowMs, in));
+        runGuarded(instance, decode(code, router, nowMs, in));
     }
 
-    private void enlist(int instance, double nowMs, ByteBuffer in) {
+    private void createRouter(int instance, double nowMs, ByteBuffer in) {
         long seed = in.getLong();
         byte[] settings = bytes(in, in.getInt());
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        RouterSettings deployment;
+        RouterSettings routerSettings;
         try {
-            deployment = sites.readSettings(settings).routerSettings();
+            routerSettings = configReader.readSettings(settings).routerSettings();
         } catch (InvalidConfigException e) {
             throw new MalformedFrameException(e.getMessage());
         }
-        guarded(instance, () ->
-                routers.put(instance, new Router(deployment, random, reply.forInstance(instance), nowMs)));
+        runGuarded(instance, () ->
+                routers.put(instance, new Router(routerSettings, random, reply.forInstance(instance), nowMs)));
     }
 
-    /** Reads the event's fields whole, so that a malformed one is told from a fault in the decisions. */
-    private Runnable decoded(int code, Router router, double nowMs, ByteBuffer in) {
+    /** Reads all fields of the event before acting on it, which separates malformed input from failures of the router. */
+    private Runnable decode(int code, Router router, double nowMs, ByteBuffer in) {
         switch (code) {
             case 2: {
                 int mode = in.get();
@@ -125,13 +125,13 @@
                 int grade = in.get() & 0xFF;
                 in.getShort();
                 long key = in.getLong();
-                double leftMs = in.getDouble() * MS_PER_S;
-                double workMs = in.getDouble() * MS_PER_S;
+                double remainingMs = in.getDouble() * MS_PER_S;
+                double estimatedWorkMs = in.getDouble() * MS_PER_S;
                 in.getFloat();
                 int flags = in.get();
-                QueryRequest asking = new QueryRequest(grade, new Key(key), leftMs, (flags & HINT_BIT) != 0 ? workMs : 0,
-                        (flags & WRITE_BIT) != 0, (flags & AGAIN_BIT) != 0);
-                return () -> router.query(nowMs, query, asking);
+                QueryRequest request = new QueryRequest(grade, new Key(key), remainingMs, (flags & WORK_ESTIMATE_BIT) != 0 ? estimatedWorkMs : 0,
+                        (flags & WRITE_BIT) != 0, (flags & RETRY_BIT) != 0);
+                return () -> router.query(nowMs, query, request);
             }
             case 4: {
                 QueryId query = query(in);
@@ -162,17 +162,17 @@
                 in.getShort();
                 in.getDouble();
                 skipReport(in);
-                return () -> { }; // no probe is ever sent
+                return () -> { }; // result of a probe; the router sends none
             }
             default: {
                 in.getShort();
                 bytes(in, in.getShort() & 0xFFFF);
-                return () -> { }; // proxies tell each other nothing yet
+                return () -> { }; // message of another proxy; the router sends none
             }
         }
     }
 
-    private void guarded(int instance, Runnable call) {
+    private void runGuarded(int instance, Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
@@ -200,8 +200,8 @@
         if (code <= 1) {
             return code == 0 ? Outcome.COMPLETED : Outcome.MISS;
         }
-        // An outcome this build has not heard of may have run, as an error may have.
-        return code > 255 || code < 249 ? Outcome.ERRED : ENDINGS[255 - code];
+        // With an unknown outcome the execution may have run, as with an error.
+        return code > 255 || code < 249 ? Outcome.ERRED : FAILURES[255 - code];
     }
 
     private static QueryId query(ByteBuffer in) {
@@ -222,7 +222,7 @@
     private static byte[] bytes(ByteBuffer in, int count) {
         if (count < 0 || count > in.remaining()) {
             throw new MalformedFrameException("a field of " + Integer.toUnsignedString(count)
-                    + " bytes where " + in.remaining() + " are left");
+                    + " bytes with only " + in.remaining() + " left");
         }
         byte[] bytes = new byte[count];
         in.get(bytes);
--- a/src/main/java/dappleseam/drill/Reply.java
+++ b/src/main/java/dappleseam/drill/ReplyFrame.java
@@ -9,20 +9,22 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The reply frame being written; {@link #forInstance} gives one instance its host. */
-final class Reply {
+/** Builds the reply frame from the actions of the routers; {@link #forInstance} returns the host of one instance. */
+final class ReplyFrame {
     private static final int HEADER = 8;
-    private static final int LONGEST_TEXT = 0xFFFF;
+    private static final int MAX_TEXT_BYTES = 0xFFFF;
     private static final double S_PER_MS = 0.001;
 
     private ByteBuffer frame = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
     private int records;
 
+    /** Starts an empty frame. */
     void begin() {
         frame.clear().position(HEADER);
         records = 0;
     }
 
+    /** Completes the frame, which is valid until the next one begins. */
     ByteBuffer finish() {
         frame.putInt(0, records).putInt(4, frame.position() - HEADER);
         return frame.flip();
@@ -32,6 +34,7 @@
         return new InstanceHost(instance);
     }
 
+    /** Adds a report of an exception in the router. */
     void fault(int instance, String cause) {
         text(4, instance, cause);
     }
@@ -49,7 +52,7 @@
 
     private void text(int code, int instance, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        int length = Math.min(bytes.length, LONGEST_TEXT);
+        int length = Math.min(bytes.length, MAX_TEXT_BYTES);
         start(code, instance, 2 + length).putShort((short) length).put(bytes, 0, length);
     }
 
--- a/src/main/java/dappleseam/drill/Drill.java
+++ b/src/main/java/dappleseam/drill/SimulatorCommand.java
@@ -11,20 +11,21 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** Runs routers on the simulator's wire: batches on standard input, each answered on standard output. */
+/** Runs routers for the simulator: reads batches of events from standard input and writes a reply to each to standard output. */
 @Command(name = "drill", mixinStandardHelpOptions = true,
-        description = "Decide for the instances that the simulator plays, on standard input and output.")
-public final class Drill implements Callable<Integer> {
-    /** Most of a frame that is believed, in bytes; a longer one is garbage rather than a batch. */
-    private static final int LONGEST_FRAME = 1 << 30;
+        description = "Make the routing decisions for the proxies of a simulation, with events on standard input and replies on standard output.")
+public final class SimulatorCommand implements Callable<Integer> {
+    /** Longest valid frame in bytes; a longer one is malformed input. */
+    private static final int MAX_FRAME_BYTES = 1 << 30;
 
     @Override
     public Integer call() throws IOException {
         return serve(new BufferedInputStream(System.in, 1 << 16), new FileOutputStream(FileDescriptor.out));
     }
 
+    /** Answers batches until the end of the input; returns the exit status. */
     static int serve(InputStream in, OutputStream out) throws IOException {
-        Exchange exchange = new Exchange();
+        BatchProcessor processor = new BatchProcessor();
         byte[] header = new byte[8];
         byte[] body = new byte[1 << 16];
         for (long frame = 0; ; frame++) {
@@ -39,8 +40,8 @@
                 if (got < header.length) {
                     throw new MalformedFrameException("input ends inside the header");
                 }
-                if (length < 8 || length > LONGEST_FRAME) {
-                    throw new MalformedFrameException("length is " + Integer.toUnsignedString(length));
+                if (length < 8 || length > MAX_FRAME_BYTES) {
+                    throw new MalformedFrameException("invalid length " + Integer.toUnsignedString(length));
                 }
                 if (length > body.length) {
                     body = new byte[Math.max(length, 2 * body.length)];
@@ -51,7 +52,7 @@
                             "input ends after " + read + " of " + length + " bytes");
                 }
                 ByteBuffer batch = ByteBuffer.wrap(body, 0, length).order(ByteOrder.LITTLE_ENDIAN);
-                ByteBuffer reply = exchange.answer(records, batch);
+                ByteBuffer reply = processor.process(records, batch);
                 out.write(reply.array(), 0, reply.limit());
                 out.flush();
             } catch (MalformedFrameException e) {
--- a/src/main/java/dappleseam/query/Execution.java
+++ b/src/main/java/dappleseam/query/Execution.java
@@ -3,17 +3,18 @@
 import dappleseam.router.Outcome;
 import dappleseam.router.QueryId;
 
-/** One execution on its way; it ends once, and what comes for it later is dropped. */
+/** One execution in flight. It ends once; a later result is released. */
 public final class Execution {
-    /** Who is told of it. */
+    /** Receives the events of an execution. */
     public interface Listener {
-        /** Whether it may still begin, asked where something has come between its decision and its sending. */
+        /** Whether it may still begin; asked if it could not be sent right after the decision. */
         boolean mayBegin(Execution execution);
 
-        /** Its last byte has gone to the node. */
+        /** Its last byte has been written to the node. */
         void written(Execution execution);
 
-        void ended(Execution execution, ExecutionResult ending);
+        /** It has ended; called once. */
+        void ended(Execution execution, ExecutionResult result);
     }
 
     public final QueryId query;
@@ -21,31 +22,31 @@
     public final Command command;
     public final double sentAt;
     public final double deadlineMs;
-    private final Listener owner;
+    private final Listener listener;
     private boolean ended;
     private boolean neverRan;
     private boolean written;
 
-    public Execution(QueryId query, int number, Command command, double sentAt, double waitUntil, Listener owner) {
+    public Execution(QueryId query, int number, Command command, double sentAt, double deadlineMs, Listener listener) {
         this.query = query;
         this.number = number;
         this.command = command;
         this.sentAt = sentAt;
-        this.deadlineMs = waitUntil;
-        this.owner = owner;
+        this.deadlineMs = deadlineMs;
+        this.listener = listener;
     }
 
-    /** Its last byte has gone to the node. */
+    /** Reports that its last byte has been written to the node. */
     public void written() {
         if (!written) {
             written = true;
-            owner.written(this);
+            listener.written(this);
         }
     }
 
-    /** Whether it may still begin; it ends as never sent where it may not. */
+    /** Whether it may still begin; if not, it ends as unsent. */
     public boolean mayBegin() {
-        if (!ended && !owner.mayBegin(this)) {
+        if (!ended && !listener.mayBegin(this)) {
             end(ExecutionResult.of(Outcome.UNSENT));
         }
         return !ended;
@@ -55,18 +56,19 @@
         return ended;
     }
 
-    /** Whether it is not known to have had no effect. */
+    /** Whether it may have had an effect. */
     public boolean mayHaveRun() {
         return !neverRan;
     }
 
-    public void end(ExecutionResult ending) {
+    /** Ends the execution, or releases the result if it has ended already. */
+    public void end(ExecutionResult result) {
         if (!ended) {
             ended = true;
-            neverRan = ending.outcome().neverRan;
-            owner.ended(this, ending);
+            neverRan = result.outcome().neverRan;
+            listener.ended(this, result);
         } else {
-            ending.release();
+            result.release();
         }
     }
 }
--- a/src/main/java/dappleseam/query/ExecutionResult.java
+++ b/src/main/java/dappleseam/query/ExecutionResult.java
@@ -3,18 +3,19 @@
 import dappleseam.router.Outcome;
 import dappleseam.wire.BufferChain;
 
-/** How an execution ended: a value, or a long one on its way, where it completed, and a cause where it failed. */
+/** Result of an execution: a value, or a large value still arriving, if it completed, and a cause if it failed. */
 public record ExecutionResult(Outcome outcome, BufferChain value, Transfer transfer, String cause) {
+    /** Completed with a whole value. */
     public static ExecutionResult completed(BufferChain value) {
         return new ExecutionResult(Outcome.COMPLETED, value, null, "");
     }
 
-    /** The first bytes of a long value are there. */
-    public static ExecutionResult begun(Transfer transfer) {
+    /** Completed with a large value whose first bytes have arrived. */
+    public static ExecutionResult streaming(Transfer transfer) {
         return new ExecutionResult(Outcome.COMPLETED, null, transfer, "");
     }
 
-    /** Nobody wants what it brought. */
+    /** Releases the value, which is not needed. */
     public void release() {
         if (value != null) {
             value.release();
@@ -24,15 +25,18 @@
         }
     }
 
+    /** An outcome without a value or cause. */
     public static ExecutionResult of(Outcome outcome) {
         return new ExecutionResult(outcome, null, null, "");
     }
 
+    /** The node answered with an error, or with something that is not a valid answer. */
     public static ExecutionResult erred(String cause) {
         return new ExecutionResult(Outcome.ERRED, null, null, cause);
     }
 
-    public static ExecutionResult connectionFailed(WriteProgress reached, String cause) {
-        return new ExecutionResult(reached.whenBroken, null, null, cause);
+    /** The connection failed; the outcome depends on how far the request had been written. */
+    public static ExecutionResult connectionFailed(WriteProgress progress, String cause) {
+        return new ExecutionResult(progress.failureOutcome, null, null, cause);
     }
 }
--- a/src/main/java/dappleseam/query/LargeValueReceiver.java
+++ b/src/main/java/dappleseam/query/LargeValueReceiver.java
@@ -5,16 +5,16 @@
 import dappleseam.wire.IoLoop;
 import java.nio.ByteBuffer;
 
-/** The long values that come on one connection to a node, each handed to whoever waits for it, or passed over. */
+/** Receives the large values that arrive on one connection to a node; passes each to its execution, or discards it. */
 public final class LargeValueReceiver implements LargeValueHandler, Transfer.Source {
-    /** The connection they come on. */
+    /** The connection on which the values arrive. */
     public interface Connection extends Link.Listener {
-        /** The execution whose answer begins with a long value; null where none is owed. */
+        /** The execution whose answer starts with a large value; null if no answer is expected. */
         Execution answeringExecution();
 
         Link link();
 
-        /** Nobody wants the rest of the value that comes. */
+        /** The rest of the value being received is not needed any more. */
         void abandoned();
     }
 
@@ -22,7 +22,7 @@
     private final Connection connection;
     private Transfer transfer;
     private boolean paused;
-    private long came;
+    private long receivedBytes;
 
     public LargeValueReceiver(IoLoop loop, Connection connection) {
         this.loop = loop;
@@ -39,26 +39,26 @@
         if (execution != null && !execution.hasEnded()) {
             transfer = new Transfer(length, loop.pool(), this);
             watch(transfer);
-            execution.end(ExecutionResult.begun(transfer));
+            execution.end(ExecutionResult.streaming(transfer));
         }
     }
 
     @Override
     public void valueBytes(ByteBuffer in, int count) {
-        came += count;
+        receivedBytes += count;
         if (transfer != null) {
             transfer.put(in, count);
         } else {
-            in.position(in.position() + count); // nobody waits for it any more
+            in.position(in.position() + count); // discarded
         }
     }
 
-    /** Guards a client against a node that stops in the middle of a value. */
+    /** Closes the connection if the node stalls in the middle of a value, so that the client does not wait forever. */
     private void watch(Transfer watched) {
-        long before = came;
-        loop.scheduleAt(loop.nowMs() + Transfer.STALLED_MS, () -> {
-            if (transfer == watched && came == before && !paused) {
-                connection.disconnected("a value stopped half-way");
+        long before = receivedBytes;
+        loop.scheduleAt(loop.nowMs() + Transfer.STALL_TIMEOUT_MS, () -> {
+            if (transfer == watched && receivedBytes == before && !paused) {
+                connection.disconnected("stalled in the middle of a value");
             } else if (transfer == watched) {
                 watch(watched);
             }
@@ -83,21 +83,21 @@
         connection.abandoned();
     }
 
-    /** The answer has ended as it should. */
+    /** The answer has ended correctly. */
     public void complete() {
-        Transfer passed = transfer;
+        Transfer completed = transfer;
         transfer = null;
-        if (passed != null) {
-            passed.whole();
+        if (completed != null) {
+            completed.complete();
         }
     }
 
-    /** The connection is of no further use. */
+    /** The connection cannot be used any more. */
     public void fail() {
-        Transfer cut = transfer;
+        Transfer failed = transfer;
         transfer = null;
-        if (cut != null) {
-            cut.broken();
+        if (failed != null) {
+            failed.fail();
         }
     }
 }
--- a/src/main/java/dappleseam/query/Transfer.java
+++ b/src/main/java/dappleseam/query/Transfer.java
@@ -5,48 +5,49 @@
 import java.nio.ByteBuffer;
 
 /**
- * A long value on its way from a node to a client, with a bounded part of it held here. Either side may be slow or end. Once it
- * has begun there is no other execution, and what is not whole is never made to look so.
+ * A large value being transferred from a node to a client, of which a bounded part is buffered here. Either side may be slow or
+ * disconnect. Once the transfer has started there is no other execution, and an incomplete value is never presented as complete.
  */
 public final class Transfer {
-    /** Bytes held here from which the node is not read, and few enough to read it again. */
-    private static final int MOST = 64 << 10;
-    private static final int FEW = 8 << 10;
-    /** The same from which it is not read while buffers are scarce. */
-    private static final int MOST_SCARCE = 16 << 10;
-    /** Time in ms without a byte after which a long value will not go on: peers may take seconds. */
-    public static final double STALLED_MS = 10_000;
-
-    /** The node's side. */
+    /** Buffered bytes from which reading from the node pauses, and down to which it resumes. */
+    private static final int PAUSE_BYTES = 64 << 10;
+    private static final int RESUME_BYTES = 8 << 10;
+    /** Buffered bytes from which reading pauses while buffers are scarce. */
+    private static final int PAUSE_BYTES_SCARCE = 16 << 10;
+    /** Time in ms without a byte after which a large value counts as stalled; peers may take seconds. */
+    public static final double STALL_TIMEOUT_MS = 10_000;
+
+    /** The side of the node. */
     public interface Source {
-        /** Read no more of the node until {@link #resume}. */
+        /** Stops reading from the node until {@link #resume}. */
         void pause();
 
         void resume();
 
-        /** Nobody wants the rest. */
+        /** The rest of the value is not needed. */
         void abandoned();
     }
 
-    /** The client's side. */
-    public interface Taker {
-        /** There is more to take, or the value has ended. */
-        void more();
+    /** The side of the client. */
+    public interface Sink {
+        /** More bytes are available, or the value has ended. */
+        void dataAvailable();
     }
 
-    private enum State { UNDER_WAY, WHOLE, BROKEN }
+    private enum State { IN_PROGRESS, COMPLETE, FAILED }
 
     public final long length;
     private final Source source;
     private final BufferPool pool;
     private final BufferChain held;
-    private Taker taker = () -> { };
-    private Runnable whenOver = () -> { };
-    private State state = State.UNDER_WAY;
+    private Sink sink = () -> { };
+    private Runnable finishedCallback = () -> { };
+    private State state = State.IN_PROGRESS;
     private boolean paused;
-    private boolean over;
-    private boolean wanted = true;
+    private boolean isFinished;
+    private boolean isWanted = true;
 
+    /** {@code length} is the length of the whole value. */
     public Transfer(long length, BufferPool pool, Source source) {
         this.length = length;
         this.source = source;
@@ -54,87 +55,88 @@
         held = new BufferChain(pool);
     }
 
-    /** {@code whenOver} is told once: the client has all of it, or never will. */
-    public void connect(Taker client, Runnable whenTold) {
-        taker = client;
-        whenOver = whenTold;
+    /** Connects the client; {@code onFinished} runs once, when the client has the whole value or never will. */
+    public void connect(Sink newSink, Runnable onFinished) {
+        sink = newSink;
+        finishedCallback = onFinished;
     }
 
     // the node's side
 
+    /** Takes the next {@code count} bytes of {@code in}. */
     public void put(ByteBuffer in, int count) {
-        if (!wanted) {
+        if (!isWanted) {
             in.position(in.position() + count);
             return;
         }
         held.put(in, count);
-        if (!paused && held.size() >= (pool.isScarce() ? MOST_SCARCE : MOST)) {
+        if (!paused && held.size() >= (pool.isScarce() ? PAUSE_BYTES_SCARCE : PAUSE_BYTES)) {
             paused = true;
             source.pause();
         }
-        taker.more();
+        sink.dataAvailable();
     }
 
-    /** The node's answer has ended as it should. */
-    public void whole() {
-        end(State.WHOLE);
+    /** The node's answer has ended correctly. */
+    public void complete() {
+        end(State.COMPLETE);
     }
 
-    /** It has not: the node's connection broke, or what followed makes the value doubtful. */
-    public void broken() {
-        end(State.BROKEN);
+    /** The connection to the node broke, or what followed the value makes it doubtful. */
+    public void fail() {
+        end(State.FAILED);
     }
 
-    private void end(State how) {
-        if (state == State.UNDER_WAY) {
-            state = how;
-            if (wanted) {
-                taker.more();
+    private void end(State finalState) {
+        if (state == State.IN_PROGRESS) {
+            state = finalState;
+            if (isWanted) {
+                sink.dataAvailable();
             }
         }
     }
 
     // the client's side
 
-    /** Moves what is held, up to so many bytes. */
+    /** Moves up to {@code most} buffered bytes to {@code out}. */
     public void moveTo(BufferChain out, long most) {
         out.moveUpTo(held, most);
-        if (paused && held.size() <= FEW && state == State.UNDER_WAY) {
+        if (paused && held.size() <= RESUME_BYTES && state == State.IN_PROGRESS) {
             paused = false;
             source.resume();
         }
     }
 
-    /** All of it was taken, and the node's answer ended as it should. */
+    /** All bytes were moved out, and the node's answer ended correctly. */
     public boolean isDone() {
-        return state == State.WHOLE && held.size() == 0;
+        return state == State.COMPLETE && held.size() == 0;
     }
 
     public boolean isFailed() {
-        return state == State.BROKEN;
+        return state == State.FAILED;
     }
 
-    /** The client has all of it. */
+    /** The client has received the whole value. */
     public void delivered() {
-        tellOver();
+        notifyFinished();
     }
 
-    /** The client has gone, or cannot be given the rest. */
+    /** The client has disconnected, or cannot get the rest. */
     public void abandon() {
-        if (wanted) {
-            wanted = false;
+        if (isWanted) {
+            isWanted = false;
             held.release();
-            if (state == State.UNDER_WAY) {
+            if (state == State.IN_PROGRESS) {
                 source.abandoned();
             }
-            tellOver();
+            notifyFinished();
         }
     }
 
-    private void tellOver() {
-        if (!over) {
-            over = true;
-            whenOver.run();
+    private void notifyFinished() {
+        if (!isFinished) {
+            isFinished = true;
+            finishedCallback.run();
         }
     }
 }
--- a/src/main/java/dappleseam/router/Query.java
+++ b/src/main/java/dappleseam/router/Query.java
@@ -3,47 +3,49 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A query that the router has taken, until it is answered and its last execution has ended. */
+/** A query accepted by the router, kept until it is answered and its last execution has ended. */
 final class Query {
     final QueryId id;
-    /** What the deployment allowed when the query was taken. */
-    final RouterSettings site;
+    /** The settings in force when the query was accepted. */
+    final RouterSettings settings;
     final ServiceGrade grade;
-    final QueryRequest asking;
-    final List<Execution> execs = new ArrayList<>(3);
+    final QueryRequest request;
+    final List<Execution> executions = new ArrayList<>(3);
     long hash;
-    RecentKeys.Asked asked;
-    /** Its key's share of this proxy's latest queries, without itself. */
+    RecentKeys.KeyStats keyStats;
+    /** Its key's share of this proxy's recent queries, not counting this one. */
     double keyShare;
-    /** Its key is looked for in the own location first. */
-    boolean nearFirst;
-    /** Scale of the successors passed over for a hot key. */
-    double passOver;
-    double quitAt;
+    /** The caches of the proxy's own zone are tried first. */
+    boolean localFirst;
+    /** Weight of the caches skipped on the walk, to spread a hot key. */
+    double weightToSkip;
+    /** When the client stops waiting. */
+    double deadline;
+    /** When an answer stops being worth anything. */
     double usefulUntil;
-    /** Guards all limits against clients that wait for less than a slow answer takes: their time-outs tell nothing. */
-    boolean impatient;
-    int out;
+    /** The client waits for less time than a slow answer takes, so its timeout must not reduce any limit. */
+    boolean hasShortDeadline;
+    int inFlight;
     boolean answered;
     boolean streaming;
-    /** The last walk of the ring met a cache whose limit was reached. */
-    boolean crowded;
+    /** The last walk of the ring visited a cache whose limit was reached. */
+    boolean metFullCache;
 
-    Query(QueryId id, RouterSettings site, ServiceGrade grade, QueryRequest asking) {
+    Query(QueryId id, RouterSettings settings, ServiceGrade grade, QueryRequest request) {
         this.id = id;
-        this.site = site;
+        this.settings = settings;
         this.grade = grade;
-        this.asking = asking;
+        this.request = request;
     }
 
-    int execsLeft() {
-        return site.mostExecutions() - execs.size();
+    int executionsLeft() {
+        return settings.mostExecutions() - executions.size();
     }
 
-    /** Once more after a reset: that tells of the connection, and the key is likely to be held there alone. */
-    boolean triedAt(Node node) {
+    /** Whether the node is used up for this query. A first reset does not count: it concerns the connection, and only this node may hold the key. */
+    boolean wasTriedAt(Node node) {
         int resets = 0;
-        for (Execution e : execs) {
+        for (Execution e : executions) {
             if (e.node == node && (!e.reset || ++resets > 1)) {
                 return true;
             }
@@ -51,9 +53,9 @@
         return false;
     }
 
-    /** The first execution not known to have had no effect; null where there is none. */
+    /** The first execution that may have had an effect; null if there is none. */
     Execution firstThatMayHaveRun() {
-        for (Execution e : execs) {
+        for (Execution e : executions) {
             if (!e.neverRan) {
                 return e;
             }
@@ -61,8 +63,9 @@
         return null;
     }
 
+    /** The node of the first miss; null if there was none. */
     Node firstMissedAt() {
-        for (Execution e : execs) {
+        for (Execution e : executions) {
             if (e.missed) {
                 return e.node;
             }
@@ -70,8 +73,9 @@
         return null;
     }
 
-    boolean atOrigin() {
-        for (Execution e : execs) {
+    /** Whether an execution is in flight at the origin. */
+    boolean isAtOrigin() {
+        for (Execution e : executions) {
             if (e.node.isOrigin && !e.ended) {
                 return true;
             }
@@ -79,17 +83,18 @@
         return false;
     }
 
+    /** One execution of the query at one node. */
     static final class Execution {
         final Node node;
         final double sentAt;
         boolean ended;
         boolean missed;
         boolean neverRan;
-        /** Its connection broke once it was written. */
+        /** The connection broke after the request was written. */
         boolean reset;
-        /** Out for so long that it no longer counts among the fleet's. */
-        boolean pinned;
-        /** The key was not known to be held there. */
+        /** In flight for so long that it no longer counts against the limit for all caches. */
+        boolean isStuck;
+        /** The node was not known to hold the key, so it may have to fetch it. */
         final boolean mayFetch;
 
         Execution(Node node, double sentAt, boolean mayFetch) {
--- a/src/main/java/dappleseam/router/Ring.java
+++ b/src/main/java/dappleseam/router/Ring.java
@@ -5,54 +5,56 @@
 import java.util.Collection;
 
 /**
- * The consistent-hash ring: the tokens of all caches in use, in the order of their positions. It depends on the caches' ids and scales
- * alone, so that proxies with one list agree. What comes is merged into what is there, what goes is taken out in one pass: nothing is sorted anew.
+ * Consistent-hash ring: the tokens of all caches in use, ordered by position. It depends only on the ids and weights of the caches, so
+ * that proxies with the same list agree. New tokens are merged into the existing ones and removed caches are taken out in one pass, so a
+ * change never sorts the whole ring again.
  */
 final class Ring {
-    /** Tokens of the largest cache: the spread of ring shares falls with their root. */
+    /** Tokens of the largest cache. The deviation of the ring shares falls with the square root of this number. */
     private static final int TOKENS = 256;
-    /** Bits of an entry that name the cache; allows 4096 caches and leaves 52 bits of position. */
+    /** Low bits of an entry that hold the slot of the cache: allows 4096 caches and leaves 52 bits of position. */
     private static final int SLOT_BITS = 12;
-    private static final int SLOTS = 1 << SLOT_BITS;
-    /** Arcs that are kept apart, so that an insertion moves one arc's tokens: some hundreds in a fleet of thousands. */
+    private static final int MAX_CACHES = 1 << SLOT_BITS;
+    /** The ring is divided into arcs with arrays of their own, so that an insertion moves the tokens of one arc: some hundreds in a fleet of
+     * thousands. */
     private static final int ARC_BITS = 10;
     private static final int ARCS = 1 << ARC_BITS;
-    /** Slack that keeps a scale of just a power of two in its class. */
-    private static final double ROUNDING = 1e-9;
-    /** Room of an arc when its first token comes. */
-    private static final int FIRST_ROOM = 4;
+    /** Rounding slack that keeps a weight of exactly a power of two in its class. */
+    private static final double ROUNDING_SLACK = 1e-9;
+    /** Initial capacity of an arc, allocated with its first token. */
+    private static final int INITIAL_ARC_CAPACITY = 4;
 
-    /** By arc, in order; an entry is a position with the slot of its cache in the low bits. */
+    /** Sorted entries by arc; an entry is a position with the slot of its cache in the low bits. */
     private final long[][] arcs = new long[ARCS][];
     private final int[] counts = new int[ARCS];
-    /** Entries behind those, put and not settled yet. */
+    /** Number of unsorted entries after the sorted ones, waiting for {@link #mergeAppended}. */
     private final int[] appended = new int[ARCS];
-    private final Node[] caches = new Node[SLOTS];
+    private final Node[] caches = new Node[MAX_CACHES];
     private final ArrayDeque<Integer> freeSlots = new ArrayDeque<>();
     private int usedSlots;
     private int size;
-    /** The scale that has {@link #TOKENS}: a power of two, so that tokens change only when the largest cache's class does. */
-    private double unit = 1;
-    private int arc;
-    private int next;
+    /** The weight that has {@link #TOKENS} tokens: a power of two, so that tokens change only when the largest weight enters another class. */
+    private double unitWeight = 1;
+    private int walkArc;
+    private int nextToken;
 
-    /** Tokens in all. */
+    /** Number of tokens of all caches. */
     int size() {
         return size;
     }
 
-    /** The largest scale of all caches in use; to be told before caches of another class are put. */
-    void fit(double largestScale) {
-        double fitting = Math.pow(2, Math.ceil(Math.log(largestScale) / Math.log(2) - ROUNDING));
-        if (fitting != unit) {
-            unit = fitting;
+    /** Sets the largest weight of all caches in use; to be called before caches of another class are put. Rebuilds the ring if needed. */
+    void setLargestWeight(double largestWeight) {
+        double newUnit = Math.pow(2, Math.ceil(Math.log(largestWeight) / Math.log(2) - ROUNDING_SLACK));
+        if (newUnit != unitWeight) {
+            unitWeight = newUnit;
             clear();
             for (int slot = 0; slot < usedSlots; slot++) {
                 if (caches[slot] != null) {
                     put(caches[slot]);
                 }
             }
-            settle();
+            mergeAppended();
         }
     }
 
@@ -66,21 +68,21 @@
         }
     }
 
-    private int tokens(Node cache) {
-        return (int) Math.max(1, Math.round(TOKENS * cache.scale / unit));
+    private int tokenCount(Node cache) {
+        return (int) Math.max(1, Math.round(TOKENS * cache.weight / unitWeight));
     }
 
-    /** A cache is in use, with the scale that it has now; to be walked once it is {@link #settle settled}. */
+    /** Adds a cache or updates its weight; a walk sees it after {@link #mergeAppended}. */
     void put(Node cache) {
         if (cache.ringSlot < 0) {
-            if (freeSlots.isEmpty() && usedSlots == SLOTS) {
-                return; // more caches than a ring can name
+            if (freeSlots.isEmpty() && usedSlots == MAX_CACHES) {
+                return; // more caches than there are slots
             }
             cache.ringSlot = freeSlots.isEmpty() ? usedSlots++ : freeSlots.pop();
             caches[cache.ringSlot] = cache;
         }
-        // The same tokens at every proxy, and fewer of the same where the scale is smaller.
-        int count = tokens(cache);
+        // Tokens are the same at every proxy, and a smaller weight uses a prefix of the same sequence.
+        int count = tokenCount(cache);
         for (; cache.ringTokens < count; cache.ringTokens++) {
             append(token(cache, cache.ringTokens), cache);
         }
@@ -89,30 +91,30 @@
         }
     }
 
-    /** Caches are not in use any more; those that were not are passed over. */
+    /** Removes caches; ignores those that are not in the ring. */
     void remove(Collection<Node> leaving) {
-        boolean[] leaves = new boolean[SLOTS];
+        boolean[] isLeaving = new boolean[MAX_CACHES];
         boolean any = false;
         for (Node cache : leaving) {
             if (cache.ringSlot >= 0) {
                 any = true;
-                leaves[cache.ringSlot] = true;
+                isLeaving[cache.ringSlot] = true;
                 caches[cache.ringSlot] = null;
                 freeSlots.push(cache.ringSlot);
                 cache.ringSlot = -1;
                 cache.ringTokens = 0;
             }
         }
-        for (int in = 0; any && in < ARCS; in++) {
+        for (int arc = 0; any && arc < ARCS; arc++) {
             int kept = 0;
-            for (int at = 0; at < counts[in]; at++) {
-                long entry = arcs[in][at];
-                if (!leaves[(int) entry & SLOTS - 1]) {
-                    arcs[in][kept++] = entry;
+            for (int at = 0; at < counts[arc]; at++) {
+                long entry = arcs[arc][at];
+                if (!isLeaving[(int) entry & MAX_CACHES - 1]) {
+                    arcs[arc][kept++] = entry;
                 }
             }
-            size -= counts[in] - kept;
-            counts[in] = kept;
+            size -= counts[arc] - kept;
+            counts[arc] = kept;
         }
     }
 
@@ -124,45 +126,45 @@
         return (int) ((hash ^ Long.MIN_VALUE) >>> Long.SIZE - ARC_BITS);
     }
 
-    /** Behind the arc's tokens, to be sorted in with the others that come. */
+    /** Appends a token to its arc, to be merged later together with others. */
     private void append(long token, Node cache) {
-        int in = arcOf(token);
-        int at = counts[in] + appended[in];
-        if (arcs[in] == null) {
-            arcs[in] = new long[FIRST_ROOM];
-        } else if (at == arcs[in].length) {
-            arcs[in] = Arrays.copyOf(arcs[in], 2 * at);
+        int arc = arcOf(token);
+        int at = counts[arc] + appended[arc];
+        if (arcs[arc] == null) {
+            arcs[arc] = new long[INITIAL_ARC_CAPACITY];
+        } else if (at == arcs[arc].length) {
+            arcs[arc] = Arrays.copyOf(arcs[arc], 2 * at);
         }
-        arcs[in][at] = token >> SLOT_BITS << SLOT_BITS | cache.ringSlot;
-        appended[in]++;
+        arcs[arc][at] = token >> SLOT_BITS << SLOT_BITS | cache.ringSlot;
+        appended[arc]++;
         size++;
     }
 
-    /** Sorts in what was put since the last time. */
-    void settle() {
-        for (int in = 0; in < ARCS; in++) {
-            if (appended[in] > 0) {
-                merge(arcs[in], counts[in], appended[in]);
-                counts[in] += appended[in];
-                appended[in] = 0;
+    /** Merges the entries appended since the last call into the sorted ones. */
+    void mergeAppended() {
+        for (int arc = 0; arc < ARCS; arc++) {
+            if (appended[arc] > 0) {
+                merge(arcs[arc], counts[arc], appended[arc]);
+                counts[arc] += appended[arc];
+                appended[arc] = 0;
             }
         }
     }
 
-    /** Merges so many entries behind the sorted ones into them, from the end on. */
+    /** Merges the {@code more} entries that follow the {@code sorted} ones into them, from the end backwards. */
     private void merge(long[] entries, int sorted, int more) {
         long[] added = sortedCopy(entries, sorted, sorted + more);
         int end = sorted;
         for (int from = more - 1; from >= 0; from--) {
-            int at = firstBehind(entries, end, added[from]);
+            int at = firstAfter(entries, end, added[from]);
             System.arraycopy(entries, at, entries, at + from + 1, end - at);
             entries[at + from] = added[from];
             end = at;
         }
     }
 
-    /** Among the first so many entries, the first that the one named comes before. */
-    private int firstBehind(long[] entries, int count, long entry) {
+    /** Index of the first among {@code count} entries that sorts after {@code entry}. */
+    private int firstAfter(long[] entries, int count, long entry) {
         long position = entry >> SLOT_BITS;
         int low = 0;
         int high = count;
@@ -181,7 +183,7 @@
     private long[] sortedCopy(long[] entries, int from, int to) {
         long[] copy = Arrays.copyOfRange(entries, from, to);
         Arrays.sort(copy);
-        for (int i = 1; i < copy.length; i++) { // of caches at one position the lowest id comes first, whatever its slot
+        for (int i = 1; i < copy.length; i++) { // at equal positions the lowest cache id comes first, independent of slots
             for (int at = i; at > 0 && isBefore(copy[at], copy[at - 1]); at--) {
                 long before = copy[at - 1];
                 copy[at - 1] = copy[at];
@@ -198,30 +200,30 @@
     }
 
     private void delete(long token, Node cache) {
-        settle();
-        int in = arcOf(token);
+        mergeAppended();
+        int arc = arcOf(token);
         long entry = token >> SLOT_BITS << SLOT_BITS | cache.ringSlot;
-        int at = firstFrom(in, token);
-        while (arcs[in][at] != entry) {
+        int at = firstAtOrAfter(arc, token);
+        while (arcs[arc][at] != entry) {
             at++;
         }
-        counts[in]--;
+        counts[arc]--;
         size--;
-        System.arraycopy(arcs[in], at + 1, arcs[in], at, counts[in] - at);
+        System.arraycopy(arcs[arc], at + 1, arcs[arc], at, counts[arc] - at);
     }
 
     private Node owner(long entry) {
-        return caches[(int) entry & SLOTS - 1];
+        return caches[(int) entry & MAX_CACHES - 1];
     }
 
-    /** In an arc, the first entry whose position is that of the hash or behind it. */
-    private int firstFrom(int in, long hash) {
+    /** Index of the arc's first entry whose position is at or after that of the hash. */
+    private int firstAtOrAfter(int arc, long hash) {
         long position = hash >> SLOT_BITS;
         int low = 0;
-        int high = counts[in];
+        int high = counts[arc];
         while (low < high) {
             int middle = low + high >>> 1;
-            if (arcs[in][middle] >> SLOT_BITS < position) {
+            if (arcs[arc][middle] >> SLOT_BITS < position) {
                 low = middle + 1;
             } else {
                 high = middle;
@@ -230,18 +232,18 @@
         return low;
     }
 
-    /** Begins a walk clockwise from a hash. */
+    /** Starts a clockwise walk at a hash. */
     void seek(long hash) {
-        arc = arcOf(hash);
-        next = firstFrom(arc, hash);
+        walkArc = arcOf(hash);
+        nextToken = firstAtOrAfter(walkArc, hash);
     }
 
-    /** The cache of the next token of the walk; of a ring that is not empty. */
-    Node next() {
-        while (next >= counts[arc]) {
-            arc = arc + 1 & ARCS - 1;
-            next = 0;
+    /** The cache of the next token of the walk. The ring must not be empty. */
+    Node nextToken() {
+        while (nextToken >= counts[walkArc]) {
+            walkArc = walkArc + 1 & ARCS - 1;
+            nextToken = 0;
         }
-        return owner(arcs[arc][next++]);
+        return owner(arcs[walkArc][nextToken++]);
     }
 }
--- a/src/main/java/dappleseam/router/Timers.java
+++ b/src/main/java/dappleseam/router/Timers.java
@@ -3,22 +3,22 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What is to be done at a later time. */
+/** Pending timers of a router and their actions. */
 final class Timers {
     private final Map<Integer, Runnable> pending = new HashMap<>();
     private final Host host;
-    private int last;
+    private int lastId;
 
     Timers(Host host) {
         this.host = host;
     }
 
-    void after(double delayMs, Runnable action) {
-        pending.put(++last, action);
-        host.startTimer(new TimerId(last), delayMs);
+    void schedule(double delayMs, Runnable action) {
+        pending.put(++lastId, action);
+        host.startTimer(new TimerId(lastId), delayMs);
     }
 
-    /** Does what the timer was set for; nothing where it is not known. */
+    /** Runs the timer's action; ignores unknown timers. */
     void fire(TimerId timer) {
         Runnable due = pending.remove(timer.value());
         if (due != null) {
--- a/src/main/java/dappleseam/site/ConfigReader.java
+++ b/src/main/java/dappleseam/site/ConfigReader.java
@@ -15,71 +15,72 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The one place where what is given at start is read, checked and given defaults. */
+/** Reads and validates the configuration and the settings of a deployment, and applies defaults. */
 public final class ConfigReader {
     private static final Logger LOG = System.getLogger(ConfigReader.class.getName());
-    /** What {@code weightSource} may say of the list's scales; the last two are its absence. */
-    private static final List<String> SCALES = List.of("nominal", "rough", "live", "off", "");
+    /** Known values of {@code weightSource}, the origin of the list's weights; the last two mean that there are none. */
+    private static final List<String> WEIGHT_SOURCES = List.of("nominal", "rough", "live", "off", "");
     private static final double MS_PER_S = 1000;
-    /** Default of descriptors where no limit is told: what systems usually allow. */
-    private static final int DESCRIPTORS = 1024;
-    private static final int LEAST_DESCRIPTORS = 96;
-    /** Default of memory in MB where no limit is told: what the launcher takes then, too. */
-    private static final int MEMORY_MB = 192;
-    private static final int LEAST_MEMORY_MB = 16;
+    /** Default limit of file descriptors: what systems usually allow. */
+    private static final int DEFAULT_DESCRIPTORS = 1024;
+    private static final int MIN_DESCRIPTORS = 96;
+    /** Default memory limit in MB; the launcher uses the same default. */
+    private static final int DEFAULT_MEMORY_MB = 192;
+    private static final int MIN_MEMORY_MB = 16;
 
-    /** Multiple of what a cold node can take at which it falls, where the settings do not tell: of all pages' the usual. */
-    private static final double FALL_MULTIPLE = 3;
+    /** Default for the multiple of its capacity at which a cold node fails: the most common value. */
+    private static final double DEFAULT_FALL_MULTIPLE = 3;
 
-    /** The file last taken; null before the first. */
-    private JsonNode inForce;
+    /** The last configuration that was accepted; null before the first. */
+    private JsonNode current;
 
-    /** What a proxy is told, from its file; a file read again may lack nothing that the one before it had. */
+    /** Reads the configuration of a proxy. When it is read again, no key of the previous one may be missing. */
     public synchronized ProxyConfig readConfig(Path file) throws IOException {
         JsonNode root = parse(Files.readAllBytes(file), file.getFileName().toString());
-        ProxyConfig post = post(root);
-        if (inForce != null) {
-            needAll(inForce, root, "");
+        ProxyConfig config = config(root);
+        if (current != null) {
+            requireAll(current, root, "");
         }
-        inForce = root;
-        return post;
+        current = root;
+        return config;
     }
 
-    /** Guards a proxy in service against a file that lost some of its keys on its way and is still JSON. */
-    private static void needAll(JsonNode before, JsonNode now, String at) {
+    /** Protects a running proxy from a file that was truncated or edited such that keys are missing though it is still valid JSON. */
+    private static void requireAll(JsonNode before, JsonNode now, String at) {
         before.fields().forEachRemaining(field -> {
-            JsonNode found = need(now, at, field.getKey());
+            JsonNode found = require(now, at, field.getKey());
             if (field.getValue().isObject() && !field.getKey().equals("known")) {
-                needAll(field.getValue(), found, at + field.getKey() + ".");
+                requireAll(field.getValue(), found, at + field.getKey() + ".");
             }
         });
     }
 
-    private static ProxyConfig post(JsonNode root) {
-        int descriptors = limit(root, "sockets", DESCRIPTORS, LEAST_DESCRIPTORS);
-        int memoryMb = limit(root, "memory_mb", MEMORY_MB, LEAST_MEMORY_MB);
+    private static ProxyConfig config(JsonNode root) {
+        int descriptors = limit(root, "sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS);
+        int memoryMb = limit(root, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB);
         return new ProxyConfig(root.path("name").asText("proxy"), address(root, "listen"), control(root),
-                address(root, "discovery"), seed(root), descriptors, memoryMb, root.path("known"), site(need(root, "", "settings"), "settings."));
+                address(root, "discovery"), seed(root), descriptors, memoryMb, root.path("known"),
+                settings(require(root, "", "settings"), "settings."));
     }
 
-    private static int limit(JsonNode root, String name, int byDefault, int least) {
-        int limit = (int) number(root.path("limits"), "limits.", name, byDefault);
-        if (limit < least) {
-            throw new InvalidConfigException("limits." + name, "is under " + least);
+    private static int limit(JsonNode root, String name, int defaultValue, int min) {
+        int limit = (int) number(root.path("limits"), "limits.", name, defaultValue);
+        if (limit < min) {
+            throw new InvalidConfigException("limits." + name, "is less than " + min);
         }
         return limit;
     }
 
-    /** The settings alone, from their JSON text. */
+    /** Reads the settings alone, from their JSON text. */
     public Settings readSettings(byte[] json) {
-        return site(parse(json, "settings"), "");
+        return settings(parse(json, "settings"), "");
     }
 
     private static JsonNode parse(byte[] json, String what) {
         try {
             JsonNode root = Json.read(json);
             if (!root.isObject()) {
-                throw new InvalidConfigException(what, "is no JSON object");
+                throw new InvalidConfigException(what, "is not a JSON object");
             }
             return root;
         } catch (JsonProcessingException e) {
@@ -89,18 +90,18 @@
         }
     }
 
-    private static Settings site(JsonNode root, String at) {
-        JsonNode ceilings = need(root, at, "ceilings");
-        JsonNode rules = need(root, at, "rules");
+    private static Settings settings(JsonNode root, String at) {
+        JsonNode ceilings = require(root, at, "ceilings");
+        JsonNode rules = require(root, at, "rules");
         JsonNode penalties = root.path("penalties");
         JsonNode extra = root.path("extra");
         String inCeilings = at + "ceilings.";
         List<ServiceGrade> grades = new ArrayList<>();
         List<String> names = new ArrayList<>();
-        for (JsonNode grade : need(root, at, "serviceGrades")) {
+        for (JsonNode grade : require(root, at, "serviceGrades")) {
             String inGrade = at + "serviceGrades[" + grades.size() + "].";
             grades.add(grade(grade, inGrade));
-            String name = need(grade, inGrade, "name").asText();
+            String name = require(grade, inGrade, "name").asText();
             if (name.isEmpty() || names.contains(name)) {
                 throw new InvalidConfigException(inGrade + "name", name.isEmpty() ? "is empty" : "is used twice: " + name);
             }
@@ -111,16 +112,16 @@
         }
         boolean retryAfter = ceilings.path("retryAfter").asBoolean();
         boolean onRequest = root.path("membershipMode").asText().equals("on_request");
-        String scale = root.path("weightSource").asText();
-        if (!SCALES.contains(scale)) {
-            LOG.log(Level.WARNING, "{0}weightSource: {1} is not known, so all nodes count alike", at, scale);
+        String weightSource = root.path("weightSource").asText();
+        if (!WEIGHT_SOURCES.contains(weightSource)) {
+            LOG.log(Level.WARNING, "{0}weightSource: {1} is not known, so all nodes count alike", at, weightSource);
         }
-        RouterSettings deployment = new RouterSettings(
+        RouterSettings routerSettings = new RouterSettings(
                 List.copyOf(grades),
                 Math.max(1, root.path("balancers").asInt(1)),
                 originModel(extra, root.path("flavors").size(), at + "extra."),
-                scale.equals("nominal") || scale.equals("rough"),
-                scale.equals("live"),
+                weightSource.equals("nominal") || weightSource.equals("rough"),
+                weightSource.equals("live"),
                 zone(root, at),
                 number(penalties, at + "penalties.", "crossZone", 0),
                 MS_PER_S * number(root, at, "tickS", 0),
@@ -134,21 +135,21 @@
                 fallMultiple(rules, at + "rules."),
                 number(penalties, at + "penalties.", "connection", 0),
                 number(penalties, at + "penalties.", "handshake", 0));
-        return new Settings(deployment, List.copyOf(names), names(root.path("flavors")), names(root.path("dcs")),
+        return new Settings(routerSettings, List.copyOf(names), names(root.path("flavors")), names(root.path("dcs")),
                 Math.max(1, (int) number(ceilings, inCeilings, "streamsPerConn", 1)),
                 MS_PER_S * number(ceilings, inCeilings, "idleCloseS", 60),
                 MS_PER_S * number(ceilings, inCeilings, "connectTimeoutS", 1),
                 (int) number(ceilings, inCeilings, "mostHeld", Integer.MAX_VALUE));
     }
 
-    /** The flavor of the origin where it stands in the list; -1 where nodes fetch by themselves. */
+    /** The index of the origin in {@code flavors} for cache-aside; -1 where nodes fetch by themselves (read-through). */
     private static int originModel(JsonNode extra, int flavors, String at) {
         if (!extra.path("mode").asText().equals("aside")) {
             return -1;
         }
         double kind = number(extra, at, "originKind");
         if (kind != Math.rint(kind) || kind >= flavors) {
-            throw new InvalidConfigException(at + "originKind", "names none of the flavors");
+            throw new InvalidConfigException(at + "originKind", "is not an index into flavors");
         }
         return (int) kind;
     }
@@ -156,39 +157,39 @@
     private static double share(JsonNode node, String at, String name) {
         double share = number(node, at, name);
         if (share > 1) {
-            throw new InvalidConfigException(at + name, "is over 1");
+            throw new InvalidConfigException(at + name, "is greater than 1");
         }
         return share;
     }
 
-    /** 0 is no such limit, as for the origin's. */
+    /** 0 means no limit. */
     private static double fallMultiple(JsonNode rules, String at) {
-        double multiple = number(rules, at, "fallMultiple", FALL_MULTIPLE);
+        double multiple = number(rules, at, "fallMultiple", DEFAULT_FALL_MULTIPLE);
         return multiple == 0 ? Double.POSITIVE_INFINITY : multiple;
     }
 
-    /** Where this proxy stands among the locations that {@code dcs} names; -1 where nothing tells. */
+    /** Index of the proxy's own zone in {@code dcs}; -1 if it is not given. */
     private static int zone(JsonNode root, String at) {
         double zone = number(root, at, "zone", -1);
         if (zone != Math.rint(zone)) {
-            throw new InvalidConfigException(at + "zone", "is no whole number");
+            throw new InvalidConfigException(at + "zone", "is not an integer");
         }
         return (int) zone;
     }
 
     private static ServiceGrade grade(JsonNode grade, String at) {
         return new ServiceGrade(
-                switch (need(grade, at, "semantics").asText()) {
+                switch (require(grade, at, "semantics").asText()) {
                     case "read_like" -> ServiceGrade.Semantics.IDEMPOTENT;
                     case "idempotency_key" -> ServiceGrade.Semantics.DEDUPLICATED;
                     case "non_idempotent" -> ServiceGrade.Semantics.NON_IDEMPOTENT;
-                    default -> throw new InvalidConfigException(at + "semantics", "is none of read_like, idempotency_key"
+                    default -> throw new InvalidConfigException(at + "semantics", "is not one of read_like, idempotency_key"
                             + " and non_idempotent");
                 },
                 switch (grade.path("group").asText()) {
-                    case "all" -> ServiceGrade.Group.ALL;
-                    case "zone" -> ServiceGrade.Group.ZONE;
-                    default -> ServiceGrade.Group.CELL;
+                    case "all" -> ServiceGrade.DedupScope.ALL;
+                    case "zone" -> ServiceGrade.DedupScope.ZONE;
+                    default -> ServiceGrade.DedupScope.CELL;
                 },
                 MS_PER_S * number(grade, at, "windowS", 0),
                 MS_PER_S * positive(grade, at, "sloTimeS"),
@@ -204,7 +205,7 @@
         return List.copyOf(names);
     }
 
-    private static JsonNode need(JsonNode node, String at, String name) {
+    private static JsonNode require(JsonNode node, String at, String name) {
         JsonNode found = node.get(name);
         if (found == null || found.isNull()) {
             throw new InvalidConfigException(at + name, "is missing");
@@ -213,9 +214,9 @@
     }
 
     private static double number(JsonNode node, String at, String name) {
-        JsonNode found = need(node, at, name);
+        JsonNode found = require(node, at, name);
         if (!found.isNumber() || found.asDouble() < 0) {
-            throw new InvalidConfigException(at + name, "is not a number from 0");
+            throw new InvalidConfigException(at + name, "is not a number of at least 0");
         }
         return found.asDouble();
     }
@@ -223,17 +224,17 @@
     private static double positive(JsonNode node, String at, String name) {
         double number = number(node, at, name);
         if (number <= 0) {
-            throw new InvalidConfigException(at + name, "is not over 0");
+            throw new InvalidConfigException(at + name, "is not greater than 0");
         }
         return number;
     }
 
-    private static double number(JsonNode node, String at, String name, double byDefault) {
-        return node.path(name).isMissingNode() || node.path(name).isNull() ? byDefault : number(node, at, name);
+    private static double number(JsonNode node, String at, String name, double defaultValue) {
+        return node.path(name).isMissingNode() || node.path(name).isNull() ? defaultValue : number(node, at, name);
     }
 
     private static InetSocketAddress address(JsonNode root, String name) {
-        return address(name, need(root, "", name).asText());
+        return address(name, require(root, "", name).asText());
     }
 
     private static InetSocketAddress address(String name, String text) {
@@ -244,13 +245,13 @@
         }
     }
 
-    /** The file's, or where it says nothing the environment's; null for no door. */
+    /** The control address from the file, or else from the environment; null for no control port. */
     private static InetSocketAddress control(JsonNode root) {
-        String told = System.getenv("NODE_CONTROL");
+        String fromEnvironment = System.getenv("NODE_CONTROL");
         if (!root.path("control").isMissingNode() && !root.path("control").isNull()) {
             return address(root, "control");
         }
-        return told == null || told.isEmpty() ? null : address("control", told);
+        return fromEnvironment == null || fromEnvironment.isEmpty() ? null : address("control", fromEnvironment);
     }
 
     private static long seed(JsonNode root) {
--- a/src/main/java/dappleseam/site/FleetConfigReader.java
+++ b/src/main/java/dappleseam/site/FleetConfigReader.java
@@ -20,19 +20,19 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads and checks the operator's file that {@code serve --fleet} names; a fault is told by its key. */
+/** Reads and validates the file given with {@code serve --fleet}. Errors are reported by key. */
 public final class FleetConfigReader {
     private static final Set<String> KEYS = Set.of("fleet", "name", "bind", "advertise", "seeds", "period_ms", "counted", "most",
             "forget_s", "record", "leases", "signals", "shares", "turns", "subsets");
     private static final Set<String> LEASE_KEYS = Set.of("voters", "number", "lease_ms", "drift", "voter_file", "list_store");
-    private static final int MOST_SEEDS = 64;
+    private static final int MAX_SEEDS = 64;
     private static final double MS_PER_S = 1000;
     private static final String NAME_FORM = "is not 1 to 48 letters, digits, dots, dashes and underscores";
 
     private FleetConfigReader() {}
 
-    /** {@code name} and {@code counted} are the deployment's own, for where the file says nothing. */
-    public static FleetConfig read(Path file, String name, int counted) throws IOException {
+    /** Reads the file; {@code name} and {@code initialFleetSize} are the defaults from the proxy's configuration for what the file leaves out. */
+    public static FleetConfig read(Path file, String name, int initialFleetSize) throws IOException {
         byte[] text;
         try {
             text = Files.readAllBytes(file);
@@ -46,7 +46,7 @@
             throw new InvalidConfigException(file.getFileName().toString(), "is not JSON: " + e.getOriginalMessage());
         }
         if (!root.isObject()) {
-            throw new InvalidConfigException(file.getFileName().toString(), "is no JSON object");
+            throw new InvalidConfigException(file.getFileName().toString(), "is not a JSON object");
         }
         root.fieldNames().forEachRemaining(key -> {
             if (!KEYS.contains(key)) {
@@ -56,25 +56,29 @@
         InetSocketAddress bind = address("bind", text(root, "bind", null));
         InetSocketAddress advertise = root.has("advertise") ? address("advertise", text(root, "advertise", null)) : bind;
         if (advertise.getAddress().isAnyLocalAddress()) {
-            throw new InvalidConfigException(root.has("advertise") ? "advertise" : "bind", "is no address that others can send to; set advertise");
+            throw new InvalidConfigException(root.has("advertise") ? "advertise" : "bind",
+                    "is not an address that other members can reach; set advertise");
         }
         List<InetSocketAddress> seeds = new ArrayList<>();
         JsonNode listed = root.path("seeds");
         if (!listed.isMissingNode() && !listed.isArray()) {
-            throw new InvalidConfigException("seeds", "is no list");
+            throw new InvalidConfigException("seeds", "is not a list");
         }
         for (JsonNode seed : listed) {
             seeds.add(address("seeds[" + seeds.size() + "]", seed.asText()));
         }
-        if (seeds.size() > MOST_SEEDS) {
-            throw new InvalidConfigException("seeds", "are over " + MOST_SEEDS);
+        if (seeds.size() > MAX_SEEDS) {
+            throw new InvalidConfigException("seeds", "has more entries than the limit of " + MAX_SEEDS);
         }
-        MembershipConfig terms = new MembershipConfig(number(root, "period_ms", MembershipConfig.DEFAULT_PERIOD_MS, 20, 60_000), (int) number(root, "counted", counted, 1, 20_000),
-                (int) number(root, "most", MembershipConfig.DEFAULT_MAX_MEMBERS, 2, 20_000), MS_PER_S * number(root, "forget_s", MembershipConfig.DEFAULT_FORGET_AFTER_MS / MS_PER_S, 10, 86_400),
+        MembershipConfig membershipConfig = new MembershipConfig(number(root, "period_ms", MembershipConfig.DEFAULT_PERIOD_MS, 20, 60_000),
+                (int) number(root, "counted", initialFleetSize, 1, 20_000),
+                (int) number(root, "most", MembershipConfig.DEFAULT_MAX_MEMBERS, 2, 20_000),
+                MS_PER_S * number(root, "forget_s", MembershipConfig.DEFAULT_FORGET_AFTER_MS / MS_PER_S, 10, 86_400),
                 true, MembershipConfig.DEFAULT_INDIRECT_PROBES);
-        return new FleetConfig(name(root, "fleet", null).text(), name(root, "name", name), bind, advertise, List.copyOf(seeds), terms,
+        return new FleetConfig(name(root, "fleet", null).text(), name(root, "name", name), bind, advertise, List.copyOf(seeds), membershipConfig,
                 path(root, "record"), leases(root.path("leases")), path(root.path("leases"), "voter_file"),
-                listStore(root.path("leases")), new FleetFeatures(flag(root, "signals"), flag(root, "shares"), flag(root, "turns"), flag(root, "subsets")));
+                listStore(root.path("leases")),
+                new FleetFeatures(flag(root, "signals"), flag(root, "shares"), flag(root, "turns"), flag(root, "subsets")));
     }
 
     private static LeaseConfig leases(JsonNode leases) {
@@ -82,7 +86,7 @@
             return null;
         }
         if (!leases.isObject()) {
-            throw new InvalidConfigException("leases", "is no JSON object");
+            throw new InvalidConfigException("leases", "is not a JSON object");
         }
         leases.fieldNames().forEachRemaining(key -> {
             if (!LEASE_KEYS.contains(key)) {
@@ -98,13 +102,14 @@
             }
         }
         if (voters.size() != 3 && voters.size() != 5) {
-            throw new InvalidConfigException("leases.voters", "are neither three nor five");
+            throw new InvalidConfigException("leases.voters", "does not name three or five members");
         }
         if (voters.stream().distinct().count() < voters.size()) {
-            throw new InvalidConfigException("leases.voters", "names one twice");
+            throw new InvalidConfigException("leases.voters", "names a member twice");
         }
         return new LeaseConfig(voters, (int) number(leases, "leases.", "number", 1, 0, 1_000_000),
-                number(leases, "leases.", "lease_ms", LeaseConfig.DEFAULT_LEASE_MS, 500, 600_000), number(leases, "leases.", "drift", LeaseConfig.DEFAULT_DRIFT, 0, 0.1));
+                number(leases, "leases.", "lease_ms", LeaseConfig.DEFAULT_LEASE_MS, 500, 600_000),
+                number(leases, "leases.", "drift", LeaseConfig.DEFAULT_DRIFT, 0, 0.1));
     }
 
     private static String listStore(JsonNode leases) {
@@ -116,10 +121,10 @@
             try {
                 URI uri = new URI(store);
                 if (!"http".equals(uri.getScheme()) || uri.getHost() == null || uri.getUserInfo() != null || uri.getQuery() != null) {
-                    throw new InvalidConfigException("leases.list_store", "is no address of the form http://host:port/path: " + store);
+                    throw new InvalidConfigException("leases.list_store", "is not an address of the form http://host:port/path: " + store);
                 }
             } catch (URISyntaxException e) {
-                throw new InvalidConfigException("leases.list_store", "is no address: " + e.getMessage());
+                throw new InvalidConfigException("leases.list_store", "is not an address: " + e.getMessage());
             }
         }
         return store;
@@ -136,27 +141,27 @@
         return root.has(key) ? Path.of(text(root, key, null)) : null;
     }
 
-    private static String text(JsonNode root, String key, String byDefault) {
-        return text(root, "", key, byDefault);
+    private static String text(JsonNode root, String key, String defaultValue) {
+        return text(root, "", key, defaultValue);
     }
 
-    private static String text(JsonNode root, String at, String key, String byDefault) {
+    private static String text(JsonNode root, String at, String key, String defaultValue) {
         JsonNode found = root.path(key);
-        if (found.isMissingNode() && byDefault != null) {
-            return byDefault;
+        if (found.isMissingNode() && defaultValue != null) {
+            return defaultValue;
         }
         if (found.isMissingNode()) {
             throw new InvalidConfigException(at + key, "is missing");
         }
         if (!found.isTextual() || found.asText().isEmpty()) {
-            throw new InvalidConfigException(at + key, "is no text");
+            throw new InvalidConfigException(at + key, "is not a non-empty string");
         }
         return found.asText();
     }
 
-    private static MemberName name(JsonNode root, String key, String byDefault) {
+    private static MemberName name(JsonNode root, String key, String defaultValue) {
         try {
-            return new MemberName(text(root, key, byDefault));
+            return new MemberName(text(root, key, defaultValue));
         } catch (IllegalArgumentException e) {
             throw new InvalidConfigException(key, NAME_FORM);
         }
@@ -170,22 +175,22 @@
             throw new InvalidConfigException(key, "is " + e.getMessage());
         }
         if (address.getPort() == 0 || !(address.getAddress() instanceof Inet4Address)) {
-            throw new InvalidConfigException(key, "is no IPv4 address with a port: " + text);
+            throw new InvalidConfigException(key, "is not an IPv4 address with a port: " + text);
         }
         return address;
     }
 
-    private static double number(JsonNode root, String key, double byDefault, double least, double most) {
-        return number(root, "", key, byDefault, least, most);
+    private static double number(JsonNode root, String key, double defaultValue, double min, double max) {
+        return number(root, "", key, defaultValue, min, max);
     }
 
-    private static double number(JsonNode root, String at, String key, double byDefault, double least, double most) {
+    private static double number(JsonNode root, String at, String key, double defaultValue, double min, double max) {
         JsonNode found = root.path(key);
         if (found.isMissingNode()) {
-            return byDefault;
+            return defaultValue;
         }
-        if (!found.isNumber() || found.asDouble() < least || found.asDouble() > most) {
-            throw new InvalidConfigException(at + key, "is no number from " + plain(least) + " to " + plain(most));
+        if (!found.isNumber() || found.asDouble() < min || found.asDouble() > max) {
+            throw new InvalidConfigException(at + key, "is not a number from " + plain(min) + " to " + plain(max));
         }
         return found.asDouble();
     }
--- a/src/main/java/dappleseam/site/Settings.java
+++ b/src/main/java/dappleseam/site/Settings.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What a deployment says of itself: what the router reads, and what only a proxy on sockets does. The
- * names of the service grades stand in the order in which the deployment has them.
+ * The settings of a deployment: those that the router reads, and those that only a proxy on sockets needs. {@code gradeNames} is in the
+ * order of the grades in {@code routerSettings}; nodes refer to {@code modelNames} and {@code zones} by index.
  */
 public record Settings(RouterSettings routerSettings, List<String> gradeNames, List<String> modelNames,
                    List<String> zones, int maxCommandsPerConnection, double idleCloseMs,
--- a/src/test/java/dappleseam/query/ReuseTest.java
+++ b/src/test/java/dappleseam/query/ReuseStatsTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class ReuseTest {
-    /** Guards commands against sharing a connection with one whose answer is spoilt. */
+class ReuseStatsTest {
+    /** After a corrupt answer, commands must not share a connection, as the failure would affect all of them. */
     @Test
-    void troubleEndsSharingForAWhile() {
+    void aFailureSuspendsSharing() {
         ReuseStats reuse = new ReuseStats();
         assertThat(reuse.isSharingSafe(1000)).isTrue();
         reuse.recordFailure(1000);
@@ -15,9 +15,9 @@
         assertThat(reuse.isSharingSafe(12_000)).isTrue();
     }
 
-    /** litoral wide+reset+stale: four in ten connections idle for over 0.1 s broke at the next command. */
+    /** In a network that drops idle connections, four in ten connections idle for over 0.1 s broke at the next command. */
     @Test
-    void connectionsIdleForTooLongAreSeldomUsedAgain() {
+    void connectionsIdleForTooLongAreSeldomReused() {
         ReuseStats reuse = new ReuseStats();
         for (int i = 0; i < 40; i++) {
             reuse.recordReuse(20, i % 20 == 0);
@@ -30,7 +30,7 @@
         }
         assertThat(likely).isEqualTo(2);
         for (int i = 0; i < 60; i++) {
-            reuse.recordReuse(300, false); // the trouble is over
+            reuse.recordReuse(300, false); // the network has recovered
         }
         assertThat(reuse.mayReuse(300)).isTrue();
     }
--- a/src/test/java/dappleseam/router/RouterTest.java
+++ b/src/test/java/dappleseam/router/RouterTest.java
@@ -1,9 +1,9 @@
 package dappleseam.router;
 
-import static dappleseam.router.OneProxy.grade;
+import static dappleseam.router.TestProxy.grade;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dappleseam.router.ServiceGrade.Group;
+import dappleseam.router.ServiceGrade.DedupScope;
 import dappleseam.router.ServiceGrade.Semantics;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -16,43 +16,43 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 class RouterTest {
-    /** The cache each of 200 keys goes to, each on a fresh router so that load plays no part. */
+    /** The cache of each of 200 keys, each on a new router so that load has no influence. */
     private static NodeId[] owners(Member... members) {
         NodeId[] owners = new NodeId[200];
         for (int key = 1; key <= owners.length; key++) {
-            OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
+            TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ));
             p.router.listReplaced(1000, List.of(members), false);
             p.ask(1000, 1, key);
-            owners[key - 1] = p.last();
+            owners[key - 1] = p.lastNode();
         }
         return owners;
     }
 
     @Test
     void aCacheThatLeavesMovesOnlyItsOwnKeys() {
-        NodeId[] before = owners(OneProxy.ready(1), OneProxy.ready(2), OneProxy.ready(3), OneProxy.ready(4));
-        NodeId[] after = owners(OneProxy.ready(4), OneProxy.ready(2), OneProxy.ready(1));
-        Set<NodeId> heirs = new HashSet<>();
+        NodeId[] before = owners(TestProxy.ready(1), TestProxy.ready(2), TestProxy.ready(3), TestProxy.ready(4));
+        NodeId[] after = owners(TestProxy.ready(4), TestProxy.ready(2), TestProxy.ready(1));
+        Set<NodeId> newOwners = new HashSet<>();
         for (int i = 0; i < before.length; i++) {
             if (before[i].equals(new NodeId(3))) {
-                heirs.add(after[i]);
+                newOwners.add(after[i]);
             } else {
                 assertThat(after[i]).isEqualTo(before[i]);
             }
         }
-        assertThat(heirs).hasSize(3);
+        assertThat(newOwners).hasSize(3);
     }
 
     @Test
     void aLargerScaleOwnsMoreKeys() {
         Member twice = new Member(new NodeId(2), Member.State.READY, 0, 0, 0, 2, 0);
-        NodeId[] owners = owners(OneProxy.ready(1), twice);
+        NodeId[] owners = owners(TestProxy.ready(1), twice);
         assertThat(owners).filteredOn(new NodeId(2)::equals).hasSizeBetween(110, 160);
     }
 
     @Test
-    void aHotKeyMovesToItsSuccessors() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(5);
+    void aHotKeySpreadsToItsSuccessors() {
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(5);
         for (int i = 0; i < 9; i++) {
             p.ask(1000, i, 42);
         }
@@ -61,33 +61,33 @@
 
     @Test
     void aFailedConnectGoesToADistinctSuccessor() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(3);
         p.ask(1000, 1, 42);
-        NodeId owner = p.last();
+        NodeId owner = p.lastNode();
         p.ended(1250, 1, 0, Outcome.CONNECT_FAILED, 250);
-        assertThat(p.last()).isNotEqualTo(owner);
+        assertThat(p.lastNode()).isNotEqualTo(owner);
     }
 
     @ParameterizedTest
     @EnumSource(value = Outcome.class, names = {"ERRED", "RESET", "TIMED_OUT", "CANCELLED"})
     void aNonIdempotentQueryThatMayHaveRunIsAborted(Outcome outcome) {
-        OneProxy p = new OneProxy(OneProxy.through(grade(Semantics.NON_IDEMPOTENT, Group.ALL))).listed(3);
+        TestProxy p = new TestProxy(TestProxy.readThrough(grade(Semantics.NON_IDEMPOTENT, DedupScope.ALL))).withCaches(3);
         p.ask(1000, 1, 42);
         p.ended(1010, 1, 0, outcome, 10);
-        assertThat(p.done).containsExactly("execute 1", "abort 1");
+        assertThat(p.calls).containsExactly("execute 1", "abort 1");
     }
 
     @Test
     void aNonIdempotentQueryThatNeverRanGoesOn() {
-        OneProxy p = new OneProxy(OneProxy.through(grade(Semantics.NON_IDEMPOTENT, Group.ALL))).listed(3);
+        TestProxy p = new TestProxy(TestProxy.readThrough(grade(Semantics.NON_IDEMPOTENT, DedupScope.ALL))).withCaches(3);
         p.ask(1000, 1, 42);
         p.ended(1010, 1, 0, Outcome.FULL, 10);
-        assertThat(p.done).containsExactly("execute 1", "execute 1");
+        assertThat(p.calls).containsExactly("execute 1", "execute 1");
     }
 
     @Test
     void aDeduplicatedQueryThatMayHaveRunStaysInItsZone() {
-        OneProxy p = new OneProxy(OneProxy.through(grade(Semantics.DEDUPLICATED, Group.ZONE))).listed(6);
+        TestProxy p = new TestProxy(TestProxy.readThrough(grade(Semantics.DEDUPLICATED, DedupScope.ZONE))).withCaches(6);
         p.ask(1000, 1, 42);
         p.ended(1010, 1, 0, Outcome.RESET, 10);
         assertThat(p.sentTo).hasSize(2);
@@ -96,17 +96,17 @@
 
     @Test
     void aDeduplicatedQueryIsNotRepeatedPastItsWindow() {
-        ServiceGrade brief = new ServiceGrade(Semantics.DEDUPLICATED, Group.ALL, 300, 600, 2000, 1, 0.5, false);
-        OneProxy p = new OneProxy(OneProxy.through(brief)).listed(3);
+        ServiceGrade brief = new ServiceGrade(Semantics.DEDUPLICATED, DedupScope.ALL, 300, 600, 2000, 1, 0.5, false);
+        TestProxy p = new TestProxy(TestProxy.readThrough(brief)).withCaches(3);
         p.ask(1000, 1, 42);
         p.ended(1310, 1, 0, Outcome.RESET, 310);
-        assertThat(p.done).containsExactly("execute 1", "abort 1");
+        assertThat(p.calls).containsExactly("execute 1", "abort 1");
     }
 
     @Test
     void aDrainingCacheGetsNothingNew() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(2);
-        p.router.listChanged(1100, List.of(OneProxy.member(1, Member.State.DRAINING, 0)));
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(2);
+        p.router.listChanged(1100, List.of(TestProxy.member(1, Member.State.DRAINING, 0)));
         for (int key = 1; key < 50; key++) {
             p.ask(1100, key, key);
         }
@@ -115,9 +115,9 @@
 
     @Test
     void aColdCacheGetsAShareOfItsKeys() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
-        p.router.listReplaced(50000, List.of(OneProxy.ready(1),
-                OneProxy.member(2, Member.State.READY, 50000)), false);
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ));
+        p.router.listReplaced(50000, List.of(TestProxy.ready(1),
+                TestProxy.member(2, Member.State.READY, 50000)), false);
         for (int i = 1; i <= 200; i++) {
             p.ask(50000 + i, i, i);
             p.ended(50000 + i, i, 0, Outcome.COMPLETED, 1);
@@ -125,12 +125,12 @@
         assertThat(p.sentTo).filteredOn(new NodeId(2)::equals).hasSizeBetween(1, 45);
     }
 
-    /** tarlat rules-3: a hot key's worth of waiting queries was sent to a cold cache at once. */
+    /** All waiting queries of a hot key were sent to a cold cache at once. */
     @Test
-    void aHotKeyDoesNotPushAColdCacheOver() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
-        p.router.listReplaced(50000, List.of(OneProxy.ready(1), OneProxy.ready(3),
-                OneProxy.member(2, Member.State.READY, 50000)), false);
+    void aHotKeyDoesNotOverloadAColdCache() {
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ));
+        p.router.listReplaced(50000, List.of(TestProxy.ready(1), TestProxy.ready(3),
+                TestProxy.member(2, Member.State.READY, 50000)), false);
         for (int key = 1; key <= 100; key++) {
             for (int i = 0; i < 30; i++) {
                 int id = key * 100 + i;
@@ -143,211 +143,211 @@
 
     @Test
     void aMissGoesToTheOrigin() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(3);
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.READ)).withCaches(3);
         p.ask(1000, 1, 42);
         p.ended(1001, 1, 0, Outcome.MISS, 1);
-        assertThat(p.last()).isEqualTo(OneProxy.ORIGIN);
+        assertThat(p.lastNode()).isEqualTo(TestProxy.ORIGIN);
     }
 
     @Test
     void aWriteGoesToTheOrigin() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(3);
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.READ)).withCaches(3);
         p.write(1000, 1, 42);
-        assertThat(p.sentTo).containsExactly(OneProxy.ORIGIN);
+        assertThat(p.sentTo).containsExactly(TestProxy.ORIGIN);
     }
 
     @Test
-    void aFullOriginLimitIsAnsweredAtOnce() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(3);
+    void aQueryIsRejectedAtOnceWhenTheOriginLimitIsReached() {
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.READ)).withCaches(3);
         for (int i = 1; i <= 40; i++) {
             p.ask(1000, i, i);
             p.ended(1001, i, 0, Outcome.MISS, 1);
         }
-        assertThat(p.done).endsWith("reject 40");
+        assertThat(p.calls).endsWith("reject 40");
     }
 
     @Test
-    void anUnreachableOriginIsAnsweredAtOnce() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ));
-        p.router.listReplaced(1000, List.of(OneProxy.ready(1)), false);
+    void aMissIsRejectedAtOnceWithoutAnOrigin() {
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.READ));
+        p.router.listReplaced(1000, List.of(TestProxy.ready(1)), false);
         p.ask(1000, 1, 42);
         p.ended(1001, 1, 0, Outcome.MISS, 1);
-        assertThat(p.done).containsExactly("execute 1", "reject 1");
+        assertThat(p.calls).containsExactly("execute 1", "reject 1");
     }
 
     @Test
-    void anEmptyListIsAnsweredAtOnce() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
+    void aQueryIsRejectedAtOnceWhileTheListIsEmpty() {
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ));
         p.ask(1000, 1, 42);
-        assertThat(p.done).containsExactly("reject 1");
+        assertThat(p.calls).containsExactly("reject 1");
     }
 
-    /** pallet i0c9b7b: misses behind a slow origin took the places of hits. */
+    /** Misses that waited for a slow origin used up the limit that hits need. */
     @Test
     void keysNotKnownToBeHeldAreLimitedBeforeHits() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(20);
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(20);
         p.ask(1000, 1, 7);
         p.ended(1010, 1, 0, Outcome.COMPLETED, 10);
         for (int i = 2; i <= 70; i++) {
             p.ask(1010, i, 1000 + i);
         }
-        assertThat(p.done).endsWith("reject 70");
+        assertThat(p.calls).endsWith("reject 70");
         p.ask(1011, 71, 7);
-        assertThat(p.done).endsWith("execute 71");
+        assertThat(p.calls).endsWith("execute 71");
     }
 
     @Test
-    void twoFailedConnectsSetACacheAside() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(4);
+    void twoFailedConnectsEjectACache() {
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(4);
         p.ask(1000, 1, 42);
-        NodeId owner = p.last();
+        NodeId owner = p.lastNode();
         p.ask(1000, 2, 42);
         p.ended(1001, 1, 0, Outcome.CONNECT_FAILED, 1);
         p.ended(1001, 2, 0, Outcome.CONNECT_FAILED, 1);
         p.ask(1002, 3, 42);
-        assertThat(p.last()).isNotEqualTo(owner);
+        assertThat(p.lastNode()).isNotEqualTo(owner);
     }
 
-    /** litoral wide+reset+stale: a key whose connection broke moved to a cache that lacks it, and on to the origin. */
+    /** After a reset the key was sent to a cache that does not hold it, and from there to the origin. */
     @Test
-    void aResetIsTriedOnceMoreWhereTheKeyIs() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(4);
+    void aResetIsRetriedOnceAtTheSameCache() {
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.READ)).withCaches(4);
         p.ask(1000, 1, 42);
-        NodeId owner = p.last();
+        NodeId owner = p.lastNode();
         p.ended(1001, 1, 0, Outcome.RESET, 1);
-        assertThat(p.last()).isEqualTo(owner);
+        assertThat(p.lastNode()).isEqualTo(owner);
         p.ended(1002, 1, 1, Outcome.RESET, 1);
-        assertThat(p.last()).isNotEqualTo(owner);
+        assertThat(p.lastNode()).isNotEqualTo(owner);
     }
 
-    /** litoral wide+reset+stale: broken connections to the origin cut its limit until most misses were rejected. */
+    /** Broken connections to the origin reduced its limit until most misses were rejected. */
     @ParameterizedTest
     @EnumSource(value = Outcome.class, names = {"RESET", "CONNECT_FAILED"})
     void brokenConnectionsDoNotCutTheOriginsLimit(Outcome broken) {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.grade(Semantics.DEDUPLICATED, Group.ALL))).listed(4);
-        for (int i = 0; i < 40; i++) { // one broken connection in four
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.grade(Semantics.DEDUPLICATED, DedupScope.ALL))).withCaches(4);
+        for (int i = 0; i < 40; i++) { // one connection in four breaks
             p.write(1000 + 10 * i, i, i);
             p.ended(1001 + 10 * i, i, 0, i % 4 == 0 ? broken : Outcome.COMPLETED, 1);
             if (i % 4 == 0) {
                 p.ended(1002 + 10 * i, i, 1, Outcome.COMPLETED, 1);
             }
         }
-        p.done.clear();
+        p.calls.clear();
         IntStream.range(100, 110).forEach(i -> p.write(1500, i, i));
-        assertThat(p.done).hasSize(10).allMatch(act -> act.startsWith("execute"));
+        assertThat(p.calls).hasSize(10).allMatch(act -> act.startsWith("execute"));
     }
 
-    /** Guards long days: ids are ever new, so what was known of a node that is gone goes with it. */
+    /** Ids are never reused, so the state of a node that is gone is dropped, or memory would grow without bound. */
     @Test
     void aNodeThatIsGoneIsForgotten() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(4);
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(4);
         p.ask(1000, 1, 42);
-        NodeId owner = p.last();
+        NodeId owner = p.lastNode();
         p.ask(1000, 2, 42);
         p.ended(1001, 1, 0, Outcome.CONNECT_FAILED, 1);
         p.ended(1001, 2, 0, Outcome.CONNECT_FAILED, 1);
-        p.router.listChanged(1002, List.of(OneProxy.member(owner.value(), Member.State.GONE, 0)));
-        p.router.listChanged(1003, List.of(OneProxy.ready(owner.value())));
+        p.router.listChanged(1002, List.of(TestProxy.member(owner.value(), Member.State.GONE, 0)));
+        p.router.listChanged(1003, List.of(TestProxy.ready(owner.value())));
         p.sentTo.clear();
         IntStream.range(0, 40).forEach(i -> p.ask(1004, 10 + i, 100 + i));
         assertThat(p.sentTo).contains(owner);
     }
 
-    /** litoral churn+long: four in ten of its answers lost, the origin's limit fell to nothing and stayed there. */
+    /** With four in ten of its answers lost in transit, the limit of the origin fell to nothing and stayed there. */
     @Test
     void anOriginThatMostlyAnswersInTimeKeepsItsLimit() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.grade(Semantics.NON_IDEMPOTENT, Group.ALL))).listed(4);
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.grade(Semantics.NON_IDEMPOTENT, DedupScope.ALL))).withCaches(4);
         for (int i = 0; i < 90; i++) {
             p.write(1000 + 20 * i, i, i);
             boolean lost = i % 7 < 3;
             p.ended(1010 + 20 * i, i, 0, lost ? Outcome.TIMED_OUT : Outcome.COMPLETED, lost ? 1990 : 10);
             double at = 1010 + 20 * i;
-            List.copyOf(p.timers).forEach(timer -> p.router.timerFired(at, timer)); // what is lost gives its place back
+            List.copyOf(p.timers).forEach(timer -> p.router.timerFired(at, timer)); // the place of a lost answer becomes free
         }
-        p.done.clear();
+        p.calls.clear();
         IntStream.range(100, 102).forEach(i -> p.write(5000, i, i));
-        assertThat(p.done).filteredOn(act -> act.startsWith("execute")).hasSize(2);
+        assertThat(p.calls).filteredOn(act -> act.startsWith("execute")).hasSize(2);
     }
 
     @Test
-    void aTroubleThatAllShareLeavesTheRingStanding() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(4);
+    void aFailureSharedByAllCachesDoesNotEmptyTheRing() {
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(4);
         for (int i = 1; i <= 100; i++) {
             p.ask(1000 + i, i, i);
             for (int execution = 0; execution < 3; execution++) {
                 p.ended(1000 + i, i, execution, Outcome.RESET, 1);
             }
         }
-        p.done.clear();
+        p.calls.clear();
         for (int i = 1000; i < 1020; i++) {
             p.ask(1200, i, i);
         }
-        assertThat(p.done).filteredOn(act -> act.startsWith("execute")).isNotEmpty();
+        assertThat(p.calls).filteredOn(act -> act.startsWith("execute")).isNotEmpty();
     }
 
-    /** litoral wide+reset+stale: caches that were set aside as sick cut what the others were given. */
+    /** Ejected caches counted as an overload, which reduced the limit for the others. */
     @Test
-    void cachesSetAsideAreNoOverloadOfTheOthers() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(10);
+    void ejectedCachesDoNotCountAsOverload() {
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.READ)).withCaches(10);
         Map<NodeId, Integer> keys = new HashMap<>();
         for (int key = 1; key <= 200; key++) {
             p.ask(1000, key, key);
-            keys.put(p.last(), key);
+            keys.put(p.lastNode(), key);
             p.ended(1001, key, 0, Outcome.COMPLETED, 1);
         }
-        List<Integer> sick = keys.values().stream().limit(5).toList(); // four are silent twice, the fifth is late once
+        List<Integer> unhealthy = keys.values().stream().limit(5).toList(); // four do not answer twice, the fifth is late once
         for (int i = 0; i < 9; i++) {
-            p.ask(1100, 1000 + i, sick.get(i / 2));
+            p.ask(1100, 1000 + i, unhealthy.get(i / 2));
         }
         for (int i = 0; i < 9; i++) {
             p.ended(1700, 1000 + i, 0, Outcome.TIMED_OUT, 600);
         }
-        p.done.clear();
+        p.calls.clear();
         for (int i = 2000; i < 2100; i++) {
             p.ask(1750, i, i);
         }
-        assertThat(p.done).filteredOn(done -> done.startsWith("execute")).hasSizeGreaterThan(45);
+        assertThat(p.calls).filteredOn(call -> call.startsWith("execute")).hasSizeGreaterThan(45);
     }
 
-    /** litoral i14f780: caches that merely had a queue stood set aside for silence. */
+    /** Caches that only had a queue were ejected for silence; a second copy elsewhere answers the query instead. */
     @Test
     void aSilentCacheGetsASecondCopyElsewhere() {
-        OneProxy p = new OneProxy(OneProxy.asideInParallel()).listed(4);
+        TestProxy p = new TestProxy(TestProxy.parallelCacheAside()).withCaches(4);
         p.ask(1000, 1, 42);
         p.router.timerFired(1360, p.timers.get(0));
         assertThat(new HashSet<>(p.sentTo)).hasSize(2);
     }
 
-    /** Sockets, herd: proxies killed together came back to cold caches, and rejected most misses of their first seconds. */
+    /** Proxies restarted together found cold caches, and rejected most misses of their first seconds. */
     @Test
-    void aProxyThatHasJustStartedTakesItsMissesToTheOrigin() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(5);
+    void aProxyThatHasJustStartedSendsItsMissesToTheOrigin() {
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.READ)).withCaches(5);
         for (int i = 0; i < 24; i++) {
             p.ask(1000, i, 100 + i);
             p.ended(1005, i, 0, Outcome.MISS, 5);
         }
-        assertThat(p.sentTo).filteredOn(OneProxy.ORIGIN::equals).hasSize(24);
+        assertThat(p.sentTo).filteredOn(TestProxy.ORIGIN::equals).hasSize(24);
     }
 
-    /** Guards open queries against new settings: executions that were allowed stay allowed, and those to come are fewer. */
+    /** New settings must not affect open queries: the executions allowed at their start stay allowed, later queries get fewer. */
     @Test
     void openQueriesKeepTheExecutionsTheyWereTakenWith() {
-        RouterSettings site = OneProxy.through(OneProxy.READ);
-        OneProxy p = new OneProxy(site).listed(5);
+        RouterSettings site = TestProxy.readThrough(TestProxy.READ);
+        TestProxy p = new TestProxy(site).withCaches(5);
         p.ask(1000, 1, 42);
         p.router.settingsChanged(1001, new RouterSettings(site.grades(), 2, -1, true, false, 0, 0, 1, 1, false, true, 1000, 0,
                 0.2, 10000, 3, 0.05, 0.05));
         p.ask(1002, 2, 43);
         p.ended(1005, 1, 0, Outcome.ERRED, 5);
         p.ended(1005, 2, 0, Outcome.ERRED, 5);
-        assertThat(p.done).containsSubsequence("execute 1", "execute 2", "execute 1", "reject 2");
+        assertThat(p.calls).containsSubsequence("execute 1", "execute 2", "execute 1", "reject 2");
     }
 
-    /** Guards against answers of the origin that get lost; not where all of it is slow. */
+    /** A second copy replaces an answer of the origin that was lost in transit, but is not sent if the origin is slow in general. */
     @Test
-    void aQuickOriginThatOwesAnAnswerIsAskedOnceMore() {
+    void aQuickOriginWithALostAnswerGetsASecondCopy() {
         for (double usual : new double[] {30, 500}) {
-            OneProxy p = new OneProxy(OneProxy.asideInParallel()).listed(4);
+            TestProxy p = new TestProxy(TestProxy.parallelCacheAside()).withCaches(4);
             for (int i = 2; i < 60; i++) {
                 p.write(1000, i, i);
                 p.ended(1000, i, 0, Outcome.COMPLETED, usual);
@@ -357,89 +357,89 @@
             int sent = p.sentTo.size();
             p.router.timerFired(1370, p.timers.get(p.timers.size() - 1));
             assertThat(p.sentTo.subList(sent, p.sentTo.size())).hasSize(usual < 100 ? 1 : 0)
-                    .allMatch(OneProxy.ORIGIN::equals);
+                    .allMatch(TestProxy.ORIGIN::equals);
         }
     }
 
-    /** Guards everybody against clients that wait for less time than an answer takes. */
+    /** Clients that wait for less time than an answer takes must not reduce the limits for all others. */
     @Test
-    void impatientClientsCutNoLimit() {
+    void clientsWithShortDeadlinesReduceNoLimit() {
         for (boolean write : new boolean[] {true, false}) {
-            OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(4);
+            TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.READ)).withCaches(4);
             for (int i = 0; i < 60; i++) {
                 p.router.query(1000 + 100 * i, new QueryId(i), new QueryRequest(0, new Key(i + 1), 60, 0, write, false));
                 p.ended(1050 + 100 * i, i, 0, Outcome.TIMED_OUT, 50);
-                p.router.timerFired(1099 + 100 * i, p.timers.get(p.timers.size() - 1)); // its place is free again
+                p.router.timerFired(1099 + 100 * i, p.timers.get(p.timers.size() - 1)); // its place becomes free again
             }
-            p.done.clear();
+            p.calls.clear();
             for (int i = 100; i < 110; i++) {
                 p.router.query(9000, new QueryId(i), new QueryRequest(0, new Key(i), 2000, 0, write, false));
             }
-            assertThat(p.done).filteredOn(done -> done.startsWith("execute")).hasSize(10);
+            assertThat(p.calls).filteredOn(call -> call.startsWith("execute")).hasSize(10);
         }
     }
 
     @Test
-    void theCopyThatLosesIsCalledOff() {
-        OneProxy p = new OneProxy(OneProxy.asideInParallel()).listed(4);
+    void theSlowerCopyIsCancelled() {
+        TestProxy p = new TestProxy(TestProxy.parallelCacheAside()).withCaches(4);
         p.ask(1000, 1, 42);
         p.router.timerFired(1240, p.timers.get(0));
         p.ended(1300, 1, 1, Outcome.COMPLETED, 60);
-        assertThat(p.done).endsWith("cancel 1/0");
+        assertThat(p.calls).endsWith("cancel 1/0");
     }
 
     @Test
     void aFailedCallToTheListIsRepeated() {
-        OneProxy p = new OneProxy(OneProxy.onRequest());
+        TestProxy p = new TestProxy(TestProxy.polledList());
         p.router.timerFired(1500, p.timers.get(0));
         p.router.listFailed(1600);
         p.router.timerFired(3200, p.timers.get(2));
-        assertThat(p.done).containsExactly("follow", "follow");
+        assertThat(p.calls).containsExactly("follow", "follow");
     }
 
     @Test
-    void lateAndUnknownNewsIsPassedOver() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
+    void eventsOfUnknownQueriesAndTimersAreIgnored() {
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(3);
         p.ended(1000, 77, 0, Outcome.COMPLETED, 1);
         p.router.clientLeft(1000, new QueryId(78));
         p.router.timerFired(1000, new TimerId(79));
-        assertThat(p.done).isEmpty();
+        assertThat(p.calls).isEmpty();
     }
 
     @Test
     void aQueryWhoseClientLeftIsNotSentAgain() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(3);
         p.ask(1000, 1, 42);
         p.router.clientLeft(1100, new QueryId(1));
         p.ended(1101, 1, 0, Outcome.CANCELLED, 101);
-        assertThat(p.done).containsExactly("execute 1", "cancel 1/0");
+        assertThat(p.calls).containsExactly("execute 1", "cancel 1/0");
     }
 
-    /** litoral ib257ba: the origin's own spread held its limit at a tenth of its room. */
+    /** The normal variation of the origin's answer times kept its limit at a tenth of its capacity. */
     @Test
-    void oneLateOriginAnswerAmongManyGoodOnesLeavesItsLimit() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(3);
+    void oneLateOriginAnswerAmongManyGoodOnesKeepsItsLimit() {
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.READ)).withCaches(3);
         for (int i = 1; i <= 12; i++) {
             p.ask(1000, i, i);
             p.ended(1001, i, 0, Outcome.MISS, 1);
             p.ended(1100, i, 1, i == 12 ? Outcome.TIMED_OUT : Outcome.COMPLETED, i == 12 ? 600 : 99);
         }
-        p.done.clear();
+        p.calls.clear();
         for (int i = 21; i <= 36; i++) {
             p.ask(1200, i, i);
             p.ended(1201, i, 0, Outcome.MISS, 1);
         }
-        assertThat(p.done).filteredOn(act -> act.startsWith("reject")).hasSizeLessThanOrEqualTo(3);
+        assertThat(p.calls).filteredOn(act -> act.startsWith("reject")).hasSizeLessThanOrEqualTo(3);
     }
 
-    /** tarlat i88d483: each of hundreds of proxies let two queries into a cold cache for every window. */
+    /** Each of hundreds of proxies sent two queries to a cold cache in every window. */
     @Test
     void manyProxiesTogetherStayUnderTheColdBudget() {
         int sent = 0;
         for (int proxy = 0; proxy < 200; proxy++) {
-            OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
-            p.router.listReplaced(50000, List.of(OneProxy.ready(1), OneProxy.ready(3),
-                    OneProxy.member(2, Member.State.READY, 50000)), false);
+            TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ));
+            p.router.listReplaced(50000, List.of(TestProxy.ready(1), TestProxy.ready(3),
+                    TestProxy.member(2, Member.State.READY, 50000)), false);
             for (int i = 1; i <= 20; i++) {
                 p.ask(50000 + i, i, 1000L * proxy + i);
                 p.ended(50000 + i, i, 0, Outcome.ERRED, 1);
@@ -449,33 +449,33 @@
         assertThat(sent).isLessThan(200 * 20 / 20);
     }
 
-    /** tarlat-budapest-later big-1: the caches' tables were full of connections rarely used. */
+    /** The connection tables of the caches were full of rarely used connections. */
     @Test
     void aRarelyUsedConnectionIsClosed() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(4);
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(4);
         p.ask(1000, 1, 42);
-        NodeId owner = p.last();
+        NodeId owner = p.lastNode();
         p.ended(9000, 1, 0, Outcome.COMPLETED, 10);
-        assertThat(p.done).endsWith("close " + owner.value());
+        assertThat(p.calls).endsWith("close " + owner.value());
     }
 
     @Test
     void anOftenUsedConnectionIsKept() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(4);
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(4);
         for (int i = 1; i <= 50; i++) {
             p.ask(1000 + 10 * i, i, 42);
             p.ended(1005 + 10 * i, i, 0, Outcome.COMPLETED, 5);
         }
-        assertThat(p.done).noneMatch(act -> act.startsWith("close"));
+        assertThat(p.calls).noneMatch(act -> act.startsWith("close"));
     }
 
-    /** litoral-homebanking-later big-1: thin proxies came back to a full cache once each. */
+    /** Each of many proxies with little traffic returned to a full cache once. */
     @Test
-    void aFullCacheIsPassedOverForAWhile() {
-        NodeId[] owners = owners(OneProxy.ready(1), OneProxy.ready(2), OneProxy.ready(3));
+    void aFullCacheIsAvoidedForAWhile() {
+        NodeId[] owners = owners(TestProxy.ready(1), TestProxy.ready(2), TestProxy.ready(3));
         int[] keys = IntStream.rangeClosed(1, 200).filter(k -> owners[k - 1].equals(owners[0])).toArray();
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
-        p.router.listReplaced(1000, List.of(OneProxy.ready(1), OneProxy.ready(2), OneProxy.ready(3)), false);
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ));
+        p.router.listReplaced(1000, List.of(TestProxy.ready(1), TestProxy.ready(2), TestProxy.ready(3)), false);
         for (int i = 0; i < 200; i++) {
             if (!owners[i].equals(owners[0])) {
                 p.ask(1000, 1000 + i, i + 1);
@@ -485,41 +485,41 @@
         p.ask(1100, 1, keys[0]);
         p.ended(1101, 1, 0, Outcome.FULL, 1);
         p.ask(1200, 2, keys[1]);
-        assertThat(p.last()).isNotEqualTo(owners[0]);
+        assertThat(p.lastNode()).isNotEqualTo(owners[0]);
         p.ask(20000, 3, keys[2]);
-        assertThat(p.last()).isEqualTo(owners[0]);
+        assertThat(p.lastNode()).isEqualTo(owners[0]);
     }
 
-    /** tarlat i88d483: retries for a missing key took the caches' time while the origin had no room. */
+    /** Retries for a missing key kept the caches busy while the origin had no room. */
     @Test
-    void aKeyJustMissedIsNotAskedForAgainWhileTheOriginHasNoRoom() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ));
-        p.router.listReplaced(1000, List.of(OneProxy.ready(1)), false);
+    void aRecentlyMissedKeyIsRejectedWhileTheOriginIsFull() {
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.READ));
+        p.router.listReplaced(1000, List.of(TestProxy.ready(1)), false);
         p.ask(1000, 1, 42);
         p.ended(1001, 1, 0, Outcome.MISS, 1);
         p.ask(1002, 2, 42);
-        assertThat(p.done).endsWith("reject 2").filteredOn("execute 2"::equals).isEmpty();
+        assertThat(p.calls).endsWith("reject 2").filteredOn("execute 2"::equals).isEmpty();
     }
 
-    /** tarlat i88d483: hundreds of proxies with at least one execution each at a full origin. */
+    /** With a limit of at least one each, hundreds of proxies overloaded the origin. */
     @Test
-    void aLimitUnderOneIsAChance() {
-        OneProxy p = new OneProxy(OneProxy.aside(OneProxy.READ)).listed(3);
+    void aLimitUnderOneIsAProbability() {
+        TestProxy p = new TestProxy(TestProxy.cacheAside(TestProxy.READ)).withCaches(3);
         int toOrigin = 0;
         for (int i = 1; i <= 400; i++) {
             p.ask(1000 + 2000 * i, i, i);
             p.ended(1001 + 2000 * i, i, 0, Outcome.MISS, 1);
-            toOrigin += p.last().equals(OneProxy.ORIGIN) ? 1 : 0;
+            toOrigin += p.lastNode().equals(TestProxy.ORIGIN) ? 1 : 0;
             p.ended(1002 + 2000 * i, i, 1, Outcome.FULL, 1);
             p.ended(1003 + 2000 * i, i, 2, Outcome.FULL, 1);
         }
         assertThat(toOrigin).isBetween(10, 120);
     }
 
-    /** The back-off grows, but two calls, each up to a second late, fit into the 6 s after which a change counts as told. */
+    /** The back-off grows, but two calls, each up to a second late, fit into the 6 s within which a change has to be known. */
     @Test
-    void theBackOffOfFailedCallsToTheListLeavesTimeForASecondOne() {
-        OneProxy p = new OneProxy(OneProxy.onRequest());
+    void theListRetryDelayLeavesTimeForASecondCall() {
+        TestProxy p = new TestProxy(TestProxy.polledList());
         int before = p.delays.size();
         for (int i = 0; i < 200; i++) {
             p.router.listFailed(2000);
@@ -530,103 +530,103 @@
     }
 
     /**
-     * A watch that falls silent is given up after 3.5 s and opened anew within 0.1 s; where that call is given up, too, after a second, the next
-     * one has to begin and may take a second, all within the 6 s after which a change counts as told.
+     * A silent watch times out after 3.5 s and is reopened within 0.1 s. If that call times out, too, after a second, the next one has to
+     * start and may take another second, all within the 6 s within which a change has to be known.
      */
     @Test
-    void aCallThatIsGivenUpBehindASilentWatchIsMadeAgainInTime() {
+    void theFirstListRetryComesEarlyEnough() {
         for (int i = 0; i < 200; i++) {
-            OneProxy p = new OneProxy(OneProxy.onRequest());
+            TestProxy p = new TestProxy(TestProxy.polledList());
             int before = p.delays.size();
             p.router.listFailed(2000 + i);
             assertThat(p.delays.get(before)).isBetween(0.2 * 400, 400.0);
         }
     }
 
-    /** kingston big-2: jammed caches kept their keys; keys must not move for a list that is merely of another age. */
+    /** Overloaded caches kept all their keys. Tokens stay, so that no key moves between proxies whose lists differ only in age. */
     @Test
-    void aFullCacheShedsKeysAndTokensStay() {
-        OneProxy calm = new OneProxy(OneProxy.live(0)).listed(5);
-        OneProxy told = new OneProxy(OneProxy.live(0)).listed(5);
-        for (int news = 0; news < 6; news++) {
-            told.router.listChanged(1001 + news, List.of(OneProxy.live(1, 1, 0.05), OneProxy.live(2, 0, 0.5),
-                    OneProxy.live(3, 1, 0.5), OneProxy.live(4, 0, 0.7), OneProxy.live(5, 1, 0.4)));
+    void aFullCacheShedsKeysWithoutMovingTokens() {
+        TestProxy unchanged = new TestProxy(TestProxy.live(0)).withCaches(5);
+        TestProxy updated = new TestProxy(TestProxy.live(0)).withCaches(5);
+        for (int update = 0; update < 6; update++) {
+            updated.router.listChanged(1001 + update, List.of(TestProxy.live(1, 1, 0.05), TestProxy.live(2, 0, 0.5),
+                    TestProxy.live(3, 1, 0.5), TestProxy.live(4, 0, 0.7), TestProxy.live(5, 1, 0.4)));
         }
         int atFull = 0;
         for (int key = 0; key < 400; key++) {
-            calm.ask(1100, key, key);
-            told.ask(1100, key, key);
-            calm.ended(1100, key, 0, Outcome.COMPLETED, 0);
-            told.ended(1100, key, 0, Outcome.COMPLETED, 0);
-            atFull += told.last().value() == 1 ? 1 : 0;
-            assertThat(told.last()).matches(node -> node.equals(calm.last()) || calm.last().value() == 1);
+            unchanged.ask(1100, key, key);
+            updated.ask(1100, key, key);
+            unchanged.ended(1100, key, 0, Outcome.COMPLETED, 0);
+            updated.ended(1100, key, 0, Outcome.COMPLETED, 0);
+            atFull += updated.lastNode().value() == 1 ? 1 : 0;
+            assertThat(updated.lastNode()).matches(node -> node.equals(unchanged.lastNode()) || unchanged.lastNode().value() == 1);
         }
         assertThat(atFull).isBetween(1, 30);
     }
 
-    /** dakar, every day: half of the queries crossed at twelve points each. */
+    /** Half of the queries crossed zones at a penalty of twelve points each. */
     @Test
-    void theOwnLocationIsFirstOnlyWhereCrossingIsDear() {
-        for (double price : new double[] {0.12, 0.01}) {
-            OneProxy p = new OneProxy(OneProxy.live(price)).listed(8);
+    void theLocalZoneIsPreferredOnlyWhereCrossingIsExpensive() {
+        for (double penalty : new double[] {0.12, 0.01}) {
+            TestProxy p = new TestProxy(TestProxy.live(penalty)).withCaches(8);
             for (int key = 0; key < 100; key++) {
                 p.ask(1000, key, key);
                 p.ended(1000, key, 0, Outcome.COMPLETED, 0);
             }
-            assertThat(p.sentTo).filteredOn(node -> node.value() % 2 == 1).hasSizeBetween(price > 0.1 ? 100 : 20, price > 0.1 ? 100 : 80);
+            assertThat(p.sentTo).filteredOn(node -> node.value() % 2 == 1).hasSizeBetween(penalty > 0.1 ? 100 : 20, penalty > 0.1 ? 100 : 80);
         }
     }
 
     @Test
-    void theOtherLocationServesWhatTheOwnCannot() {
-        OneProxy p = new OneProxy(OneProxy.live(0.12)).listed(2);
-        p.router.listChanged(1001, List.of(OneProxy.member(1, Member.State.DRAINING, 0),
-                OneProxy.member(99, Member.State.DRAINING, 0)));
+    void theOtherZoneServesWhatTheLocalOneCannot() {
+        TestProxy p = new TestProxy(TestProxy.live(0.12)).withCaches(2);
+        p.router.listChanged(1001, List.of(TestProxy.member(1, Member.State.DRAINING, 0),
+                TestProxy.member(99, Member.State.DRAINING, 0)));
         p.ask(1002, 1, 42);
-        assertThat(p.last()).isEqualTo(new NodeId(2));
+        assertThat(p.lastNode()).isEqualTo(new NodeId(2));
     }
 
-    /** dakar big-1, a squeeze: tables were full of idle connections, which cost nothing there. */
+    /** Connection tables of the caches were full of idle connections in a deployment without a penalty for them. */
     @Test
-    void idleConnectionsAreClosedWhileConnectsFailThoughNoneHasAPrice() {
-        OneProxy p = new OneProxy(OneProxy.live(0)).listed(5);
+    void idleConnectionsAreClosedWhileConnectsFailEvenWithoutAPenalty() {
+        TestProxy p = new TestProxy(TestProxy.live(0)).withCaches(5);
         p.ask(1000, 1, 42);
         p.ended(1005, 1, 0, Outcome.COMPLETED, 5);
-        assertThat(p.done).noneMatch(done -> done.startsWith("close"));
+        assertThat(p.calls).noneMatch(call -> call.startsWith("close"));
         p.ask(1010, 2, 42);
         p.ended(1110, 2, 0, Outcome.CONNECT_FAILED, 100);
         p.ended(1115, 2, 1, Outcome.COMPLETED, 5);
-        assertThat(p.done).anyMatch(done -> done.startsWith("close"));
+        assertThat(p.calls).anyMatch(call -> call.startsWith("close"));
     }
 
-    /** kingston big-2: clients asked up to three times more, also past the SLO time, and were served for nothing. */
+    /** Clients retried up to three times, also past the SLO time, where serving them earned nothing. */
     @Test
-    void aLastTryPastItsSloTimeIsAnsweredAtOnce() {
-        OneProxy p = new OneProxy(OneProxy.live(0)).listed(5);
+    void aLastRetryPastItsSloTimeIsRejectedAtOnce() {
+        TestProxy p = new TestProxy(TestProxy.live(0)).withCaches(5);
         p.router.query(1000, new QueryId(1), new QueryRequest(0, new Key(1), 1200, 0, false, false));
         p.router.query(1100, new QueryId(2), new QueryRequest(0, new Key(1), 1200, 0, false, true));
         p.router.query(1900, new QueryId(3), new QueryRequest(0, new Key(1), 1100, 0, false, true));
-        assertThat(p.done).containsExactly("execute 1", "execute 2", "reject 3");
+        assertThat(p.calls).containsExactly("execute 1", "execute 2", "reject 3");
     }
 
-    /** kingston big-1: copies at successors were fetches more, and the origin made everything late. */
+    /** With read-through caches each second copy caused another fetch, and the overloaded origin made everything late. */
     @Test
     void thereAreNoCopiesWhereCachesFetch() {
-        OneProxy p = new OneProxy(OneProxy.parallel()).listed(4);
+        TestProxy p = new TestProxy(TestProxy.parallel()).withCaches(4);
         p.ask(1000, 1, 42);
         List.copyOf(p.timers).forEach(timer -> p.router.timerFired(1360, timer));
-        assertThat(p.done).containsExactly("execute 1");
+        assertThat(p.calls).containsExactly("execute 1");
     }
 
-    /** dakar fresh-big: copies at both locations doubled the misses, and the origin made a quarter late. */
+    /** Copies in both zones doubled the misses, and the overloaded origin made a quarter of the answers late. */
     @Test
-    void copiesAtEachLocationAreAsManyAsTheOriginBears() {
+    void aSlowOriginReducesTheKeysCopiedToEachZone() {
         for (double tookAtOrigin : new double[] {50, 400}) {
-            OneProxy p = new OneProxy(OneProxy.live(0.12, OneProxy.ORIGIN_MODEL)).listed(8);
+            TestProxy p = new TestProxy(TestProxy.live(0.12, TestProxy.ORIGIN_MODEL)).withCaches(8);
             int crossed = 0;
             for (int i = 0; i < 100; i++) {
                 p.ask(1000 + i, i, i);
-                crossed += i >= 50 && p.last().value() % 2 == 0 ? 1 : 0;
+                crossed += i >= 50 && p.lastNode().value() % 2 == 0 ? 1 : 0;
                 p.ended(1000 + i, i, 0, Outcome.MISS, 5);
                 p.ended(1000 + i, i, 1, Outcome.COMPLETED, tookAtOrigin);
             }
@@ -634,49 +634,49 @@
         }
     }
 
-    /** Guards the first seconds after a switch: with what was learnt an ill cache is avoided, without it each finds out anew. */
+    /** In the first seconds after a takeover an unhealthy cache is avoided only if its health was handed over. */
     @Test
-    void aRouterThatTakesOverAvoidsWhatIsIllAndNothingElse() {
-        OneProxy old = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
+    void aRouterThatTakesOverAvoidsOnlyUnhealthyCaches() {
+        TestProxy old = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(3);
         for (int id = 1; old.router.nodeHealth().isEmpty(); id++) {
             old.ask(1000, id, 42);
             old.ended(1000, id, 0, Outcome.CONNECT_FAILED, 0);
         }
-        List<NodeHealth> learnt = old.router.nodeHealth();
-        long ill = learnt.get(0).node().value();
-        for (boolean told : new boolean[] {true, false}) {
-            OneProxy fresh = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
-            fresh.router.restoreNodeHealth(1200, told ? learnt : List.of());
+        List<NodeHealth> health = old.router.nodeHealth();
+        long unhealthyNode = health.get(0).node().value();
+        for (boolean isHandedOver : new boolean[] {true, false}) {
+            TestProxy fresh = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(3);
+            fresh.router.restoreNodeHealth(1200, isHandedOver ? health : List.of());
             for (int key = 0; key < 40; key++) {
                 fresh.ask(1300, key, key);
                 fresh.ended(1301, key, 0, Outcome.COMPLETED, 1);
             }
-            assertThat(fresh.sentTo.contains(new NodeId(ill))).isNotEqualTo(told);
+            assertThat(fresh.sentTo.contains(new NodeId(unhealthyNode))).isNotEqualTo(isHandedOver);
         }
-        OneProxy restarted = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
-        restarted.router.listChanged(1200, List.of(OneProxy.member(ill, Member.State.READY, 1100)));
-        restarted.router.restoreNodeHealth(1200, learnt);
+        TestProxy restarted = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(3);
+        restarted.router.listChanged(1200, List.of(TestProxy.member(unhealthyNode, Member.State.READY, 1100)));
+        restarted.router.restoreNodeHealth(1200, health);
         assertThat(restarted.router.unavailableCount(1300)).isZero();
     }
 
-    /** Guards against a file that is wrong: what it says of a node holds for seconds at most, and the list wins. */
+    /** Wrong values in a handed-over file affect a node for seconds at most, and the list takes precedence. */
     @Test
-    void whatIsRecalledIsBoundedAndNeverOverrulesTheList() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(3);
+    void restoredHealthIsBoundedAndNeverOverridesTheList() {
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(3);
         p.router.restoreNodeHealth(1000, List.of(new NodeHealth(new NodeId(1), 0, 1e15, 1e15, 0, 0),
                 new NodeHealth(new NodeId(2), 0, 1e15, 0, 0, 0), new NodeHealth(new NodeId(77), 0, 0, 0, 0, 0)));
-        p.router.listChanged(1001, List.of(OneProxy.member(3, Member.State.DRAINING, 0),
-                OneProxy.member(99, Member.State.DRAINING, 0)));
+        p.router.listChanged(1001, List.of(TestProxy.member(3, Member.State.DRAINING, 0),
+                TestProxy.member(99, Member.State.DRAINING, 0)));
         p.ask(1002, 1, 42);
-        assertThat(p.done).containsExactly("reject 1");
+        assertThat(p.calls).containsExactly("reject 1");
         p.ask(3501, 2, 42);
-        assertThat(p.last().value()).isIn(1L, 2L);
+        assertThat(p.lastNode().value()).isIn(1L, 2L);
     }
 
-    /** Guards against a ring that is kept though two caches have changed places in size. */
+    /** The ring must be updated if two caches exchange their weights, though the total stays the same. */
     @Test
-    void cachesThatExchangeTheirScalesExchangeTheirKeys() {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ));
+    void cachesThatExchangeTheirWeightsExchangeTheirKeys() {
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ));
         int[] ofSecond = new int[2];
         for (int turn = 0; turn < 2; turn++) {
             p.router.listChanged(1000, List.of(new Member(new NodeId(1), Member.State.READY, 0, 0, 0, 4 - 3 * turn, 0),
@@ -684,44 +684,44 @@
             for (int key = 0; key < 200; key++) {
                 p.ask(1000, 1000 * turn + key, key);
                 p.ended(1000, 1000 * turn + key, 0, Outcome.COMPLETED, 1);
-                ofSecond[turn] += p.last().value() == 2 ? 1 : 0;
+                ofSecond[turn] += p.lastNode().value() == 2 ? 1 : 0;
             }
         }
         assertThat(ofSecond[0]).isBetween(10, 80);
         assertThat(ofSecond[1]).isBetween(120, 190);
     }
 
-    /** Where the own location is full, a key goes where the other location keeps it: from its hash on, not from the last one met. */
+    /** If the local zone is full, the walk restarts at the hash of the key, so that it reaches the cache that holds it in the other zone. */
     @Test
-    void aKeyThatSpillsOverGoesToItsOwnerThere() {
+    void aKeyThatLeavesAFullZoneGoesToItsOwnerInTheOther() {
         for (int key = 0; key < 60; key++) {
-            OneProxy there = new OneProxy(OneProxy.live(0.12)).listed(9);
-            there.router.listChanged(1001, IntStream.of(1, 3, 5, 7, 9, 99).mapToObj(
-                    n -> OneProxy.member(n, Member.State.DRAINING, 0)).toList());
-            there.ask(1002, 1, key);
-            OneProxy full = new OneProxy(OneProxy.live(0.12)).listed(9);
+            TestProxy otherZone = new TestProxy(TestProxy.live(0.12)).withCaches(9);
+            otherZone.router.listChanged(1001, IntStream.of(1, 3, 5, 7, 9, 99).mapToObj(
+                    n -> TestProxy.member(n, Member.State.DRAINING, 0)).toList());
+            otherZone.ask(1002, 1, key);
+            TestProxy full = new TestProxy(TestProxy.live(0.12)).withCaches(9);
             full.router.listChanged(1001, IntStream.of(5, 7, 9).mapToObj(
-                    n -> OneProxy.member(n, Member.State.DRAINING, 0)).toList());
+                    n -> TestProxy.member(n, Member.State.DRAINING, 0)).toList());
             full.ask(1001, 0, key);
-            for (int news = 0; news < 60; news++) {
-                full.router.listChanged(1001 + news, IntStream.of(1, 3, 99).mapToObj(
-                        n -> OneProxy.live(n, 1, 0.0001)).toList());
+            for (int update = 0; update < 60; update++) {
+                full.router.listChanged(1001 + update, IntStream.of(1, 3, 99).mapToObj(
+                        n -> TestProxy.live(n, 1, 0.0001)).toList());
             }
             full.ask(1100, 1, key);
-            assertThat(full.last()).isEqualTo(there.last());
+            assertThat(full.lastNode()).isEqualTo(otherZone.lastNode());
         }
     }
 
-    /** What limits were learnt under goes along with the share: half of the whole's divisor, twice in flight; settings told anew keep it. */
+    /** Learned limits scale with this proxy's share: with half as many proxies, twice as many queries in flight. */
     @Test
-    void limitsGoAlongWithTheShare() {
+    void limitsScaleWithTheShareOfTheFleet() {
         assertThat(inFlightAtMost(1)).isPositive();
         assertThat(inFlightAtMost(4)).isBetween(3.5 * inFlightAtMost(1), 4.5 * inFlightAtMost(1));
     }
 
-    /** Queries that find room at once, where the share is so many times what the settings say. */
+    /** Number of queries that the limits allow at once if the proxy's share is {@code times} that in the settings. */
     private static double inFlightAtMost(double times) {
-        OneProxy p = new OneProxy(OneProxy.through(OneProxy.READ)).listed(5);
+        TestProxy p = new TestProxy(TestProxy.readThrough(TestProxy.READ)).withCaches(5);
         p.ask(1000, 0, 0);
         p.router.fleetShareChanged(2 / times, Double.NaN);
         for (int i = 1; i < 1000; i++) {
--- a/src/test/java/dappleseam/router/OneProxy.java
+++ b/src/test/java/dappleseam/router/TestProxy.java
@@ -4,65 +4,65 @@
 import java.util.List;
 import java.util.random.RandomGeneratorFactory;
 
-/** A router with a host that writes down what it is told to do, and a small deployment around it. */
-final class OneProxy implements Host {
-    static final ServiceGrade READ = grade(ServiceGrade.Semantics.IDEMPOTENT, ServiceGrade.Group.ALL);
+/** A router in a small deployment, whose host records the actions of the router. */
+final class TestProxy implements Host {
+    static final ServiceGrade READ = grade(ServiceGrade.Semantics.IDEMPOTENT, ServiceGrade.DedupScope.ALL);
     static final int ORIGIN_MODEL = 9;
     static final NodeId ORIGIN = new NodeId(99);
 
-    final List<String> done = new ArrayList<>();
+    final List<String> calls = new ArrayList<>();
     final List<NodeId> sentTo = new ArrayList<>();
     final List<TimerId> timers = new ArrayList<>();
     final List<Double> delays = new ArrayList<>();
     final Router router;
 
-    OneProxy(RouterSettings site) {
-        router = new Router(site, RandomGeneratorFactory.of("L64X128MixRandom").create(7), this, 1000);
+    TestProxy(RouterSettings settings) {
+        router = new Router(settings, RandomGeneratorFactory.of("L64X128MixRandom").create(7), this, 1000);
     }
 
-    static ServiceGrade grade(ServiceGrade.Semantics repeat, ServiceGrade.Group group) {
-        return new ServiceGrade(repeat, group, 2000, 600, 2000, 1, 0, false);
+    static ServiceGrade grade(ServiceGrade.Semantics semantics, ServiceGrade.DedupScope dedupScope) {
+        return new ServiceGrade(semantics, dedupScope, 2000, 600, 2000, 1, 0, false);
     }
 
-    /** Two proxies, three executions, caches that fetch for themselves, a pushed list. */
-    static RouterSettings through(ServiceGrade grade) {
-        return site(grade, -1, false, 0);
+    /** Two proxies, three executions per query, read-through caches, a pushed list. */
+    static RouterSettings readThrough(ServiceGrade grade) {
+        return settings(grade, -1, false, 0);
     }
 
-    static RouterSettings aside(ServiceGrade grade) {
-        return site(grade, ORIGIN_MODEL, false, 0);
+    static RouterSettings cacheAside(ServiceGrade grade) {
+        return settings(grade, ORIGIN_MODEL, false, 0);
     }
 
     static RouterSettings parallel() {
-        return site(READ, -1, true, 0);
+        return settings(READ, -1, true, 0);
     }
 
-    static RouterSettings asideInParallel() {
-        return site(READ, ORIGIN_MODEL, true, 0);
+    static RouterSettings parallelCacheAside() {
+        return settings(READ, ORIGIN_MODEL, true, 0);
     }
 
-    static RouterSettings onRequest() {
-        return site(READ, -1, false, 8000);
+    static RouterSettings polledList() {
+        return settings(READ, -1, false, 8000);
     }
 
-    /** A list whose scales move with load, at location 1 of two. */
-    static RouterSettings live(double crossPrice) {
-        return live(crossPrice, -1);
+    /** Weights that change with load, and a proxy in zone 1 of two. */
+    static RouterSettings live(double crossZonePenalty) {
+        return live(crossZonePenalty, -1);
     }
 
-    static RouterSettings live(double crossPrice, int originModel) {
-        return new RouterSettings(List.of(READ), 2, originModel, false, true, 1, crossPrice, 1, 3, false, true, 1000, 0,
+    static RouterSettings live(double crossZonePenalty, int originModel) {
+        return new RouterSettings(List.of(READ), 2, originModel, false, true, 1, crossZonePenalty, 1, 3, false, true, 1000, 0,
                 0.2, 10000, 3, 0, 0);
     }
 
-    static Member live(long node, int zone, double scale) {
-        return new Member(new NodeId(node), Member.State.READY, 0, 0, zone, scale, 0);
+    static Member live(long node, int zone, double weight) {
+        return new Member(new NodeId(node), Member.State.READY, 0, 0, zone, weight, 0);
     }
 
-    private static RouterSettings site(ServiceGrade grade, int originModel, boolean parallel,
-                                   double askEvery) {
+    private static RouterSettings settings(ServiceGrade grade, int originModel, boolean parallel,
+                                   double askEveryMs) {
         return new RouterSettings(List.of(grade), 2, originModel, true, false, 0, 0, 1, 3, parallel, true, 1000,
-                askEvery, 0.2, 10000, 3, 0.05, 0.05);
+                askEveryMs, 0.2, 10000, 3, 0.05, 0.05);
     }
 
     static Member ready(long node) {
@@ -75,8 +75,8 @@
         return new Member(new NodeId(node), state, model, (int) node % 2, (int) node % 2, 1, startedAt);
     }
 
-    /** Lists caches 1 to {@code count}, and the origin. */
-    OneProxy listed(int count) {
+    /** Sets a list of caches 1 to {@code count} and the origin. */
+    TestProxy withCaches(int count) {
         List<Member> members = new ArrayList<>(List.of(ready(ORIGIN.value())));
         for (int i = 1; i <= count; i++) {
             members.add(ready(i));
@@ -97,39 +97,39 @@
         router.executionEnded(at, new QueryId(id), execution, outcome, took, outcome == Outcome.COMPLETED);
     }
 
-    NodeId last() {
+    NodeId lastNode() {
         return sentTo.get(sentTo.size() - 1);
     }
 
     @Override
     public void execute(QueryId query, NodeId node, double timeoutMs) {
-        done.add("execute " + query.value());
+        calls.add("execute " + query.value());
         sentTo.add(node);
     }
 
     @Override
     public void cancel(QueryId query, int execution) {
-        done.add("cancel " + query.value() + "/" + execution);
+        calls.add("cancel " + query.value() + "/" + execution);
     }
 
     @Override
     public void reject(QueryId query, double retryAfterMs) {
-        done.add("reject " + query.value());
+        calls.add("reject " + query.value());
     }
 
     @Override
     public void abort(QueryId query) {
-        done.add("abort " + query.value());
+        calls.add("abort " + query.value());
     }
 
     @Override
     public void closeIdle(NodeId node) {
-        done.add("close " + node.value());
+        calls.add("close " + node.value());
     }
 
     @Override
     public void followList() {
-        done.add("follow");
+        calls.add("follow");
     }
 
     @Override
