--- a/src/main/java/dappleseam/clients/ClientConnection.java
+++ b/src/main/java/dappleseam/clients/ClientConnection.java
@@ -15,34 +15,40 @@
 import java.util.regex.Pattern;
 import org.xnio.StreamConnection;
 
-/** One client's connection: commands in, answers out in the order of the commands. */
+/**
+ * One client connection: parses commands, submits queries to the {@link QueryHandler} and writes the replies in the order of the commands.
+ * Reading is paused while too many replies or bytes are pending, and the connection is closed when the client stalls.
+ */
 final class ClientConnection implements Link.Events {
-    /** Commands owed an answer, and bytes the client has not taken, at which nothing more is read from it. */
+    /** Limits on pending replies and on unsent reply bytes; at either one, reading from the client is paused. */
     private static final int MOST_OWED = 128;
     private static final long MOST_UNREAD = 128 << 10;
-    /** Time in ms without a byte taken after which a client has gone: well past any statement timeout. */
+    /** Time in ms after which a client that takes no reply bytes is considered gone: well past any statement timeout. */
     private static final double STALL_MS = 20_000;
-    /** Time in ms for the first command, and between two parts of one: no honest client takes as long. */
+    /** Limit in ms until the first command, and between two parts of a command; no well-behaved client takes as long. */
     private static final double SILENT_MS = 2200;
-    /** Time in ms for one command in all, in parts of any size. */
+    /** Limit in ms for receiving one command, in however many parts it arrives. */
     private static final double LONGEST_COMMAND_MS = 20_000;
-    /** Time in ms without a query open after which a client that has asked before is closed. */
+    /** Time in ms without an open query after which a client that has sent queries before is closed. */
     private static final double IDLE_MS = 5000;
-    /** Time in ms without a query open after which a client is not likely to ask again soon. */
+    /** Time in ms without an open query after which a client is unlikely to send another one soon. */
     private static final double SETTLED_MS = 250;
-    /** Time in ms after which buffers are looked for again. */
+    /** Delay in ms before a paused connection checks again whether it can read. */
     private static final double BUFFERS_AGAIN_MS = 20;
-    /** What may go on into a path or a header. */
+    /** Keys and ids: only characters that are safe in a URL path and in an HTTP header. */
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._~:-]{1,128}");
     private static final Pattern FACTS = Pattern.compile("[!-+\\--~]+(,[!-+\\--~]+)*");
     private static final int LONGEST_FACTS = 1024;
-    /** Time in ms for which a new client's first command may be on its way. */
+    /** Time in ms for which the first command of a new client may still be on its way. */
     private static final double NEW_MS = 1000;
-    /** Which to keep rather, the later ones: silent, idle, in the middle of a command, new; then by time. */
+    /**
+     * Eviction order, first to be evicted first: clients that never sent a query, idle ones, those in the middle of a command, new ones;
+     * within each group the one quiet for the longest time.
+     */
     static final Comparator<ClientConnection> BY_USE =
             Comparator.comparingInt(ClientConnection::use).thenComparingDouble(c -> c.quietSince);
 
-    /** A query that has come, and what it is owed. */
+    /** A query that has been read, and its pending reply. */
     private record Asked(Command command, Owed owed) {}
 
     private final Loop loop;
@@ -51,29 +57,29 @@
     private final RespReader reader;
     private final Link link;
     private final ArrayDeque<Owed> owed = new ArrayDeque<>();
-    /** Read, and not handed on yet: an end may be right behind them. */
+    /** Queries read but not submitted yet: the client's close may directly follow them. */
     private final ArrayDeque<Asked> asked = new ArrayDeque<>();
     private Loop.Deadline stallWatch;
     private Loop.Deadline silence = () -> { };
-    /** When the last answer was written, at first when the connection came. */
+    /** When the last reply was written; initially when the connection was accepted. */
     private double quietSince;
-    /** When the command began that is not whole yet, and when its last part came. */
+    /** When the incomplete command began, and when its last part was read. */
     private double begunAt;
     private double heardAt;
-    /** Bytes of buffers granted for the long value that comes. */
+    /** Buffer bytes granted for the large value being received. */
     private long granted;
     private boolean hasAsked;
     private int slot;
-    /** Commands wait to be read, since then; NaN where they do not. */
+    /** Since when delivery of input is paused; NaN while it is not. */
     private double heldSince = Double.NaN;
-    /** Since when more waits than can be read ahead, of which nobody knows how old it is; NaN where it does not. */
+    /** Since when more input has been waiting than can be read ahead, so that its age is unknown; NaN while there is none. */
     private double blindSince = Double.NaN;
     private Loop.Deadline lookAgain = () -> { };
-    /** Queries are being handed on, some of which may be answered at once. */
+    /** Queries are being submitted; some may be answered synchronously. */
     private boolean handsOn;
-    /** How long the commands that are read now may have waited. */
+    /** Upper bound in ms on how long the commands being read have waited. */
     private double waitedMs;
-    /** Nothing more is taken; the connection ends once what is owed is written. */
+    /** No more commands are accepted; the connection closes once all pending replies are written. */
     private boolean last;
 
     ClientConnection(Loop loop, StreamConnection connection, Queries queries, ClientFront front) {
@@ -85,7 +91,7 @@
         quietSince = loop.nowMs();
     }
 
-    /** Begins to read; {@code slot} is its number at the front, and what it has written by now may have waited so long. */
+    /** Starts reading. {@code slot} is this connection's number in the frontend; input already received may have waited up to {@code maxWaitedMs}. */
     void open(int slot, double mayHaveWaitedMs) {
         this.slot = slot;
         waitedMs = mayHaveWaitedMs;
@@ -95,7 +101,7 @@
         watchForSilence();
     }
 
-    /** Guards the descriptors against clients that say nothing, or half a command and no more. */
+    /** Closes clients that send nothing or only part of a command, so that they do not use up the file descriptors. */
     private void watchForSilence() {
         if (!link.isClosed()) {
             double now = loop.nowMs();
@@ -110,7 +116,7 @@
     }
 
     private double silentAt() {
-        return isHeld() ? Double.POSITIVE_INFINITY // it is not the client that keeps us waiting
+        return isHeld() ? Double.POSITIVE_INFINITY // paused by this proxy, not by the client
                 : !reader.isBetweenMessages() ? Math.min(heardAt + SILENT_MS, begunAt + LONGEST_COMMAND_MS)
                 : !owesNothing() ? Double.POSITIVE_INFINITY : quietSince + (hasAsked ? IDLE_MS : SILENT_MS);
     }
@@ -123,14 +129,14 @@
         }
     }
 
-    /** Takes nothing more; ends the connection once this and what else is owed is written. */
+    /** Accepts no more commands, and closes the connection once this error and the other pending replies are written. */
     private void refuse(String line) {
         takeNothingBehind();
         reader.release();
         oweOne().line(line);
     }
 
-    /** What is read from here on is dropped. Where it goes on and on, the queries before it are answered all the same. */
+    /** Drops all further input. If the input never ends, the queries read before are still rejected after a short delay. */
     private void takeNothingBehind() {
         last = true;
         loop.at(loop.nowMs() + BUFFERS_AGAIN_MS, this::rejectAsked);
@@ -152,12 +158,15 @@
         pauseIfFull();
     }
 
-    /** Guards the buffers against more long values than they can hold: who has no grant is not read. */
+    /**
+     * Tries to get a buffer grant for the large value being received, and returns whether one is needed and not available. Without a grant
+     * the connection is not read, so that large values cannot exhaust the buffers.
+     */
     private boolean lacksGrant() {
         if (granted == 0 && reader.bulkLeft() >= Large.FROM) {
             granted = front.grant(reader.bulkLeft());
             begunAt = loop.nowMs();
-            heardAt = begunAt; // it is not the client that keeps us waiting
+            heardAt = begunAt; // the wait for the grant does not count against the client
         }
         return granted == 0 && reader.bulkLeft() >= Large.FROM;
     }
@@ -211,7 +220,10 @@
         }
     }
 
-    /** Guards nodes against queries of a client that has closed behind them, as one that sends much at once and goes. */
+    /**
+     * Submits the queries only now that all input has been read: a client that sends many commands and closes must not cause executions at
+     * the nodes.
+     */
     @Override
     public void caughtUp() {
         handsOn = true;
@@ -232,7 +244,7 @@
         }
     }
 
-    /** Answers what is read and cannot be taken: an end may be behind it, or nothing more is taken. */
+    /** Rejects the queries that were read but cannot be submitted, because a close may follow them or no more commands are accepted. */
     private void rejectAsked() {
         while (!asked.isEmpty()) {
             Asked next = asked.poll();
@@ -249,7 +261,7 @@
         return link.isClosed();
     }
 
-    /** What is read ahead is owed an answer, too. */
+    /** Whether no reply is pending, unsent, or due for input that was read ahead. */
     boolean owesNothing() {
         return owed.isEmpty() && link.out().size() == 0 && !link.hasReadAhead();
     }
@@ -266,17 +278,18 @@
         return hasAsked && isIdle();
     }
 
-    /** Idle for so long that its client is not about to ask again. */
+    /** Whether the connection has been idle for so long that its client is unlikely to send another query soon. */
     boolean hasSettled() {
         return hasAskedAndIsIdle() && loop.nowMs() - quietSince > SETTLED_MS;
     }
 
+    /** Groups of {@link #BY_EVICTION_ORDER}: 0 is evicted first. */
     private int use() {
         boolean isNew = !hasAsked && loop.nowMs() - quietSince < NEW_MS;
         return isNew ? 3 : !isIdle() ? 2 : hasAsked ? 1 : 0;
     }
 
-    /** Ends the connection, where nothing is owed on it, for one that is more likely to be of use. */
+    /** Closes the connection, if nothing is pending on it, to make room for a new one. */
     void makeWay() {
         link.readable();
         if (!link.isClosed() && owesNothing()) {
@@ -284,7 +297,7 @@
         }
     }
 
-    /** Writes the answers whose turn has come. */
+    /** Writes the replies at the head of the queue that are available. */
     void flushAnswers() {
         if (link.isClosed()) {
             return;
@@ -293,7 +306,7 @@
         long before = link.out().size();
         try {
             while (!owed.isEmpty() && owed.peekFirst().isAnswered()) {
-                if (owed.peekFirst().isBroken()) { // the client can tell only by the end that this is not the whole value
+                if (owed.peekFirst().isBroken()) { // closing is the only way to tell the client that the value is incomplete
                     close();
                     return;
                 }
@@ -303,7 +316,7 @@
                 owed.pollFirst();
                 any = true;
             }
-        } catch (RuntimeException e) { // half an answer cannot be followed by another
+        } catch (RuntimeException e) { // a partly written reply cannot be followed by another
             close();
             return;
         }
@@ -321,7 +334,7 @@
         }
     }
 
-    /** Guards the buffers against a client that takes nothing of its answers any more. */
+    /** Closes a client that has stopped reading its replies, to release their buffers. */
     private void watchForStall() {
         if (link.out().size() > 0 && stallWatch == null) {
             long before = link.written();
@@ -342,7 +355,7 @@
     @Override
     public void drained() {
         if (!owed.isEmpty() && owed.peekFirst().isAnswered()) {
-            flushAnswers(); // the next part of a long value
+            flushAnswers(); // the next part of a large value
         }
         if (link.isClosed()) {
             return;
@@ -350,10 +363,10 @@
         if (last && owed.isEmpty()) {
             close();
         } else if (front.closesIdle() && isIdle()) {
-            loop.at(loop.nowMs(), this::closeIfIdle); // not now: bytes of this connection may be in hand
+            loop.at(loop.nowMs(), this::closeIfIdle); // deferred: bytes of this connection may be being processed
         } else if (isHeld() && !isFull() && !handsOn) {
             resume();
-        } // else at the next look: each answer at once would read more, on one stack
+        } // else by the resume timer: resuming within submission would recurse for each synchronous reply
     }
 
     private boolean isFull() {
@@ -365,7 +378,7 @@
         return !Double.isNaN(heldSince);
     }
 
-    /** Guards the buffers against a client that sends and does not read, or sends more than can be held. */
+    /** Pauses a client that sends without reading replies, or sends more than the buffers can hold. */
     private void pauseIfFull() {
         if (!isHeld() && !link.isClosed() && isFull()) {
             heldSince = loop.nowMs();
@@ -375,7 +388,7 @@
     }
 
     private void resume() {
-        lookAgain.callOff(); // one at a time, however often it is held
+        lookAgain.callOff(); // at most one timer, however often the connection is paused
         if (!isHeld() || link.isClosed() || last) {
             return;
         }
@@ -394,7 +407,7 @@
         waitedMs = 0;
     }
 
-    /** Whether its client is still there, as far as can be known now; not known where more waits than is read ahead. */
+    /** Whether the client is known to be connected, after reading what has arrived; false if unread input may hide its close. */
     boolean isClientHere() {
         link.look();
         return !link.isClosed() && !link.isBlind();
@@ -405,10 +418,10 @@
         gone();
     }
 
-    /** Ends the connection if nothing has come on it and nothing is owed. */
+    /** Closes the connection if no input has arrived and no reply is pending. */
     void closeIfIdle() {
         if (!link.isClosed() && !last) {
-            link.readable(); // what is read now is answered; a close with it unread would lose it
+            link.readable(); // input read now is answered; closing with it unread would lose it
         }
         if (!link.isClosed() && isIdle()) {
             link.closeAtOnce();
@@ -416,7 +429,7 @@
         }
     }
 
-    /** Reads what has come, answers that, and reads no more; what is not read is reset, and asked elsewhere. */
+    /** Reads and answers what has arrived, then stops reading. Unread input is reset on close, so that the client retries elsewhere. */
     void takeNoMore() {
         if (last) {
             return;
@@ -428,7 +441,7 @@
             last = true;
             link.pause();
             rejectAsked();
-            if (!link.isClosed() && owesNothing()) { // half a command is not taken
+            if (!link.isClosed() && owesNothing()) { // an incomplete command is dropped
                 link.closeAtOnce();
                 gone();
             }
--- a/src/main/java/dappleseam/clients/ClientFront.java
+++ b/src/main/java/dappleseam/clients/ClientFront.java
@@ -11,27 +11,33 @@
 import org.xnio.XnioWorker;
 import org.xnio.nio.SharedPort;
 
-/** Where clients connect. */
+/** Accepts client connections, limits their number and their buffers, and closes them on shutdown or when out of service. */
 public final class ClientFront {
     private static final Logger LOG = System.getLogger(ClientFront.class.getName());
     private static final int BACKLOG = 512;
-    /** Share of the buffers for long values on their way in. */
+    /** Share of the buffers for large values being received from clients. */
     private static final double SHARE_FOR_LONG = 0.3;
-    /** Connections kept free, where nothing is owed on some, for those that come next. */
+    /** Connections kept free for new clients, by evicting clients with no pending reply. */
     private static final int KEPT_FREE = 8;
-    /** Share of the clients' own limit that those with nothing owed may take; the rest is for a burst. */
+    /** Share of the clients' own connection limit that idle clients may use; the rest is left for a burst. */
     private static final double IDLE_SHARE = 0.75;
-    /** Time in ms between looks at who is idle while they have more: a few clients connect in that time. */
+    /** Interval in ms of the checks for idle clients while they exceed that share; only a few clients connect in that time. */
     private static final double LOOK_AGAIN_MS = 50;
-    /** Back-off in ms after a failed accept, first and most: short beside the shortest deadline, long beside a call that fails at once. */
+    /**
+     * Initial and maximum back-off in ms after a failed accept: short compared with the shortest deadline, long compared with a call that fails
+     * immediately.
+     */
     private static final double ACCEPT_AGAIN_MS = 2;
     private static final double ACCEPT_AGAIN_MOST_MS = 20;
-    /** Least time in ms between two lines of the log about it. */
+    /** Minimum interval in ms between two log lines about failed accepts. */
     private static final double LOGS_APART_MS = 1000;
-    /** Time in ms for which clients go on being sent here once a PING is answered no. */
+    /** Time in ms for which load balancers may still send clients here after a PING was answered with an error. */
     private static final double SENT_MORE_MS = 400;
 
-    /** Time in ms after that from which nothing more is read of clients that have asked: one that is never idle would stay for good. */
+    /**
+     * Time in ms after that grace period from which clients that have sent queries are not read any more: one that is never idle would stay
+     * forever.
+     */
     private static final double LAST_READ_MS = 1000;
 
     private final Loop loop;
@@ -40,20 +46,23 @@
     private final int roomToAsk;
     private int asking;
     private boolean makingRoom;
-    /** Bytes of buffers that long values may take which have begun to come. */
+    /** Buffer bytes granted to large values that are being received. */
     private long granted;
     private final Slots<ClientConnection> connections = new Slots<>();
     private SharedPort port;
     private boolean isStopping;
-    /** Since when connections may wait to be accepted; NaN where none does. */
+    /** Since when connections may be waiting in the accept backlog; NaN if there are none. */
     private double backlogSince = Double.NaN;
     private double acceptAgainMs = ACCEPT_AGAIN_MS;
     private double acceptLoggedAt = Double.NEGATIVE_INFINITY;
     private boolean sendsAway;
-    /** When clients are to be closed as they fall idle. */
+    /** From when clients are closed as soon as they are idle. */
     private double closesFrom = Double.POSITIVE_INFINITY;
 
-    /** Takes {@code most} connections at once, more wait to be accepted; clients open {@code mostAsking} for queries. */
+    /**
+     * Keeps up to {@code most} connections open, more wait in the backlog. {@code queryConnections} is the number of connections that clients
+     * open for queries at most.
+     */
     public ClientFront(Loop loop, Queries queries, int most, int mostAsking) {
         this.loop = loop;
         this.queries = queries;
@@ -61,7 +70,7 @@
         roomToAsk = (int) (IDLE_SHARE * mostAsking);
     }
 
-    /** Takes so many connections at once from now on; those it has beyond that stay. */
+    /** Changes the connection limit; open connections beyond it stay open. */
     public void limit(int newMost) {
         most = newMost;
         if (isListening() && !isStopping) {
@@ -77,7 +86,7 @@
         port = SharedPort.open(worker, address, BACKLOG, most, this::acceptWaiting);
     }
 
-    /** Takes all connections that wait. Where accept fails, which passes, they go on waiting and it is tried again soon. */
+    /** Accepts all waiting connections. If accept fails, which is transient, they stay in the backlog and it is retried soon. */
     private void acceptWaiting() {
         try {
             for (StreamConnection next = port.accept(); next != null; next = port.accept()) {
@@ -104,7 +113,7 @@
             acceptLoggedAt = loop.nowMs();
             LOG.log(Level.WARNING, "accepting a client failed: {0}", cause.getMessage());
         }
-        port.suspendAccepts(); // else the thread would spin on it
+        port.suspendAccepts(); // otherwise the thread would spin on it
         loop.at(loop.nowMs() + acceptAgainMs, () -> {
             if (port.isOpen()) {
                 port.resumeAccepts();
@@ -114,19 +123,19 @@
         acceptAgainMs = Math.min(ACCEPT_AGAIN_MOST_MS, 2 * acceptAgainMs);
     }
 
-    /** Connections may wait to be accepted from now on. */
+    /** Notes that connections may be waiting in the backlog from now on. */
     private void backlogWaits() {
         if (Double.isNaN(backlogSince)) {
             backlogSince = loop.nowMs();
         }
     }
 
-    /** For how long a connection that is accepted now may have waited, with a query written to it. */
+    /** How long a connection accepted now may have waited in the backlog, with a query already sent on it. */
     private double backlogAgeMs() {
         return Double.isNaN(backlogSince) ? 0 : loop.nowMs() - backlogSince;
     }
 
-    /** A client has connected. */
+    /** Adds a newly accepted client connection. */
     public void opened(StreamConnection connection) {
         opened(connection, 0);
     }
@@ -141,7 +150,7 @@
         client.open(connections.put(client), waitedMs);
     }
 
-    /** Guards honest clients against hundreds that connect and say nothing. */
+    /** Evicts a client when nearly all connections are in use, so that hundreds of silent clients do not lock out the others. */
     private void makeRoom() {
         if (connections.used() >= most - KEPT_FREE) {
             connections.all().stream().filter(ClientConnection::owesNothing).min(ClientConnection.BY_USE)
@@ -149,7 +158,7 @@
         }
     }
 
-    /** Room for a long value of so many bytes: the same again, or 0 while there is none. */
+    /** Grants buffers for a large value: returns {@code bytes}, or 0 if they are not available now. */
     long grant(long bytes) {
         long room = (long) (SHARE_FOR_LONG * loop.pool().all()) - granted;
         boolean onlyOne = granted == 0 && loop.pool().free() >= bytes;
@@ -164,7 +173,7 @@
         granted -= bytes;
     }
 
-    /** A client has sent its first query. */
+    /** Called when a client has sent its first query. */
     void asked() {
         asking++;
     }
@@ -175,9 +184,9 @@
     }
 
     /**
-     * A client is owed nothing any more. Guards clients against those that ask once and keep their connection:
-     * they hold so many at most, and with all of them idle here no other could be opened. Those that ask again and
-     * again are left alone: what is closed under load only has to be accepted again.
+     * Called when a client has no pending reply any more. Clients share a limited number of connections; if all of them sat idle here after
+     * one query, no other could be opened, so the excess of idle ones is closed. Clients that send queries continuously are left alone:
+     * closing them under load would only mean accepting them again.
      */
     void fellIdle() {
         if (asking > roomToAsk && !makingRoom) {
@@ -196,20 +205,20 @@
         return port.address();
     }
 
-    /** Accepts no more, and closes clients as they fall idle: another process takes them. */
+    /** Hands the clients over to another process: stops accepting, and closes each client as soon as it is idle. */
     public void handOver() {
         stopListening();
         closesFrom = loop.nowMs();
     }
 
-    /** Accepts no more, but for what has connected already: what is queued at a listener that closes is reset. */
+    /** Stops listening after accepting what is already in the backlog, which closing the listener would reset. */
     public void stopListening() {
         isStopping = true;
         port.limit(Integer.MAX_VALUE);
         acceptWaiting();
     }
 
-    /** Sends clients away from now on: a PING is answered no, and connections close as they fall idle. */
+    /** Goes out of service: answers PING with an error and, after a grace period, closes connections as they become idle. */
     public void outOfService() {
         if (!sendsAway) {
             sendsAway = true;
@@ -218,7 +227,7 @@
         }
     }
 
-    /** Takes clients again. */
+    /** Returns to service. */
     public void inService() {
         sendsAway = false;
         closesFrom = Double.POSITIVE_INFINITY;
@@ -228,7 +237,7 @@
         return sendsAway;
     }
 
-    /** Whether a client is closed as soon as nothing is owed to it. */
+    /** Whether clients are closed as soon as they are idle. */
     boolean closesIdle() {
         return loop.nowMs() >= closesFrom;
     }
@@ -243,12 +252,12 @@
         }
     }
 
-    /** Ends the connections on which nothing is owed. */
+    /** Closes all idle connections. */
     public void closeIdle() {
         connections.all().forEach(ClientConnection::closeIfIdle);
     }
 
-    /** From now on no query is taken of any client; what is owed is still written. */
+    /** Stops reading from all clients; pending replies are still written. */
     public void takeNoMore() {
         connections.all().forEach(ClientConnection::takeNoMore);
     }
--- a/src/main/java/dappleseam/clients/Owed.java
+++ b/src/main/java/dappleseam/clients/Owed.java
@@ -5,18 +5,18 @@
 import dappleseam.wire.Chain;
 import dappleseam.wire.RespWriter;
 
-/** The answer that one command is owed; it goes out once those before it on the connection have. */
+/** The pending reply to one command. It is written once all earlier replies on the connection have been written. */
 public final class Owed {
-    /** Bytes of a long value put out at once; the next when the client has taken them. */
+    /** Maximum bytes of a large value in the output queue; more is added when the client has taken them. */
     private static final int MOST_PUT_OUT = 64 << 10;
 
     private final ClientConnection connection;
-    /** One of the three, once the answer is there. */
+    /** Exactly one of these three is set once the reply is available. */
     private Chain value;
     private String line;
     private Transfer transfer;
     private boolean headWritten;
-    /** Null for a command that is no query. */
+    /** Null for a command other than a query. */
     private QueryId query;
 
     Owed(ClientConnection connection) {
@@ -35,7 +35,7 @@
         return value != null || line != null || transfer != null;
     }
 
-    /** Answers with the value, and takes it over. */
+    /** Replies with a value, and takes ownership of it. */
     public void value(Chain whole) {
         if (isAnswered() || connection.isClosed()) {
             whole.release();
@@ -45,7 +45,7 @@
         connection.flushAnswers();
     }
 
-    /** Answers with a long value as it comes. */
+    /** Replies with a large value that is still being received; it is streamed to the client. */
     public void begun(Transfer onItsWay) {
         if (isAnswered() || connection.isClosed()) {
             onItsWay.abandon();
@@ -55,24 +55,24 @@
         connection.flushAnswers();
     }
 
-    /** There is more of the long value that it is answered with. */
+    /** Called when more of the streamed value is available, or it has ended. */
     public void more() {
         if (!connection.isClosed()) {
             connection.flushAnswers();
         }
     }
 
-    /** Whether its client is still there: asked just before something more is done for it. */
+    /** Whether the client is still connected; checked just before more work is done for it. */
     public boolean isClientHere() {
         return connection.isClientHere();
     }
 
-    /** Trying again is harmless, after so many ms where that is over 0. */
+    /** Replies BUSY: the query had no effect and may be retried, after {@code retryAfterMs} if that is positive. */
     public void busy(double comeBackMs) {
         line(comeBackMs > 0 ? "-BUSY " + (long) Math.ceil(comeBackMs) : "-BUSY");
     }
 
-    /** An answer of one line, with its sign in front. */
+    /** Replies with a single line that starts with its RESP type character. */
     public void line(String signed) {
         if (!isAnswered() && !connection.isClosed()) {
             line = signed;
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Puts out what there is, within bounds; says whether that was all of it. */
+    /** Writes what is available, up to the queue limit; returns whether the reply is complete. */
     boolean writeTo(Chain out) {
         if (transfer != null) {
             return writePartTo(out);
@@ -107,7 +107,7 @@
         return true;
     }
 
-    /** What has gone out of a long value cannot be followed by the rest. */
+    /** Whether a streamed value failed part-way, so that the rest cannot follow. */
     boolean isBroken() {
         return transfer != null && transfer.isBroken();
     }
--- a/src/main/java/dappleseam/clients/Queries.java
+++ b/src/main/java/dappleseam/clients/Queries.java
@@ -3,16 +3,17 @@
 import dappleseam.query.Command;
 import dappleseam.router.QueryId;
 
-/** Who takes the clients' queries. */
+/** Receives the queries that clients send. */
 public interface Queries {
     /**
-     * Takes a query that may have waited for so many ms to be read, and answers it through {@code owed}, now or later; null where it was
-     * turned away.
+     * Handles a query that may have waited up to {@code waitedMs} before it was read, and completes {@code reply} now or later. Returns the
+     * query's id, or null if it was refused and {@code reply} is already completed.
      */
     QueryId take(Command command, Owed owed, double waitedMs);
 
-    /** Rejects a query without taking it: whether its client is still there cannot be known. */
+    /** Rejects a query without handling it, because its client may have disconnected. */
     void reject(Command command, Owed owed);
 
+    /** Called when the client of an unanswered query has disconnected. */
     void clientLeft(QueryId id);
 }
--- a/src/main/java/dappleseam/list/ListFile.java
+++ b/src/main/java/dappleseam/list/ListFile.java
@@ -6,9 +6,9 @@
 import java.nio.file.Path;
 import java.util.Locale;
 
-/** The list as one process had it last, kept for the one that takes over: in the list service's form, behind a line that proves it. */
+/** File with the last node list of a process, for the process that takes over: the list service's JSON behind a checksum line. */
 public final class ListFile {
-    /** Of the format; another version passes it over. */
+    /** Format version; files of any other version are ignored. */
     private static final String VERSION = "dappleseam-list-1";
 
     private ListFile() {}
@@ -17,12 +17,12 @@
         SealedFile.write(file, VERSION, json -> write(json, list));
     }
 
-    /** The list in the file; an exception says why it is of no use. */
+    /** Reads the list; the exception says why the file cannot be used. */
     public static JsonNode read(Path file) throws IOException {
         return SealedFile.read(file, VERSION);
     }
 
-    /** In the list service's form, as one object. */
+    /** Writes the list as one JSON object in the list service's format. */
     public static void write(JsonGenerator json, NodeList list) throws IOException {
         json.writeStartObject();
         json.writeNumberField("rev", list.version());
--- a/src/main/java/dappleseam/list/ListReader.java
+++ b/src/main/java/dappleseam/list/ListReader.java
@@ -15,22 +15,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the list service's JSON, for the router and for who dials. */
+/** Reads the list service's JSON: members for the router, and the addresses to connect to. */
 public final class ListReader {
-    /** Addresses remembered: those of a large fleet, whose list names them again and again. */
+    /** Maximum number of cached addresses: enough for a large fleet, whose lists repeat them. */
     private static final int MOST_ADDRESSES = 4096;
 
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private final List<String> machines;
     private final Map<String, Integer> zones = new HashMap<>();
 
-    /** The names of the kinds of machine and of the zones, in the order in which they are numbered. */
+    /** Takes the names of the node models and of the zones, in the order of their indexes. */
     public ListReader(List<String> machines, List<String> zones) {
         this.machines = machines;
         zones.forEach(zone -> this.zones.put(zone, this.zones.size()));
     }
 
-    /** As it came, without a tree of it: the list of a large fleet has thousands of entries. */
+    /** Reads the JSON text without building a tree, as the list of a large fleet has thousands of entries. */
     public NodeList read(byte[] json) throws IOException {
         try (JsonParser parser = Json.parser(json)) {
             return list(parser);
@@ -39,6 +39,7 @@
         }
     }
 
+    /** Reads a list that is already parsed. */
     public NodeList read(JsonNode list) throws IOException {
         try (JsonParser parser = list.traverse()) {
             return list(parser);
@@ -60,10 +61,10 @@
             } else if (key.equals("targets") && value == JsonToken.START_ARRAY) {
                 entries = entries(parser);
             }
-            parser.skipChildren(); // what is not known, or is not what it should be
+            parser.skipChildren(); // skips unknown keys and values of an unexpected type
         }
         if (version == null || entries == null) {
-            throw new IOException("list: lacks rev or targets");
+            throw new IOException("list: rev or targets is missing");
         }
         return new NodeList(version, whole, entries);
     }
@@ -76,7 +77,7 @@
         return entries;
     }
 
-    /** The fields of one entry, as far as they are known. */
+    /** The known fields of one entry. */
     private static final class Fields {
         String uid = "";
         String endpoint = "";
@@ -97,7 +98,7 @@
                 case "pod_group" -> group = value.getValueAsInt();
                 case "capacity_hint" -> scale = value.getValueAsDouble(1);
                 case "boot_ms" -> bootMs = value.getValueAsDouble();
-                default -> { } // new keys may appear
+                default -> { } // unknown keys are ignored, as new ones may be added
             }
         }
     }
@@ -113,7 +114,7 @@
             parser.skipChildren();
         }
         if (fields.uid.isEmpty()) {
-            throw new IOException("list: an entry lacks uid");
+            throw new IOException("list: an entry without uid");
         }
         Member.State state = switch (fields.state) {
             case "ready" -> Member.State.READY;
@@ -125,7 +126,7 @@
         return new Listed(fields.uid, member, address(fields.endpoint), fields.zone, fields.machine);
     }
 
-    /** What is gone needs no address. */
+    /** The parsed address; null for an empty one, as nodes that are gone need none. */
     private InetSocketAddress address(String text) throws IOException {
         InetSocketAddress known = addresses.get(text);
         if (known != null || text.isEmpty()) {
@@ -139,11 +140,11 @@
             addresses.put(text, address);
             return address;
         } catch (IllegalArgumentException e) {
-            throw new IOException("list: endpoint is " + e.getMessage());
+            throw new IOException("list: endpoint: " + e.getMessage());
         }
     }
 
-    /** FNV-1a: the same at every proxy, which the address is not. */
+    /** Hash (FNV-1a) of a node's uid, which identifies the node at all proxies; its address may differ between them. */
     public static long hash(String uid) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < uid.length(); i++) {
--- a/src/main/java/dappleseam/list/ListWatch.java
+++ b/src/main/java/dappleseam/list/ListWatch.java
@@ -18,24 +18,28 @@
 import org.xnio.StreamConnection;
 
 /**
- * Follows the list service by long polls, each begun as the one before is answered. Guards rule 3 against a watch that falls silent:
- * a change counts as told six seconds after the service had it, so a poll that waits, its lateness and two more calls have to fit into that.
+ * Watches the node list of the list service by long polling; each poll starts when the previous one is answered. By rule 3 a change counts as
+ * delivered six seconds after the service had it, even if the watch stalls, so the hold time of a poll, its response grace and two more calls
+ * have to fit into that time.
  */
 public final class ListWatch {
     private static final Logger LOG = System.getLogger(ListWatch.class.getName());
     private static final long LONGEST_LIST = 4 << 20;
-    /** How long one long poll waits for news at most, in ms, and the share of it that is drawn: proxies do not call in step. */
+    /** Maximum hold time of a long poll in ms, and the share of it that is random so that proxies do not poll in step. */
     private static final double HOLD_MS = 2500;
     private static final double HOLD_DRAWN = 0.2;
-    /** How long a call may take beyond its waiting, in ms: the service works through calls in turn. */
+    /** How long a call may take beyond its hold time, in ms, as the service processes calls one after the other. */
     private static final double LATE_MS = 1000;
     private static final double CONNECT_MS = 1000;
-    /** Time in ms after which a call whose connections all hang dials once more beside them; connections that it dials at most. */
+    /** Time in ms after which a call with no connection open yet starts another attempt in parallel, and the maximum number of attempts. */
     static final double DIAL_AGAIN_MS = 400;
     static final int MOST_DIALS = 3;
-    /** Longest time in ms, drawn, before a watch that broke or fell silent is opened anew: all of them may have at once. */
+    /** Maximum random delay in ms before a broken or stalled watch is reopened, as all proxies may be affected at once. */
     private static final double ANEW_MS = 100;
-    /** Back-off in ms before a failed call is made again where the list is pushed; doubled. What the agent has counts as told at once. */
+    /**
+     * Initial back-off in ms, doubled each time, before a failed call is retried if the list is pushed: then a change counts as delivered as soon
+     * as the agent has it.
+     */
     private static final double AGAIN_MS = 100;
     private static final double AGAIN_MOST_MS = 250;
 
@@ -49,10 +53,10 @@
     private long version;
     private boolean always;
     private double againMs = AGAIN_MS;
-    /** The call that is out; null while nothing is followed. */
+    /** The call in progress; null while not watching. */
     private Call call;
 
-    /** {@code again}: what comes of the time in ms until a failed call is made again. */
+    /** {@code adjustBackoff} maps the proposed delay in ms before the next retry to the one that is used. */
     public ListWatch(Loop loop, InetSocketAddress service, ListReader lists, long version,
                      Consumer<NodeList> news, Consumer<String> failed, DoubleUnaryOperator again, RandomGenerator random) {
         this.loop = loop;
@@ -65,25 +69,25 @@
         this.random = random;
     }
 
-    /** Begins to follow, unless a call is out already. The first call does not wait: it tells what was missed. */
+    /** Starts watching, unless a call is in progress. The first call returns at once with what changed since the known version. */
     public void follow() {
         if (call == null) {
             begin(0, false);
         }
     }
 
-    /** How long the next long poll waits for news. */
+    /** Hold time of the next long poll. */
     private long holdMs() {
         return Math.round(HOLD_MS * (1 - HOLD_DRAWN * random.nextDouble()));
     }
 
-    /** Follows from now on without being asked, as where the list is pushed to a proxy. */
+    /** Starts watching, and from now on retries failed calls; used if the list is pushed to a proxy. */
     public void followAlways() {
         always = true;
         follow();
     }
 
-    /** Follows at another address from now on, from the version last heard; what was missed comes first. */
+    /** Switches to the list service at another address, continuing from the last known version. */
     public void moveTo(InetSocketAddress other) {
         if (!other.equals(service)) {
             service = other;
@@ -94,7 +98,7 @@
         }
     }
 
-    /** Asks for the whole list again, to read it in another way. */
+    /** Requests the full list again, to be read with another reader. */
     public void readAnew(ListReader otherLists) {
         lists = otherLists;
         version = 0;
@@ -113,12 +117,12 @@
         private final HttpReader reader = new HttpReader(loop.pool(), LONGEST_LIST);
         private Loop.Deadline late = () -> { };
         private final List<Loop.Deadline> dials = new ArrayList<>();
-        /** Dials that are neither up nor failed. */
+        /** Connection attempts that have neither succeeded nor failed. */
         private int hanging;
         private Loop.Deadline dialAgain = () -> { };
         private final long firstHoldMs;
         private Link link;
-        /** Whether it goes on from an answer: the service was well then, and may be. */
+        /** Whether the previous call was answered, so that the service is presumably still healthy. */
         private boolean isWatch;
 
         Call(long firstHoldMs, boolean goesOn) {
@@ -132,7 +136,10 @@
             dialAgain = loop.at(loop.nowMs() + DIAL_AGAIN_MS, this::dialBeside);
         }
 
-        /** One connection that hangs says nothing of the service; not where nodes and clients hold all descriptors. */
+        /**
+         * Starts another attempt, as one hanging connection does not mean that the service is down; skipped if nodes and clients use all
+         * descriptors.
+         */
         private void dialBeside() {
             if (loop.mayDial()) {
                 hanging++;
@@ -160,7 +167,7 @@
 
         private void ask(long holdMs) {
             late.callOff();
-            late = loop.at(loop.nowMs() + holdMs + LATE_MS, () -> fail("no answer in time"));
+            late = loop.at(loop.nowMs() + holdMs + LATE_MS, () -> fail("no response in time"));
             link.out().put("GET /registry/instances?from=" + version + "&hold_ms=" + holdMs
                     + " HTTP/1.1\r\nHost: list\r\n\r\n");
             link.flush();
@@ -170,9 +177,9 @@
         public void received(ByteBuffer bytes) {
             Progress progress = reader.read(bytes);
             if (progress == Progress.BAD) {
-                fail("not an answer in HTTP");
+                fail("malformed HTTP response");
             } else if (progress == Progress.DONE) {
-                answered(reader.staysOpen() && !bytes.hasRemaining()); // more than was asked for: what follows is as doubtful
+                answered(reader.staysOpen() && !bytes.hasRemaining()); // after unexpected bytes the connection cannot be trusted
             }
         }
 
@@ -182,11 +189,11 @@
             NodeList list;
             try {
                 if (status != 200) {
-                    isWatch = false; // it says itself that it has too much to do
+                    isWatch = false; // the service itself reports that it is overloaded
                     throw new IOException("status " + status);
                 }
                 list = lists.read(body.bytes());
-            } catch (IOException | RuntimeException e) { // a list that makes no sense leaves the old one
+            } catch (IOException | RuntimeException e) { // after an invalid list the old one stays
                 fail(e.getMessage());
                 return;
             } finally {
@@ -221,7 +228,7 @@
         private void fail(String cause) {
             if (call == this) {
                 end();
-                if (isWatch) { // no back-off for the first call
+                if (isWatch) { // the first call after an answered one is made without back-off
                     LOG.log(Level.INFO, "list: the watch is opened anew: {0}", cause);
                     loop.at(loop.nowMs() + ANEW_MS * random.nextDouble(), ListWatch.this::follow);
                     return;
--- a/src/main/java/dappleseam/list/Listed.java
+++ b/src/main/java/dappleseam/list/Listed.java
@@ -4,9 +4,12 @@
 import java.net.InetSocketAddress;
 import java.util.Objects;
 
-/** One entry of the list, where this proxy reaches it (null where it does not say), and its zone and machine by name. */
+/**
+ * One entry of the node list: its uid, the router's member, the address this proxy connects to (null if none is listed), and the names of its
+ * zone and model.
+ */
 public record Listed(String uid, Member member, InetSocketAddress endpoint, String zone, String machine) {
-    // Written out, as that of its member.
+    // Written out for speed, like Member's.
     @Override
     public boolean equals(Object other) {
         return other instanceof Listed that && member.equals(that.member) && Objects.equals(endpoint, that.endpoint) && uid.equals(that.uid)
--- a/src/main/java/dappleseam/list/NodeList.java
+++ b/src/main/java/dappleseam/list/NodeList.java
@@ -2,5 +2,5 @@
 
 import java.util.List;
 
-/** The list, or what has changed of it, at one version. */
+/** The node list at one version: the full list, or only the entries that have changed. */
 public record NodeList(long version, boolean whole, List<Listed> entries) {}
--- a/src/main/java/dappleseam/list/SealedFile.java
+++ b/src/main/java/dappleseam/list/SealedFile.java
@@ -16,14 +16,14 @@
 import java.util.Arrays;
 import java.util.zip.CRC32;
 
-/** JSON that one process leaves for the next, behind a line with its version and a sum that proves it. */
+/** A JSON file with a header line that holds the format version and a checksum; used to hand state to the next process. */
 public final class SealedFile {
     private static final int LONGEST = 4 << 20;
     private static final int LONGEST_FIRST_LINE = 64;
 
     private SealedFile() {}
 
-    /** What is there was never written so. */
+    /** The file was not written by {@link #write} with the expected version, or has changed since. */
     public static final class DamagedException extends IOException {
         private static final long serialVersionUID = 1L;
 
@@ -32,17 +32,17 @@
         }
     }
 
-    /** Writes the JSON of one file. */
+    /** Writes the JSON content of a file. */
     public interface Content {
         void write(JsonGenerator json) throws IOException;
     }
 
-    /** Replaces the file as a whole. */
+    /** Replaces the file atomically. */
     public static void write(Path file, String version, Content content) throws IOException {
         write(file, version, content, false);
     }
 
-    /** Returns once file and folder are on the disk. */
+    /** Replaces the file atomically, and returns once the file and its folder entry are synced to disk. */
     public static void writeForced(Path file, String version, Content content) throws IOException {
         write(file, version, content, true);
         try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
@@ -71,10 +71,10 @@
         Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** What is in the file; an exception says why it is of no use. */
+    /** Reads the content; the exception says why the file cannot be used. */
     public static JsonNode read(Path file, String version) throws IOException {
         if (Files.size(file) > LONGEST) {
-            throw new IOException("too long");
+            throw new IOException("the file is too large");
         }
         byte[] all = Files.readAllBytes(file);
         int end = 0;
@@ -83,7 +83,7 @@
         }
         byte[] body = Arrays.copyOfRange(all, Math.min(all.length, end + 1), all.length);
         if (!new String(all, 0, end, StandardCharsets.US_ASCII).equals(version + ' ' + checkSum(body))) {
-            throw new DamagedException("of another version, or damaged");
+            throw new DamagedException("wrong format version, or damaged");
         }
         return Json.read(body);
     }
--- a/src/main/java/dappleseam/list/StartTimes.java
+++ b/src/main/java/dappleseam/list/StartTimes.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 
 /**
- * When nodes started, by this process's own clock. The list gives wall-clock times, and wall clocks are stepped, so what is told here is never
- * earlier than the start itself: a node that appears while this process follows the list starts then, and one that its first list names is as
- * old as the newest there shows it to be. A node whose time is 0 started long ago.
+ * Converts the start times of nodes to this process's monotonic clock. The list gives wall-clock times, and wall clocks may be stepped, so a
+ * converted time is never earlier than the actual start: a node that appears while this process watches the list is taken to start then, and
+ * the age of a node in the first list is taken relative to the newest node there. A start time of 0 means long ago.
  */
 public final class StartTimes {
-    /** Nodes remembered at most, listed or not: one that leaves the list and comes back has not started again. */
+    /** Maximum number of nodes remembered, listed or not: a node that leaves the list and returns has not been restarted. */
     private static final int MOST = 8192;
 
     private record Start(double bootMs, double startedAtMs) {}
@@ -27,23 +27,24 @@
         }
     };
 
-    /** The entries of a list that this process begins with: the one from its file, or the first that it hears. Times in ms. */
+    /** The members of the list that this process starts with, from its file or the first one received, with adjusted start times. Times in ms. */
     public List<Member> ofFirst(NodeList list, double nowMs, double wallMs) {
         starts.clear();
         double newest = list.entries().stream().mapToDouble(entry -> entry.member().startedAtMs()).max().orElse(0);
         return members(list, nowMs, bootMs -> atLeast(newest - bootMs, wallMs - bootMs));
     }
 
-    /** Where the wall clock shows less than the list does, the list spans a step of it; where it shows nothing, it is behind. */
+    /** The lower of both ages, as the list's times may span a clock step; the list's age if this process's wall clock is behind. */
     private static double atLeast(double agedByListMs, double agedByWallMs) {
         return agedByWallMs < 0 ? agedByListMs : Math.min(agedByListMs, agedByWallMs);
     }
 
-    /** The entries of a later list, or of what has changed. */
+    /** The members of a later list or update, with adjusted start times. */
     public List<Member> of(NodeList list, double nowMs) {
         return members(list, nowMs, bootMs -> 0);
     }
 
+    /** Estimates the age of a node, in ms, that it has at least. */
     private interface Age {
         double leastMs(double bootMs);
     }
@@ -70,13 +71,13 @@
         return known.startedAtMs;
     }
 
-    /** What the list says of a node, 0 for long ago: the name of its process at every proxy. */
+    /** The start time that the list gives for a node, 0 for long ago; at all proxies it identifies the node's process. */
     public double bootMs(NodeId node) {
         Start start = starts.get(node);
         return start == null ? 0 : start.bootMs;
     }
 
-    /** By this process's clock when that process of the node started; NaN where it is not the one that is listed. */
+    /** Start time, by this process's clock, of the node's process with that boot time; NaN if another process is listed. */
     public double startedAtMs(NodeId node, double bootMs) {
         Start start = starts.get(node);
         return start == null ? bootMs <= 0 ? 0 : Double.NaN : start.bootMs == bootMs ? start.startedAtMs : Double.NaN;
--- a/src/main/java/dappleseam/origin/Origin.java
+++ b/src/main/java/dappleseam/origin/Origin.java
@@ -19,9 +19,9 @@
 import java.nio.ByteBuffer;
 import org.xnio.StreamConnection;
 
-/** The origin, over HTTP/1.1: one exchange at a time on each connection. */
+/** The origin server, over HTTP/1.1 with one exchange at a time on each connection. */
 public final class Origin implements Backend {
-    /** Bytes of a long value put out at once; the next when the origin has taken them. */
+    /** Maximum bytes of a value in the output queue; more is added when the origin has taken them. */
     private static final int MOST_PUT_OUT = 64 << 10;
 
     private final Loop loop;
@@ -38,7 +38,7 @@
 
     @Override
     public void begin(Execution execution) {
-        for (Connection c : open.all()) { // always the first that is free, so that the last ones fall idle
+        for (Connection c : open.all()) { // always the first free one, so that the last ones become idle and are closed
             if (c.current == null && c.isClean()) {
                 c.send(execution);
                 return;
@@ -92,7 +92,7 @@
         for (Connection c : open.all()) {
             if (c.link == null || c.current != null && c.link.written() <= c.beginsAt) {
                 c.close();
-                c.end(Ending.broken(Reached.NOT_WHOLE, "the origin drains or is gone"));
+                c.end(Ending.broken(Reached.NOT_WHOLE, "the origin is draining or gone"));
             }
         }
     }
@@ -107,7 +107,7 @@
     private final class Connection implements Inflow.Connection {
         private final Inflow inflow = new Inflow(loop, this);
         private final HttpReader reader = new HttpReader(loop.pool(), Large.LONGEST, inflow);
-        /** Bytes put out of the value that goes out. */
+        /** Bytes already queued of the value being sent. */
         private long put;
         private Loop.Deadline dialling = () -> { };
         private Loop.Deadline closing = () -> { };
@@ -115,9 +115,9 @@
         private Link link;
         private Execution current;
         private double idleSince;
-        /** How long it had been idle when the query went out that has no answer yet; under 0 for the first. */
+        /** How long the connection had been idle before the unanswered request; negative for the first request. */
         private double idleMs = -1;
-        /** Bytes of the connection before the query that goes out, and with it. */
+        /** Byte range of the current request in the connection's output; the end is {@link Long#MAX_VALUE} until all of it is queued. */
         private long beginsAt;
         private long endsAt;
 
@@ -130,7 +130,7 @@
             link.resume();
             if (current.mayBegin()) {
                 send(current);
-            } else if (!link.isClosed()) { // its client may have left while the connection came up
+            } else if (!link.isClosed()) { // its client may have disconnected while the connection was opening
                 current = null;
                 if (retired) {
                     close();
@@ -140,7 +140,7 @@
             }
         }
 
-        /** Stands idle for the next query, or until the origin would close it. */
+        /** Waits for the next request, and is closed shortly before the origin would close it. */
         private void rest() {
             idleSince = loop.nowMs();
             closing = loop.at(loop.nowMs() + limits.retireMs(), this::close);
@@ -160,14 +160,14 @@
                 write(e, Math.max(1, Math.round(e.waitUntil - loop.nowMs())), link.out());
                 put = 0;
                 putValue();
-            } catch (RuntimeException fault) { // half a head must not be followed by another
-                ended("fault: " + fault);
+            } catch (RuntimeException fault) { // a partly written request must not be followed by another
+                ended("internal error: " + fault);
                 return;
             }
             link.flush();
         }
 
-        /** The next part of the value; the query holds the one copy of it. */
+        /** Queues the next part of the value; the query keeps the only full copy of it. */
         private void putValue() {
             Chain value = current.command.value();
             put += value == null ? 0 : link.out().copyPart(value, put, MOST_PUT_OUT);
@@ -190,8 +190,8 @@
             } else if (current != null && endsAt == Long.MAX_VALUE) {
                 try {
                     putValue();
-                } catch (RuntimeException fault) { // what has gone out is less than it was said to be
-                    ended("fault: " + fault);
+                } catch (RuntimeException fault) { // less was sent than Content-Length announced
+                    ended("internal error: " + fault);
                     return;
                 }
                 link.flush();
@@ -224,14 +224,14 @@
             if (progress == Progress.BAD || current == null) {
                 boolean whole = reached() == Reached.WHOLE;
                 close();
-                end(whole ? Ending.erred("not an answer in HTTP")
-                        : Ending.broken(Reached.NOT_WHOLE, "an answer ahead of its query"));
+                end(whole ? Ending.erred("malformed HTTP response")
+                        : Ending.broken(Reached.NOT_WHOLE, "a response before the request was sent"));
             } else if (progress == Progress.DONE) {
                 answered(!bytes.hasRemaining());
             }
         }
 
-        /** Guards the next query against what came behind the last answer, or an end nobody has read yet. */
+        /** Whether an idle connection can be reused; closes it if input or a close has arrived since the last response. */
         boolean isClean() {
             idleMs = loop.nowMs() - idleSince;
             if (link.isQuiet() && limits.reuse().isLikely(idleMs)) {
@@ -241,7 +241,7 @@
             return false;
         }
 
-        /** Where the answer is not {@code clean}, more came than belongs to it: it counts, the connection ends. */
+        /** Handles a complete response. If not {@code clean}, bytes followed it: the response counts, but the connection is closed. */
         private void answered(boolean clean) {
             boolean completed = reader.status() == 200;
             boolean neverRan = reader.header("x-unprocessed").equals("1")
@@ -271,7 +271,7 @@
             }
         }
 
-        /** Guards a client against part of a value: a body without a length ends with an orderly end, never with a reset. */
+        /** A body without a length is complete on an orderly close only, never on a reset, so that no client gets part of a value. */
         @Override
         public void finished() {
             if (current != null && reader.endsBody()) {
--- a/src/main/java/dappleseam/servers/CacheNode.java
+++ b/src/main/java/dappleseam/servers/CacheNode.java
@@ -23,15 +23,15 @@
 import java.util.function.Function;
 import org.xnio.StreamConnection;
 
-/** One cache node and this proxy's connections to it, on which commands are answered in order. */
+/** One cache node and this proxy's RESP connections to it. Commands on a connection are pipelined; the node replies in order. */
 public final class CacheNode implements Backend {
-    /** Bulk strings of an answer: the value, how it went, the load report. */
+    /** Bulk strings in a reply: the value, its status, the load report. */
     private static final int PARTS = 3;
-    /** Time in ms that a connection may owe only answers nobody waits for; then it is taken for dead. */
+    /** Time in ms for which only abandoned commands may be unanswered on a connection; then it is considered dead. */
     private static final double STUCK_MS = 2500;
-    /** Time in ms after an answer in which another copy of it may come, where answers are spoilt at all. */
+    /** Time in ms after a reply in which a duplicate of it may arrive, while there have been corrupted replies. */
     private static final double COPY_MS = 15;
-    /** Longest way there and back in ms: a connection that took longer to come up was kept waiting here. */
+    /** Longest plausible round-trip time in ms: a connection that took longer to open was delayed in this process. */
     private static final double FAR_MS = 2;
 
     private final Loop loop;
@@ -106,8 +106,8 @@
     @Override
     public void endWaiting() {
         for (Connection c : open.all()) {
-            c.endUnbegun("the node drains or is gone");
-            c.endWaiting("the node drains or is gone");
+            c.endUnbegun("the node is draining or gone");
+            c.endWaiting("the node is draining or gone");
         }
     }
 
@@ -119,22 +119,22 @@
     }
 
     /**
-     * Guards a command sent before the last answer came against a copy of that answer, right behind it: none comes back
-     * in less time than the way takes, of which the connection's coming up tells unless this thread was late itself.
+     * Whether a reply arrives too early to belong to a command that was sent before the previous reply came: it is then a duplicate of that
+     * reply. No genuine reply takes less than a round trip, for which the time to connect is an estimate unless this thread itself was late.
      */
     static boolean isTooSoon(double sentAt, double lastAnsweredAt, double connectMs, double now) {
         return sentAt <= lastAnsweredAt && now - sentAt < Math.min(connectMs, FAR_MS);
     }
 
-    /** A command that was put out, from one byte of the connection to another. */
+    /** A command that was queued for output, with its byte range in the connection's output. */
     private record Sent(Execution execution, long beginsAt, long endsAt, double at) {}
 
     private final class Connection implements Inflow.Connection {
-        /** Not written yet, as the connection is not up. */
+        /** Executions waiting for the connection to open. */
         final ArrayDeque<Execution> waiting = new ArrayDeque<>();
-        /** Written and not answered, in order. */
+        /** Commands queued or written and not answered, in order. */
         final ArrayDeque<Sent> sent = new ArrayDeque<>();
-        /** Put out, and not known yet to be written whole, in order. */
+        /** Commands queued whose last byte is not known to be written, in order. */
         private final ArrayDeque<Sent> unwritten = new ArrayDeque<>();
         private final Inflow inflow = new Inflow(loop, this);
         private final RespReader reader = new RespReader(loop.pool(), Large.LONGEST, inflow);
@@ -144,11 +144,11 @@
         private final double dialledAt = loop.nowMs();
         private double connectMs;
         private double answeredAt;
-        /** The answer that comes now was owed when its long value began. */
+        /** Whether the reply being received was expected when its large value began. */
         private boolean beginsAnswer;
-        /** How long it had been idle when the command went out that has no answer yet; under 0 for all others. */
+        /** How long the connection had been idle before the first unanswered command; negative if it was not idle. */
         private double idleMs = -1;
-        /** Closes the connection unless something happens. */
+        /** Closes the connection unless it is cancelled by activity. */
         private Loop.Deadline closing = () -> { };
 
         int load() {
@@ -156,18 +156,19 @@
         }
 
         /**
-         * Behind an answer that nobody waits for any more, a query would wait for what was too slow; right behind the last answer, where
-         * some were spoilt of late, a copy of that one would pass for its own.
+         * Whether another command may be sent on this connection. Not while the next reply belongs to an abandoned command: the new one would
+         * wait for what was too slow. And not directly after a reply while replies have recently been corrupted: a duplicate of it would be
+         * taken for the new command's reply.
          */
         boolean hasRoom() {
             boolean mayBeCopied = load() == 0 && link != null && loop.nowMs() - answeredAt < COPY_MS
                     && !limits.reuse().isCalm(loop.nowMs());
-            boolean isWritten = link == null || link.out().size() == 0; // what is behind a command that stands could be taken back no more
+            boolean isWritten = link == null || link.out().size() == 0; // a command queued behind unwritten bytes could not be taken back
             return load() < limits.commandsAtOnce() && !mayBeCopied && isWritten
                     && (sent.isEmpty() || !sent.peekFirst().execution.hasEnded());
         }
 
-        /** Guards the next query against what came behind the last answer, or an end nobody has read yet. */
+        /** Whether an idle connection can be reused; closes it if input or a close has arrived since the last reply. */
         boolean isClean() {
             if (load() > 0 || link == null) {
                 return true;
@@ -190,8 +191,8 @@
             connectMs = loop.nowMs() - dialledAt;
             link.resume();
             while (!waiting.isEmpty() && !link.isClosed()) {
-                Execution next = waiting.peek(); // keeps its place meanwhile: the look at its client may read the next query
-                boolean mayBegin = next.mayBegin(); // its client may have left while the connection came up
+                Execution next = waiting.peek(); // stays queued meanwhile: checking its client may read the next query
+                boolean mayBegin = next.mayBegin(); // its client may have disconnected while the connection was opening
                 if (waiting.remove(next) && mayBegin) {
                     send(next);
                 }
@@ -215,9 +216,9 @@
             long beginsAt = link.queued();
             try {
                 write(e.command, Math.max(1, Math.round(e.waitUntil - loop.nowMs())), link.out());
-            } catch (RuntimeException fault) { // half a command must not be followed by another
+            } catch (RuntimeException fault) { // a partly written command must not be followed by another
                 sent.add(new Sent(e, beginsAt, Long.MAX_VALUE, loop.nowMs()));
-                ended("fault: " + fault);
+                ended("internal error: " + fault);
                 return;
             }
             Sent one = new Sent(e, beginsAt, link.queued(), loop.nowMs());
@@ -248,7 +249,7 @@
             }
         }
 
-        /** Whether an execution had not gone out whole, and does no more; it may only be the last one on the connection. */
+        /** Withdraws an execution whose command is not completely written; only the last one can be. Returns whether it was withdrawn. */
         boolean takeBack(Execution execution) {
             if (waiting.remove(execution)) {
                 return true;
@@ -259,16 +260,19 @@
             }
             sent.removeLast();
             unwritten.remove(newest);
-            if (link.written() == newest.beginsAt) { // all that is unwritten is its own
+            if (link.written() == newest.beginsAt) { // all unwritten bytes belong to it
                 link.dropUnwritten();
                 settled();
             } else {
-                ended("a command was taken back half-written"); // the rest would go out still
+                ended("a partly written command was cancelled"); // otherwise the rest would still be written
             }
             return true;
         }
 
-        /** The neighbours keep the connection; alone on it, the execution is ended with it where asked. */
+        /**
+         * Abandons a command. Other commands on the connection are not affected; if the policy asks for it, a connection that carries only
+         * this command is closed.
+         */
         Reached giveUp(Sent given) {
             if (limits.closeToGiveUp() && sent.size() == 1) {
                 Reached reached = link.written() >= given.endsAt ? Reached.WHOLE : Reached.NOT_WHOLE;
@@ -277,12 +281,12 @@
                 return reached;
             }
             if (sent.peek() == given && answeredAt <= given.at) {
-                // Guards the next ones against an answer that never comes: all behind it on the connection are lost.
+                // Stops later commands from sharing connections: if this reply never comes, all commands behind it are lost.
                 limits.reuse().troubled(loop.nowMs());
             }
             closing.callOff();
             closing = loop.at(loop.nowMs() + STUCK_MS, this::closeIfForgotten);
-            return Reached.WHOLE; // what is not written yet goes out still
+            return Reached.WHOLE; // bytes not written yet are still sent
         }
 
         private void closeIfForgotten() {
@@ -296,7 +300,7 @@
             while (bytes.hasRemaining() && !link.isClosed()) {
                 Progress progress = reader.read(bytes);
                 if (progress == Progress.BAD) {
-                    spoilt("not RESP");
+                    spoilt("malformed RESP");
                 } else if (progress == Progress.DONE) {
                     answered(reader.take());
                 }
@@ -312,7 +316,7 @@
 
         @Override
         public Execution begins() {
-            // Guards the next commands against a client that reads slowly: they would wait behind this value.
+            // Stops later commands from sharing connections: if the client reads slowly, all commands behind this value wait.
             limits.reuse().troubled(loop.nowMs());
             beginsAnswer = isOwed();
             return beginsAnswer ? sent.peek().execution : null;
@@ -323,7 +327,7 @@
             return link;
         }
 
-        /** Reads the rest for those that wait behind it, and for nobody else. */
+        /** Reads on only if other commands wait behind the abandoned value. */
         @Override
         public void abandoned() {
             if (sent.size() > 1) {
@@ -336,9 +340,9 @@
 
         private void answered(RespMessage message) {
             Ending ending = beginsAnswer || isOwed() ? ending(message) : null;
-            if (ending == null) { // more than was asked for, or no answer a node gives: what follows is as doubtful
+            if (ending == null) { // an unexpected or invalid reply: what follows cannot be trusted either
                 message.release();
-                spoilt("not an answer");
+                spoilt("invalid or unexpected reply");
                 return;
             }
             toldOfReuse(false);
@@ -354,7 +358,7 @@
             message.release();
         }
 
-        /** Null for what is RESP and yet no answer to a command. */
+        /** The result that a reply stands for; null if it is well-formed RESP but not a valid reply to a command. */
         private static Ending ending(RespMessage message) {
             if (message.sign == '*' && message.bulks.size() == PARTS) {
                 return message.bulk(0) == null ? Ending.of(Outcome.MISS) : Ending.completed(message.takeBulk(0));
@@ -366,7 +370,7 @@
                     : message.line.startsWith("ERR ") ? Ending.erred(message.line) : null;
         }
 
-        /** Retires a connection that carries nothing, now or before the node would close it. */
+        /** If the connection is idle, closes it now or, before the node would, by a timer. */
         private void settled() {
             if (load() > 0) {
                 return;
@@ -398,7 +402,7 @@
             endWaiting(cause);
         }
 
-        /** The node lives, and what was written whole may have run; what follows on the connection is as doubtful. */
+        /** An invalid reply: the node is alive and completely written commands may have run, but the connection cannot be trusted any more. */
         private void spoilt(String cause) {
             limits.reuse().troubled(loop.nowMs());
             close();
@@ -415,7 +419,7 @@
             inflow.broken();
         }
 
-        /** Ends what is out, by whether it was written whole. */
+        /** Ends all unanswered commands; the result depends on whether the command was completely written. */
         private void broken(Function<Boolean, Ending> ending) {
             while (!sent.isEmpty()) {
                 Sent s = sent.poll();
@@ -423,7 +427,7 @@
             }
         }
 
-        /** Ends the command of which no byte has gone out yet: only the last one can be such. */
+        /** Ends the last command if no byte of it has been written; only the last one can be in that state. */
         void endUnbegun(String cause) {
             Sent newest = sent.peekLast();
             if (newest != null && link.written() <= newest.beginsAt && takeBack(newest.execution)) {
--- a/src/main/java/dappleseam/wire/Address.java
+++ b/src/main/java/dappleseam/wire/Address.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** Addresses as they are written: host, colon, port. */
+/** Parses addresses of the form {@code host:port}. */
 public final class Address {
     private Address() {}
 
--- a/src/main/java/dappleseam/wire/BufferPool.java
+++ b/src/main/java/dappleseam/wire/BufferPool.java
@@ -3,11 +3,11 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 
-/** Buffers of one size, used again. Bounded; for the I/O thread alone. */
+/** A bounded pool of direct buffers of one size. Not thread-safe: for the I/O thread only. */
 public final class BufferPool {
-    /** Bytes of a buffer: most messages fit into one, the longest value into nine. */
+    /** Bytes of a buffer: most messages fit into one buffer, a value below the large-value threshold into nine. */
     public static final int SIZE = 8 << 10;
-    /** Share of the buffers kept for answers: below it, nothing more is read from clients. */
+    /** Share of the buffers reserved for replies: when less is available, clients are not read. */
     private static final double KEPT_FOR_ANSWERS = 0.5;
 
     private final ArrayDeque<ByteBuffer> free = new ArrayDeque<>();
@@ -32,21 +32,22 @@
         free.addLast(buffer.clear());
     }
 
-    /** So many are in use that what is left is needed for what has been taken already. */
+    /** Whether the available buffers are needed for the queries already accepted. */
     public boolean isScarce() {
         return most - out < KEPT_FOR_ANSWERS * most;
     }
 
-    /** Bytes that may still be taken. */
+    /** Bytes still available. */
     public long free() {
         return (long) (most - out) * SIZE;
     }
 
-    /** Bytes in all. */
+    /** Capacity in bytes. */
     public long all() {
         return (long) most * SIZE;
     }
 
+    /** Number of buffers in use. */
     public int inUse() {
         return out;
     }
--- a/src/main/java/dappleseam/wire/Chain.java
+++ b/src/main/java/dappleseam/wire/Chain.java
@@ -6,10 +6,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 
-/** Bytes in a row of pooled buffers: added at the end, taken from the front. */
+/** A byte queue made of pooled buffers: bytes are appended at the end and consumed from the front. */
 public final class Chain {
     private final BufferPool pool;
-    /** Each from its position, the first byte not yet taken, to its limit. */
+    /** The content of each buffer is from its position, the first byte not consumed, to its limit. */
     private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
     private long size;
 
@@ -21,7 +21,7 @@
         return size;
     }
 
-    /** Adds up to {@code count} bytes of {@code in}, and moves its position past them. */
+    /** Appends up to {@code count} bytes of {@code in}, and advances its position past them. */
     public void put(ByteBuffer in, int count) {
         int left = Math.min(count, in.remaining());
         while (left > 0) {
@@ -40,22 +40,23 @@
         }
     }
 
+    /** Appends the characters of {@code ascii} as single bytes. */
     public Chain put(String ascii) {
         byte[] bytes = ascii.getBytes(StandardCharsets.ISO_8859_1);
         put(ByteBuffer.wrap(bytes), bytes.length);
         return this;
     }
 
-    /** Adds a copy of all that {@code other} holds. */
+    /** Appends a copy of the whole content of {@code other}. */
     public Chain copy(Chain other) {
         copyPart(other, 0, other.size);
         return this;
     }
 
-    /** Moves all that {@code other} holds to the end of this one. */
+    /** Moves the whole content of {@code other} to the end of this chain. */
     public void take(Chain other) {
         if (other.size <= BufferPool.SIZE / 4) {
-            copy(other); // a short answer does not keep a buffer of its own
+            copy(other); // copied, so that a short reply does not occupy a whole buffer
             other.release();
         } else {
             buffers.addAll(other.buffers);
@@ -65,7 +66,7 @@
         }
     }
 
-    /** Adds a copy of up to {@code count} bytes of {@code other}, from its byte {@code from} on; says how many. */
+    /** Appends a copy of up to {@code count} bytes of {@code other} starting at offset {@code from}; returns how many were copied. */
     public long copyPart(Chain other, long from, long count) {
         long skip = from;
         long left = count;
@@ -84,7 +85,7 @@
         return count - left;
     }
 
-    /** Moves up to {@code most} bytes from the front of {@code other} to the end of this one. */
+    /** Moves up to {@code maxBytes} bytes from the front of {@code other} to the end of this chain. */
     public void takePart(Chain other, long most) {
         long left = most;
         while (left > 0 && !other.buffers.isEmpty()) {
@@ -105,7 +106,7 @@
         }
     }
 
-    /** Writes what the channel takes, gives those buffers back, and says how many bytes went. */
+    /** Writes as much as the channel takes, recycles the emptied buffers, and returns the number of bytes written. */
     long writeTo(WritableByteChannel channel) throws IOException {
         long written = 0;
         while (!buffers.isEmpty()) {
@@ -120,16 +121,19 @@
         return written;
     }
 
+    /** A copy of the content. */
     public byte[] bytes() {
         ByteBuffer all = ByteBuffer.allocate((int) size);
         buffers.forEach(buffer -> all.put(buffer.duplicate()));
         return all.array();
     }
 
+    /** The content as text, one character per byte. */
     public String text() {
         return new String(bytes(), StandardCharsets.ISO_8859_1);
     }
 
+    /** Discards the content and returns its buffers to the pool. */
     public void release() {
         buffers.forEach(pool::giveBack);
         buffers.clear();
--- a/src/main/java/dappleseam/wire/HttpReader.java
+++ b/src/main/java/dappleseam/wire/HttpReader.java
@@ -5,15 +5,16 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Reads HTTP/1.1 answers as their bytes come; head and body are bounded. */
+/** Incremental parser of HTTP/1.1 responses, with bounds on head and body. */
 public final class HttpReader {
     private static final int LONGEST_HEAD = 8 << 10;
 
+    /** What is parsed next. */
     private enum Part { STATUS, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, TO_THE_END }
 
     private final BufferPool pool;
     private final long longestBody;
-    /** Takes the body of a long good answer that tells its length; null where all are held. */
+    /** Receives the body of a large 200 response that has a Content-Length; null if all bodies are buffered. */
     private final Large large;
     private boolean toLarge;
     private final StringBuilder line = new StringBuilder();
@@ -39,17 +40,17 @@
         return status;
     }
 
-    /** The header's value, by its name in small letters; empty where it is missing. */
+    /** The value of a header, by its lower-case name; empty if it is missing. */
     public String header(String name) {
         return headers.getOrDefault(name, "");
     }
 
-    /** Whether the connection can carry another exchange after this one. */
+    /** Whether the connection can be reused after this response. */
     public boolean staysOpen() {
         return part != Part.TO_THE_END && !header("connection").equalsIgnoreCase("close");
     }
 
-    /** The body of the answer that is done; the caller releases it. The next answer may then be read. */
+    /** The body of the completed response, which the caller has to release. Also resets the parser for the next response. */
     public Chain takeBody() {
         Chain done = body;
         body = new Chain(pool);
@@ -60,11 +61,12 @@
         return done;
     }
 
-    /** Bytes held of the body. */
+    /** Bytes buffered of the body. */
     public long held() {
         return body.size();
     }
 
+    /** Parses bytes of {@code in} until the response is complete or malformed, or no bytes are left. */
     public Progress read(ByteBuffer in) {
         while (in.hasRemaining()) {
             Progress progress = switch (part) {
@@ -78,7 +80,7 @@
         return Progress.MORE;
     }
 
-    /** The connection has ended: whether that is also the end of the body. */
+    /** Whether a close of the connection at this point is the regular end of the body. */
     public boolean endsBody() {
         return part == Part.TO_THE_END;
     }
@@ -143,11 +145,11 @@
         String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).strip();
         String before = headers.put(name, value);
-        return before == null || before.equals(value) || !name.equals("content-length"); // two lengths: neither holds
+        return before == null || before.equals(value) || !name.equals("content-length"); // with two different lengths, neither can be trusted
     }
 
     private Progress headDone() {
-        if (status < 200) { // an interim answer: the real one follows
+        if (status < 200) { // an interim response: the final one follows
             headers.clear();
             part = Part.STATUS;
             return Progress.MORE;
@@ -162,7 +164,7 @@
         }
         String length = header("content-length");
         if (length.isEmpty() && !header("connection").equalsIgnoreCase("close")) {
-            return Progress.BAD; // without a length or an announced end, part of a value would pass for the whole
+            return Progress.BAD; // without a length or an announced close, a truncated value would be taken for the whole
         }
         if (length.isEmpty()) {
             part = Part.TO_THE_END;
@@ -186,6 +188,7 @@
         return left < 0 ? Progress.BAD : Progress.MORE;
     }
 
+    /** Releases the buffered body. */
     public void release() {
         body.release();
     }
--- a/src/main/java/dappleseam/wire/Json.java
+++ b/src/main/java/dappleseam/wire/Json.java
@@ -9,14 +9,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** JSON text as a tree. Jackson's own mapper would do, but takes a tenth of a second of each start to set up. */
+/** Parses JSON text into a tree. Jackson's ObjectMapper is not used because setting it up adds a tenth of a second to each start. */
 public final class Json {
     private static final JsonFactory PARSERS = new JsonFactory();
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
     private Json() {}
 
-    /** Nesting and lengths are bounded by the parser. */
+    /** Parses the text into a tree; the parser bounds nesting and lengths. */
     public static JsonNode read(byte[] text) throws IOException {
         try (JsonParser parser = PARSERS.createParser(text)) {
             parser.nextToken();
@@ -24,7 +24,7 @@
         }
     }
 
-    /** The same bounds, without a tree. */
+    /** A streaming parser with the same bounds. */
     public static JsonParser parser(byte[] text) throws IOException {
         return PARSERS.createParser(text);
     }
--- a/src/main/java/dappleseam/wire/Large.java
+++ b/src/main/java/dappleseam/wire/Large.java
@@ -2,16 +2,16 @@
 
 import java.nio.ByteBuffer;
 
-/** Takes the bytes of a long value as they come, in place of a buffer that holds all of them. */
+/** Receives a large value part by part as it arrives, so that it need not be buffered as a whole. */
 public interface Large {
-    /** Bytes from which a value is long. */
+    /** Minimum bytes of a large value. */
     int FROM = (64 << 10) + 1;
-    /** Bytes of the longest value. */
+    /** Maximum bytes of any value. */
     int LONGEST = 4 << 20;
 
-    /** A value of so many bytes begins. */
+    /** Called when a value of {@code length} bytes begins. */
     void begins(long length);
 
-    /** The next {@code count} bytes of {@code in} belong to it; moves the position past them. */
+    /** Consumes the next {@code count} bytes of the value from {@code in}. */
     void part(ByteBuffer in, int count);
 }
--- a/src/main/java/dappleseam/wire/Link.java
+++ b/src/main/java/dappleseam/wire/Link.java
@@ -7,32 +7,41 @@
 import org.xnio.conduits.ConduitStreamSinkChannel;
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
-/** One open connection on XNIO's conduits: hands on what comes, and writes out as the peer takes it. */
+/**
+ * An open non-blocking connection on XNIO's conduits: passes received bytes to its {@link Listener}, and writes queued output as the peer
+ * accepts it. Only for the I/O thread.
+ */
 public final class Link {
-    /** Reads in a row before other connections have their turn. */
+    /** Maximum reads in a row before other connections are served. */
     private static final int READS = 8;
-    /** Bytes read at once by a look: mostly there are none, and some hundred commands at most. */
+    /** Read buffer size of a nested read: usually nothing has arrived, at most some hundred commands. */
     private static final int LOOK = 8 << 10;
-    /** Bytes read ahead at most while held: more than a hundred commands; an end behind more is not seen. */
+    /** Maximum bytes read ahead while delivery is paused, more than a hundred commands; a close behind more input than that is not seen. */
     private static final int AHEAD = 16 << 10;
 
-    /** What happens on a connection. */
+    /** Callbacks for the events of a connection. */
     public interface Events {
-        /** Bytes have come; all of them are to be used up before this returns. */
+        /** Bytes have arrived; all of them must be consumed before this returns. */
         void received(ByteBuffer bytes);
 
-        /** The connection broke, or the peer has ended it. At most once with {@link #finished}, and never after close. */
+        /**
+         * The connection failed or was closed by the peer. At most one of this and {@link #endOfStream} is called, once, and never after
+         * {@link Link#close}.
+         */
         void ended(String cause);
 
-        /** The peer has ended the connection in order: all that it wrote has come. A reset is no such end. */
+        /** The peer has closed the connection in order, and all that it wrote has arrived; not called for a reset. */
         default void finished() {
             ended("closed by the peer");
         }
 
-        /** All that had come is handed on, and the connection has not ended; where {@link Link#isBlind}, as much as can be held. */
+        /**
+         * All available input was delivered, or read ahead as far as possible (see {@link Link#hasUnreadInput}), and the connection is still
+         * open.
+         */
         default void caughtUp() {}
 
-        /** All that was put out is written. */
+        /** All queued output is written. */
         default void drained() {}
     }
 
@@ -45,12 +54,12 @@
     private long written;
     private boolean closed;
     private boolean paused;
-    /** The last read left off before all was read. */
+    /** The last read stopped before all available input was read. */
     private boolean hasMore;
-    /** What has come while held; null while it is handed on at once. */
+    /** Input read while delivery is paused; null while input is delivered at once. */
     private ByteBuffer ahead;
 
-    /** {@code scratch} is shared by all connections of the thread: what is read is used up at once. */
+    /** {@code scratch} is a read buffer shared by all connections of the thread, as input is consumed at once. */
     public Link(StreamConnection connection, BufferPool pool, ByteBuffer scratch, Events events) {
         this.connection = connection;
         this.scratch = scratch;
@@ -62,6 +71,7 @@
         sink.getWriteSetter().set(channel -> flush());
     }
 
+    /** Ends {@link #pauseReading} and {@link #pauseDelivery}: delivers input that was read ahead, and reads on. */
     public void resume() {
         if (!closed) {
             paused = false;
@@ -76,24 +86,24 @@
         }
     }
 
-    /** Hands on nothing more until {@link #resume}, and goes on looking for an end: backpressure must not hide one. */
+    /** Delivers no input until {@link #resume}, but reads ahead in order to see a close: backpressure must not hide one. */
     public void hold() {
         if (!closed && ahead == null) {
             ahead = ByteBuffer.allocate(AHEAD);
         }
     }
 
-    /** Whether an end could not be seen now: more has come than is read, or read ahead. */
+    /** Whether there may be input that was not read, or could not be read ahead, so that a close behind it would not be seen. */
     public boolean isBlind() {
         return hasMore || ahead != null && !ahead.hasRemaining();
     }
 
-    /** Whether something has come that is not handed on yet. */
+    /** Whether input was read ahead and is not delivered yet. */
     public boolean hasReadAhead() {
         return ahead != null && ahead.position() > 0;
     }
 
-    /** Reads no more until {@link #resume}. */
+    /** Stops reading until {@link #resume}; a close is not seen meanwhile. */
     public void pause() {
         if (!closed) {
             paused = true;
@@ -101,17 +111,17 @@
         }
     }
 
-    /** Where messages are written; {@link #flush} sends them. */
+    /** The output queue; {@link #flush} sends it. */
     public Chain out() {
         return out;
     }
 
-    /** Bytes put out since the start. */
+    /** Bytes queued for output since the connection was opened. */
     public long queued() {
         return written + out.size();
     }
 
-    /** Bytes handed to the kernel since the start: they may have come to the peer. */
+    /** Bytes written to the kernel since the connection was opened; they may have reached the peer. */
     public long written() {
         return written;
     }
@@ -120,12 +130,13 @@
         return closed;
     }
 
-    /** Takes back what was put out and has not gone to the system. */
+    /** Discards the queued output that is not written to the kernel. */
     public void dropUnwritten() {
         out.release();
         sink.suspendWrites();
     }
 
+    /** Writes as much of the queued output as the peer accepts; the rest follows once the connection is writable. */
     public void flush() {
         if (closed) {
             return;
@@ -146,7 +157,7 @@
         events.drained();
     }
 
-    /** Whether nothing has come, not even an end, on a connection on which nothing is due; what has, is lost. */
+    /** Whether no input and no close has arrived on a connection on which none is expected. A byte read by this check is lost. */
     public boolean isQuiet() {
         try {
             return !closed && source.read(ByteBuffer.allocate(1)) == 0;
@@ -155,19 +166,22 @@
         }
     }
 
-    /** Reads what is there now, without waiting to be told; not while another connection's bytes are handled. */
+    /**
+     * Reads and delivers the available input now. Must not be called while the bytes of another connection are handled, as both share the read
+     * buffer.
+     */
     public void readable() {
         read(scratch);
     }
 
-    /** The same while another connection's bytes may be in hand. */
+    /** As {@link #readAvailable}, but can be called while the bytes of another connection are handled. */
     public void look() {
         if (!paused) {
             read(ByteBuffer.allocate(LOOK));
         }
     }
 
-    /** Reads until nothing is left, so that an end behind the last bytes is seen before anything is done about them. */
+    /** Reads until no input is left, so that a close behind the last bytes is seen before they are acted upon. */
     private void read(ByteBuffer into) {
         int count = 1;
         for (int i = 0; i < READS && !closed && count > 0; i++) {
@@ -179,8 +193,8 @@
             } catch (IOException e) {
                 end("read: " + e.getMessage());
                 return;
-            } catch (RuntimeException e) { // a fault ends this connection and no other
-                end("fault: " + e);
+            } catch (RuntimeException e) { // an internal error ends this connection only
+                end("internal error: " + e);
                 return;
             }
             if (count < 0) {
@@ -200,10 +214,10 @@
     private void handOn(ByteBuffer before) {
         try {
             events.received(before);
-        } catch (RuntimeException e) { // as above
-            end("fault: " + e);
+        } catch (RuntimeException e) { // see read
+            end("internal error: " + e);
         }
-        if (!closed) { // an end may be behind what could not be read ahead
+        if (!closed) { // a close may follow input that could not be read ahead
             read(ByteBuffer.allocate(LOOK));
         }
     }
@@ -230,7 +244,7 @@
         }
     }
 
-    /** Closes here and now, for the I/O thread: nothing can come between a last look at what has come and this. */
+    /** Closes at once on the I/O thread, so that no input can arrive between a last read and the close. */
     public void closeAtOnce() {
         if (!closed) {
             closed = true;
@@ -239,12 +253,13 @@
         }
     }
 
+    /** Closes the connection; the socket itself is closed by a worker thread. */
     public void close() {
         if (!closed) {
             closed = true;
             out.release();
-            // Guards the I/O thread: XNIO selects anew for each connection closed on it, over all that is ready. Under load,
-            // when clients come and go, that took a quarter of its time.
+            // XNIO runs an extra select, over all that is ready, for each connection closed on the I/O thread. Under load, with clients
+            // connecting and disconnecting, that took a quarter of the thread's time.
             source.suspendReads();
             sink.suspendWrites();
             connection.getWorker().execute(() -> IoUtils.safeClose(connection));
--- a/src/main/java/dappleseam/wire/Loop.java
+++ b/src/main/java/dappleseam/wire/Loop.java
@@ -4,30 +4,35 @@
 import java.util.function.Consumer;
 import org.xnio.StreamConnection;
 
-/** What the one I/O thread offers to those who speak to a peer. */
+/** The I/O thread as protocol code sees it: its clock, timers, connections and buffers. */
 public interface Loop {
-    /** The machine's monotonic clock in ms with fractions, the same in all its processes and well over 0; wall clocks are stepped. */
+    /**
+     * The machine's monotonic clock in ms with fractions, the same in all its processes and well above 0. Wall clocks are not used as they may
+     * be stepped.
+     */
     double nowMs();
 
-    /** Calls {@code due} at that time, or soon after. */
+    /** Runs {@code due} at that time or soon after. */
     Deadline at(double whenMs, Runnable due);
 
-    /** Opens a connection; exactly one of the two is called, unless the deadline is called off before. */
+    /** Opens a connection. Calls exactly one of {@code up} and {@code failed}, unless the returned task is cancelled before. */
     Deadline dial(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up, Consumer<String> failed);
 
-    /** The same for the one connection that has a descriptor kept for it: nodes and clients may hold all others. */
+    /** As {@link #connect}, for the one connection with a reserved descriptor: connections to nodes and clients may use up all others. */
     default Deadline dialKept(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up, Consumer<String> failed) {
         return dial(to, timeoutMs, up, failed);
     }
 
-    /** Whether there is a descriptor left for another connection to a peer. */
+    /** Whether a descriptor is available for another connection to a peer. */
     boolean mayDial();
 
+    /** Wraps an open connection. */
     Link link(StreamConnection connection, Link.Events events);
 
+    /** The buffers of this thread. */
     BufferPool pool();
 
-    /** Something to come that can be called off. */
+    /** A scheduled call or a connection attempt, which can be cancelled; cancelling it later has no effect. */
     interface Deadline {
         void callOff();
     }
--- a/src/main/java/dappleseam/wire/Progress.java
+++ b/src/main/java/dappleseam/wire/Progress.java
@@ -1,11 +1,11 @@
 package dappleseam.wire;
 
-/** How far a parser has come with a message. */
+/** State of an incremental parser after a read. */
 public enum Progress {
-    /** All bytes are used up and the message goes on. */
+    /** All bytes are consumed, and the message is incomplete. */
     MORE,
-    /** The message is whole; bytes of the next may follow. */
+    /** The message is complete; unconsumed bytes belong to the next one. */
     DONE,
-    /** What came is no message. */
+    /** The bytes are not a valid message. */
     BAD
 }
--- a/src/main/java/dappleseam/wire/RespMessage.java
+++ b/src/main/java/dappleseam/wire/RespMessage.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One RESP2 message: a line behind its sign, a bulk string, or an array of bulk strings. */
+/** A RESP2 message: a simple string, error, integer, bulk string, or array of bulk strings. */
 public final class RespMessage {
-    /** {@code + - : $ *}. */
+    /** The RESP type character: one of {@code + - : $ *}. */
     public final char sign;
-    /** The text of a message that is one line. */
+    /** The text of a single-line message, without its type character. */
     public final String line;
-    /** The bulk string, or those of the array; null stands for a null one. */
+    /** The bulk string, or those of the array; null bulk strings are null elements. */
     public final List<Chain> bulks = new ArrayList<>(5);
 
     RespMessage(char sign, String line) {
@@ -17,7 +17,7 @@
         this.line = line;
     }
 
-    /** The first bulk string was long and went to {@link Large}; an empty one stands in for it. */
+    /** The first bulk string was large and went to a {@link LargeValueHandler}; an empty one takes its place here. */
     boolean firstWasLong;
 
     public boolean firstWasLong() {
@@ -28,15 +28,17 @@
         return sign == '-';
     }
 
+    /** The bulk string at that index; null if it is null or there is none. */
     public Chain bulk(int at) {
         return at < bulks.size() ? bulks.get(at) : null;
     }
 
-    /** Hands the bulk string over: it is no longer released with the message. */
+    /** Transfers ownership of the bulk string to the caller: it is no longer released with the message. */
     public Chain takeBulk(int at) {
         return bulks.set(at, null);
     }
 
+    /** Returns the buffers of the bulk strings to the pool. */
     public void release() {
         for (Chain bulk : bulks) {
             if (bulk != null) {
--- a/src/main/java/dappleseam/wire/RespReader.java
+++ b/src/main/java/dappleseam/wire/RespReader.java
@@ -2,26 +2,26 @@
 
 import java.nio.ByteBuffer;
 
-/** Reads RESP2 as its bytes come: lines, bulk strings, and arrays of bulk strings, all bounded. */
+/** Incremental parser of RESP2: single-line messages, bulk strings, and arrays of bulk strings, all bounded. */
 public final class RespReader {
     private static final int LONGEST_LINE = 512;
     private static final int LONGEST_ARRAY = 8;
-    /** Bytes that a message may hold beside its longest bulk string. */
+    /** Bytes that the bulk strings of a message may have in addition to one of maximum length. */
     private static final int LONGEST_REST = 8 << 10;
 
     private final BufferPool pool;
     private final int longestBulk;
-    /** Takes a long bulk string that comes first in its array; null where all are held. */
+    /** Receives a large bulk string that is the first of its array; null if all are buffered. */
     private final Large large;
     private boolean toLarge;
     private final StringBuilder line = new StringBuilder();
     private RespMessage message;
-    /** Bulk strings of the array still to come. */
+    /** Bulk strings of the array that are still missing. */
     private int bulksLeft;
-    /** Bytes that its bulk strings may still have; guards the buffers against many long ones. */
+    /** Bytes that further bulk strings of the message may have; bounds the buffers used by a message with many long ones. */
     private int room;
     private Chain bulk;
-    /** Bytes of the bulk string still to come; -1 and -2 for the line end behind it. */
+    /** Bytes of the bulk string that are still missing; -1 and -2 while its terminating CR and LF are expected. */
     private int bulkLeft;
 
     public RespReader(BufferPool pool, int longestBulk) {
@@ -34,22 +34,24 @@
         this.large = large;
     }
 
-    /** Bytes that the bulk string being read still lacks. */
+    /** Bytes still missing from the bulk string being read. */
     public long bulkLeft() {
         return bulk == null ? 0 : Math.max(0, bulkLeft);
     }
 
-    /** The message that is done; the caller releases it. */
+    /** The completed message, which the caller has to release. */
     public RespMessage take() {
         RespMessage done = message;
         message = null;
         return done;
     }
 
+    /** Whether no part of a message has been read. */
     public boolean isBetweenMessages() {
         return message == null && line.length() == 0;
     }
 
+    /** Parses bytes of {@code in} until a message is complete or malformed, or no bytes are left. */
     public Progress read(ByteBuffer in) {
         while (in.hasRemaining()) {
             Progress progress = bulk != null ? bulkPart(in) : linePart(in);
@@ -151,7 +153,7 @@
         return --bulksLeft == 0 ? Progress.DONE : Progress.MORE;
     }
 
-    /** The number from -1 to {@code most}; -2 for anything else. */
+    /** Returns the length if it is from -1 to {@code max}, -2 for anything else. */
     private static int number(String digits, int most) {
         if (digits.equals("-1")) {
             return -1;
@@ -160,7 +162,7 @@
         return number < 0 ? -2 : number;
     }
 
-    /** Gives back what a message cut short holds. */
+    /** Discards an incomplete message and releases its buffers. */
     public void release() {
         line.setLength(0);
         if (bulk != null) {
--- a/src/main/java/dappleseam/wire/RespWriter.java
+++ b/src/main/java/dappleseam/wire/RespWriter.java
@@ -1,9 +1,10 @@
 package dappleseam.wire;
 
-/** Writes RESP2. */
+/** Encodes RESP2 messages. */
 public final class RespWriter {
     private RespWriter() {}
 
+    /** Writes the header of an array of that many elements. */
     public static void array(Chain to, int length) {
         to.put("*" + length + "\r\n");
     }
@@ -16,13 +17,13 @@
         to.put("$" + bytes.size() + "\r\n").copy(bytes).put("\r\n");
     }
 
-    /** Writes the bulk string and leaves {@code bytes} empty. */
+    /** Writes a bulk string by moving its content, which leaves {@code bytes} empty. */
     public static void bulkMoved(Chain to, Chain bytes) {
         to.put("$" + bytes.size() + "\r\n").take(bytes);
         to.put("\r\n");
     }
 
-    /** A line with its sign in front. */
+    /** Writes a single-line message, given with its type character. */
     public static void line(Chain to, String signed) {
         to.put(signed + "\r\n");
     }
--- a/src/main/java/org/xnio/nio/SharedPort.java
+++ b/src/main/java/org/xnio/nio/SharedPort.java
@@ -13,9 +13,9 @@
 import org.xnio.XnioWorker;
 
 /**
- * A listener on an address that another process may hold, too (SO_REUSEPORT), with a limit on the connections that are open at once.
- * It accepts on the worker's first I/O thread and reports a failed accept to the caller. XNIO 3.8.16 has no option for the first, and its
- * own listener hides the second behind a back-off of 250 ms.
+ * A listener whose address can be shared with other processes (SO_REUSEPORT), with a limit on the number of open connections.
+ * It accepts on the worker's first I/O thread and reports failed accepts to the caller. XNIO 3.8.16 has no option for SO_REUSEPORT, and its
+ * own listener hides failed accepts behind a back-off of 250 ms.
  */
 public final class SharedPort extends NioHandle implements Closeable {
     private final ServerSocketChannel channel;
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Listens from now on; to be called on the I/O thread, where {@code acceptable} is run when connections may wait.
+     * Starts listening; must be called on the I/O thread, where {@code onAcceptable} is run when connections may be waiting.
      *
-     * @throws IOException where no socket is to be had, or the address is not free
+     * @throws IOException if no socket is available or the address is in use
      */
     public static SharedPort open(XnioWorker worker, InetSocketAddress address, int backlog, int most, Runnable acceptable) throws IOException {
         WorkerThread thread = (WorkerThread) worker.getIoThread(0);
@@ -43,7 +43,7 @@
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             if (channel.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
                 channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
-            } // else another process on the address is refused, which is better than none
+            } // otherwise only one process can use the address, which is better than none
             channel.configureBlocking(false);
             channel.bind(address, backlog);
             SharedPort port = new SharedPort(thread, thread.registerChannel(channel), channel, most, acceptable);
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Looks for once and for all whether addresses can be shared: the JDK asks the system with a socket of its own, at the first use of any
-     * option, and takes a failure of that moment for good.
+     * Makes the JDK determine whether SO_REUSEPORT is supported. It does so once, with a socket of its own, when any socket option is first
+     * used, and treats a temporary failure at that moment as permanent; calling this first avoids that.
      *
-     * @throws IOException where no socket is to be had now; nothing is settled then
+     * @throws IOException if no socket is available now; nothing has been determined then
      */
     public static void lookForSharing() throws IOException {
         try (ServerSocketChannel channel = ServerSocketChannel.open()) {
@@ -69,14 +69,14 @@
     }
 
     /**
-     * The next connection that waits; null where none does, or as many are open as may be.
+     * Accepts the next waiting connection; returns null if there is none, or the limit is reached.
      *
-     * @throws IOException where accept failed: connections may wait still, and nothing is told of them before it is called again
+     * @throws IOException if accept failed: connections may still be waiting, and are not signalled again before the next call
      */
     public StreamConnection accept() throws IOException {
         while (channel.isOpen()) {
             atLimit = open.get() >= most;
-            if (atLimit && open.get() >= most) { // looked at again: one may have closed before the mark was set
+            if (atLimit && open.get() >= most) { // checked again, as a connection may have closed before the flag was set
                 suspendAccepts();
                 return null;
             }
@@ -92,7 +92,7 @@
         return null;
     }
 
-    /** Null where the peer has gone meanwhile. */
+    /** Registers an accepted connection; returns null if the peer has closed it meanwhile. */
     private StreamConnection connection(SocketChannel accepted) {
         try {
             accepted.configureBlocking(false);
@@ -106,7 +106,7 @@
         }
     }
 
-    /** On whichever thread a connection is closed. */
+    /** Called on any thread when a connection is closed. */
     private void closed() {
         open.decrementAndGet();
         if (atLimit) {
@@ -121,12 +121,12 @@
         }
     }
 
-    /** Whether connections may wait because as many are open as may be. */
+    /** Whether connections may be waiting because the limit is reached. */
     public boolean isAtLimit() {
         return atLimit;
     }
 
-    /** From now on so many may be open; those beyond stay. */
+    /** Changes the limit; open connections beyond it stay open. */
     public void limit(int newMost) {
         most = newMost;
         acceptAgain();
@@ -160,10 +160,10 @@
 
     @Override
     void terminated() {
-        // nothing more is told of it
+        // nothing to release or report
     }
 
-    /** Connections that have not been accepted are reset. */
+    /** Stops listening; connections that have not been accepted are reset. */
     @Override
     public void close() {
         cancelKey(false);
--- a/src/test/java/dappleseam/clients/ByHand.java
+++ b/src/test/java/dappleseam/clients/ByHand.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import org.xnio.StreamConnection;
 
-/** A loop whose time passes when the test says so; it stands in for the queries' side, too. */
+/** An I/O loop whose clock is advanced by the test. Also a query handler that records the queries and leaves the replies to the test. */
 public final class ByHand implements Loop, Queries {
     public final List<Map.Entry<Double, Runnable>> due = new ArrayList<>();
     public final List<Owed> owed = new ArrayList<>();
@@ -34,7 +34,7 @@
         return () -> due.remove(one);
     }
 
-    /** Lets time pass, and does what falls due meanwhile in its order. */
+    /** Advances the clock to {@code untilMs} in steps of 1 ms, and runs the tasks that fall due. */
     public void pass(double untilMs) {
         for (; now < untilMs; now++) {
             List.copyOf(due).stream().filter(d -> d.getKey() <= now && due.remove(d)).forEach(d -> d.getValue().run());
--- a/src/test/java/dappleseam/clients/ClientFrontTest.java
+++ b/src/test/java/dappleseam/clients/ClientFrontTest.java
@@ -25,7 +25,7 @@
         Object play(ByHand loop, ClientFront front, StreamConnection client) throws IOException;
     }
 
-    /** With one client, which has written that, on the thread that reads it. */
+    /** Runs the scenario on the I/O thread, with one client that has already written {@code written}. */
     private static Object played(String written, int mostAsking, Part part) throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         CompletableFuture<Object> found = new CompletableFuture<>();
@@ -52,7 +52,7 @@
         client.getSinkChannel().write(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
     }
 
-    /** Guards the queries of the last moments: what is read after the last abort has nobody to answer it. */
+    /** On shutdown, queries read after the last abort would never be answered, so they must not be read. */
     @Test
     void afterTheLastLookNothingIsTaken() throws Exception {
         String half = ASKED.substring(0, 10);
@@ -70,17 +70,17 @@
         })).isEqualTo(List.of(0, false));
         assertThat(played("", 10, (loop, front, client) -> {
             write(client, ASKED);
-            front.takeNoMore(); // what has come until now is
+            front.takeNoMore(); // still reads what has arrived until now
             return List.of(loop.owed.size(), front.hasClients());
         })).isEqualTo(List.of(1, true));
     }
 
-    /** Guards a busy proxy against closing what it has to accept again at once. */
+    /** A busy proxy must not close connections of active clients, which it would have to accept again at once. */
     @Test
     void aClientThatHasJustBeenAnsweredDoesNotMakeWay() throws Exception {
         List<Object> kept = new ArrayList<>();
         for (double until : new double[] {1200, 1800}) {
-            kept.add(played(ASKED, 1, (loop, front, client) -> { // no room for any that is idle
+            kept.add(played(ASKED, 1, (loop, front, client) -> { // the limit leaves no room for idle clients
                 loop.owed.get(0).line("+OK");
                 loop.pass(until);
                 return front.hasClients();
@@ -89,34 +89,34 @@
         assertThat(kept).containsExactly(true, false);
     }
 
-    /** Guards nodes against clients that send and go: an end right behind a query is seen before it is handed on. */
+    /** A client that sends a query and closes must not cause an execution: a close directly behind a query is seen before it is submitted. */
     @Test
     void aQueryIsNotTakenWhereTheClientsEndIsRightBehindIt() throws Exception {
         assertThat(played("", 10, (loop, front, client) -> {
             write(client, ASKED);
             IoUtils.safeClose(client);
-            front.closeIdle(); // it reads what has come
+            front.closeIdle(); // reads what has arrived
             return List.of(loop.owed.size(), front.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
-    /** The same where more has come than is read in one go: nothing is taken before the end could be seen. */
+    /** The same if more input has arrived than one read pass handles: nothing is submitted before the close could be seen. */
     @Test
     void aQueryIsNotTakenWhereTheClientsEndIsBehindMoreThanIsReadAtOnce() throws Exception {
         String longNames = ASKED.replace("$1\r\na\r\n", "$120\r\n" + "a".repeat(120) + "\r\n");
         assertThat(played("", 10, (loop, front, client) -> {
-            write(client, longNames.repeat(100)); // under the number from which it is held
+            write(client, longNames.repeat(100)); // fewer than pause the connection
             IoUtils.safeClose(client);
             int taken = 0;
             for (int i = 0; i < 10; i++) {
-                front.closeIdle(); // reads what has come
+                front.closeIdle(); // reads what has arrived
                 taken = Math.max(taken, loop.owed.size());
             }
             return List.of(taken, front.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
-    /** The same behind more than is read ahead of a client that is held: what cannot be known to have a client is turned away. */
+    /** The same behind more input than is read ahead of a paused client: queries whose client may have closed are rejected. */
     @Test
     void noQueryIsTakenOfAClientThatHasClosedBehindMoreThanIsReadAhead() throws Exception {
         assertThat(played("", 10, (loop, front, client) -> {
@@ -130,13 +130,13 @@
         })).isEqualTo(List.of(0, false));
     }
 
-    /** A client that sends a query, what cannot be read, and more without end: both answers are owed in time. */
+    /** A client that sends a query, then a malformed command, then endless input must still get both replies in time. */
     @Test
     void anErrorIsNotHeldUpByWhatComesBehindItWithoutEnd() throws Exception {
         assertThat(played("", 10, (loop, front, client) -> {
             write(client, ASKED + "noise\r\n");
             for (int i = 0; i < 40 && front.hasClients(); i++) {
-                write(client, "x".repeat(20_000)); // more than is read in one go
+                write(client, "x".repeat(20_000)); // more than one read pass handles
                 front.closeIdle();
                 loop.pass(loop.now + 10);
             }
@@ -144,7 +144,7 @@
         })).isEqualTo(List.of(1, false));
     }
 
-    /** Guards nodes: a client that sent more than is taken at once, and closed, has gone, though not all of it is read. */
+    /** A client that sent more than is accepted at once and then closed is known to be gone, although not all of its input is read. */
     @Test
     void backpressureDoesNotHideAClose() throws Exception {
         assertThat(played(ASKED.repeat(200), 10, (loop, front, client) -> {
@@ -157,14 +157,14 @@
     }
 
     /**
-     * Where more waits than is read ahead, whether the client is there is not known: nothing is taken meanwhile. All that was sent gets one
-     * answer, and what comes once all is read is taken as ever.
+     * While more input waits than is read ahead, the client may have closed: nothing is submitted meanwhile. Each query sent still gets one
+     * reply, and queries that arrive once everything is read are submitted as usual.
      */
     @Test
     void aClientBehindMoreThanIsReadAheadIsNotKnownToBeThere() throws Exception {
         assertThat(played(ASKED.repeat(10), 10, (loop, front, client) -> {
             write(client, ASKED.repeat(900));
-            front.closeIdle(); // reads what there is room for
+            front.closeIdle(); // reads as much as fits
             boolean here = loop.owed.get(0).isClientHere();
             int taken = loop.owed.size();
             int all = answered(loop, front, 910);
@@ -174,19 +174,19 @@
         })).isEqualTo(List.of(false, 10, 910, 911, true));
     }
 
-    /** Answers what is taken and lets more be read until so many queries have come, the last of them not answered yet. */
+    /** Replies to submitted queries and lets more be read, until {@code count} queries were submitted or rejected; the last ones stay unanswered. */
     private static int answered(ByHand loop, ClientFront front, int count) {
         for (int i = 0; i < 1000 && loop.owed.size() + loop.rejected < count; i++) {
             List.copyOf(loop.owed).forEach(owed -> owed.line("+OK"));
             loop.pass(loop.now + 25);
             if (loop.owed.size() + loop.rejected < count) {
-                front.closeIdle(); // reads what there is room for; the client has commands on their way, and stays
+                front.closeIdle(); // reads as much as fits; the client has commands on their way, so it is not closed
             }
         }
         return loop.owed.size() + loop.rejected;
     }
 
-    /** Guards the loop against a client that is full again and again: each time left one more look behind, for good. */
+    /** Guards against a timer leak: each pause of a client used to leave one more periodic check behind for good. */
     @Test
     void aClientThatIsFullAgainAndAgainIsLookedAtByOneDeadline() throws Exception {
         assertThat(played(ASKED.repeat(128), 10, (loop, front, client) -> {
@@ -200,7 +200,7 @@
         })).isEqualTo(List.of(228, 0));
     }
 
-    /** What is read ahead of a client that owes nothing else is owed an answer: such a connection is not idle. */
+    /** Commands that were read ahead are due a reply, so a connection with nothing else pending is not idle. */
     @Test
     void aConnectionWithCommandsReadAheadIsNotClosedAsIdle() throws Exception {
         assertThat(played("", 10, (loop, front, client) -> {
@@ -210,7 +210,7 @@
                 taken.get(i).put("x");
             }
             write(client, ASKED);
-            front.closeIdle(); // reads the first, is held
+            front.closeIdle(); // reads the first, then pauses
             write(client, ASKED);
             loop.owed.get(0).line("+OK");
             front.closeIdle(); // reads the second ahead
--- a/src/test/java/dappleseam/list/ListFileTest.java
+++ b/src/test/java/dappleseam/list/ListFileTest.java
@@ -34,7 +34,7 @@
         assertThat(reader.read(ListFile.read(file))).isEqualTo(list);
     }
 
-    /** Guards a new process against what an old one was killed over, and against what another version wrote. */
+    /** A process may be killed while writing the file, or another version may have written it; a new process must not use either. */
     @Test
     void whatIsDamagedOrOfAnotherVersionIsPassedOver() throws IOException {
         byte[] whole = Files.readAllBytes(file);
--- a/src/test/java/dappleseam/list/ListReaderTest.java
+++ b/src/test/java/dappleseam/list/ListReaderTest.java
@@ -22,7 +22,7 @@
                 + "\"boot_ms\":77}]}";
     }
 
-    /** Guards the ring, which must be the same at every proxy: the address is not. */
+    /** The ring must be the same at all proxies, so nodes are identified by uid and not by address, which may differ between proxies. */
     @Test
     void aNodeIsKnownByItsUidAndReachedAtItsEndpoint() throws IOException {
         Listed here = read(list("s-1", "127.0.0.1:6379")).entries().get(0);
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Cut at any byte it is no list; what is not known in it is passed over. */
+    /** A list truncated at any byte is rejected; unknown keys are ignored. */
     @Test
     void partOfAListIsNone() throws IOException {
         String whole = list("s-1", "127.0.0.1:6379").replace("\"rev\"", "\"new\":{\"a\":[1,{}]},\n  \"rev\"").replace("\"az\"", "\"tags\":[{\"uid\":\"no\"}], \"az\"");
--- a/src/test/java/dappleseam/list/ListWatchTest.java
+++ b/src/test/java/dappleseam/list/ListWatchTest.java
@@ -16,7 +16,7 @@
 
 class ListWatchTest {
     private static final double BEGIN_MS = 1000;
-    /** A watch that falls silent is found out so late; a change counts as told after that: docs/terms-audit.md, clause 6. */
+    /** When a stalled watch is detected, and when a change counts as delivered: docs/terms-audit.md, clause 6. */
     private static final double SILENT_FOUND_MS = 3600;
     private static final double TOLD_MS = 6000;
 
@@ -24,7 +24,7 @@
     private final List<Double> failedAtMs = new ArrayList<>();
     private final ListWatch watch = new ListWatch(loop, new InetSocketAddress("127.0.0.1", 1), null, 1, list -> { }, cause -> failedAtMs.add(loop.nowMs()), ms -> ms, new SplittableRandom(1));
 
-    /** Time passes by hand, and each connection hangs until its time is over, or is refused at once. */
+    /** A loop with a manual clock, on which connection attempts hang until their timeout or are refused at once. */
     private static final class HangingLoop implements Loop {
         final ByHand time = new ByHand();
         final List<Double> dialledAtMs = new ArrayList<>();
@@ -63,14 +63,14 @@
         }
     }
 
-    /** Else two connections that hang keep a drain from a proxy for 7 s after its watch has fallen silent. */
+    /** With only two attempts that both hang, a proxy learned of a drain up to 7 s after its watch had stalled. */
     @Test
     void twoConnectionsThatHangLeaveTimeForAThird() {
         watch.follow();
         loop.time.pass(BEGIN_MS + 2000);
         assertThat(loop.dialledAtMs).hasSize(ListWatch.MOST_DIALS);
         assertThat(SILENT_FOUND_MS + loop.dialledAtMs.get(2) - BEGIN_MS).isLessThan(TOLD_MS - 500);
-        assertThat(failedAtMs).as("one call, told once, when none can come up any more").hasSize(1).allMatch(at -> at >= loop.dialledAtMs.get(2) + 900);
+        assertThat(failedAtMs).as("one call, reported as failed once, when no attempt can succeed any more").hasSize(1).allMatch(at -> at >= loop.dialledAtMs.get(2) + 900);
     }
 
     @Test
--- a/src/test/java/dappleseam/list/StartTimesTest.java
+++ b/src/test/java/dappleseam/list/StartTimesTest.java
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Whatever the proxy's clock says: by the list alone each is at least so old. */
+    /** Regardless of the proxy's wall clock, each node is at least as old as the list alone shows. */
     @Test
     void inTheFirstListANodeIsAsOldAsTheNewestShowsIt() {
         for (double step : new double[] {0, HOUR, 7000}) {
@@ -42,7 +42,7 @@
         assertThat(ages(new StartTimes().ofFirst(list(WALL - 60_000, WALL - 2000), NOW, WALL - HOUR), NOW)).containsExactly(58_000.0, 0.0);
     }
 
-    /** All clocks went back an hour, then the second one started: the others' times show it older than it is. */
+    /** All clocks were stepped back by an hour before the second node started, so the list alone makes it look older than it is. */
     @Test
     void aNodeThatStartedAfterAStepBackIsNoOlderThanTheClockShows() {
         assertThat(ages(new StartTimes().ofFirst(list(WALL, WALL - HOUR - 1000), NOW, WALL - HOUR), NOW).get(1)).isEqualTo(1000.0);
--- a/src/test/java/dappleseam/servers/CacheNodeTest.java
+++ b/src/test/java/dappleseam/servers/CacheNodeTest.java
@@ -12,7 +12,7 @@
         assertThat(CacheNode.isTooSoon(1000.25, 1000.2, 0.4, 1000.3)).isFalse();
     }
 
-    /** Any day's first second: connections that came up slowly as the proxy was cold made good answers spoilt ones. */
+    /** In the first second of a cold proxy, connections opened slowly, and valid replies were then taken for invalid ones. */
     @Test
     void aSlowStartOfAConnectionDoesNotMakeAnswersTooSoon() {
         assertThat(CacheNode.isTooSoon(1000, 1010, 41, 1034)).isFalse();
--- a/src/test/java/dappleseam/wire/LinkTest.java
+++ b/src/test/java/dappleseam/wire/LinkTest.java
@@ -19,7 +19,7 @@
 import org.xnio.conduits.NullStreamSinkConduit;
 
 class LinkTest {
-    /** A connection that tells which thread closed it. */
+    /** A connection that records which thread closed it. */
     private static final class Closing extends StreamConnection {
         final BlockingQueue<Thread> closedBy = new LinkedBlockingQueue<>();
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Guards the queries that are served meanwhile: each close on the I/O thread is a select over all that is ready. */
+    /** Closing on the I/O thread costs a select over all ready connections each time, which delays other queries. */
     @Test
     void theIoThreadDoesNotCloseConnections() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
--- a/src/test/java/dappleseam/wire/ReadersTest.java
+++ b/src/test/java/dappleseam/wire/ReadersTest.java
@@ -16,7 +16,7 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Guards against a peer whose bytes come one at a time. */
+    /** The bytes of a peer may arrive one at a time. */
     @Test
     void anArrayInSingleBytesIsReadWhole() {
         RespReader reader = new RespReader(pool, 100);
@@ -49,7 +49,7 @@
         assertThat(new RespReader(pool, 100).read(bytes(text))).isEqualTo(Progress.BAD);
     }
 
-    /** Guards the memory against a line without end. */
+    /** An endless line must not use up memory. */
     @Test
     void aLineWithoutEndIsBad() {
         assertThat(new RespReader(pool, 100).read(bytes("+".repeat(1000)))).isEqualTo(Progress.BAD);
@@ -64,7 +64,7 @@
         assertThat(pool.inUse()).isZero();
     }
 
-    /** Guards the buffers against one command of many long strings: refused at the length that is too much. */
+    /** A command of many long strings must not use up the buffers: it is rejected at the length header that exceeds the total. */
     @Test
     void aMessageIsBoundedAsAWhole() {
         RespReader reader = new RespReader(pool, 1 << 14);
