--- a/src/main/java/dappleseam/clients/ClientFront.java
+++ b/src/main/java/dappleseam/clients/ClientFront.java
@@ -60,7 +60,7 @@
     private double closesFrom = Double.POSITIVE_INFINITY;
 
     /**
-     * Keeps up to {@code most} connections open, more wait in the backlog. {@code queryConnections} is the number of connections that clients
+     * Keeps up to {@code maxConnections} connections open, more wait in the backlog. {@code queryConnections} is the number of connections that clients
      * open for queries at most.
      */
     public ClientFront(Loop loop, Queries queries, int most, int mostAsking) {
--- a/src/main/java/dappleseam/wire/Loop.java
+++ b/src/main/java/dappleseam/wire/Loop.java
@@ -12,10 +12,10 @@
      */
     double nowMs();
 
-    /** Runs {@code due} at that time or soon after. */
+    /** Runs {@code task} at that time or soon after. */
     Deadline at(double whenMs, Runnable due);
 
-    /** Opens a connection. Calls exactly one of {@code up} and {@code failed}, unless the returned task is cancelled before. */
+    /** Opens a connection. Calls exactly one of {@code onConnected} and {@code onFailure}, unless the returned task is cancelled before. */
     Deadline dial(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up, Consumer<String> failed);
 
     /** As {@link #connect}, for the one connection with a reserved descriptor: connections to nodes and clients may use up all others. */
--- a/src/main/java/dappleseam/wire/RespReader.java
+++ b/src/main/java/dappleseam/wire/RespReader.java
@@ -153,7 +153,7 @@
         return --bulksLeft == 0 ? Progress.DONE : Progress.MORE;
     }
 
-    /** Returns the length if it is from -1 to {@code max}, -2 for anything else. */
+    /** Returns the length if it is from -1 to {@code maxLength}, -2 for anything else. */
     private static int number(String digits, int most) {
         if (digits.equals("-1")) {
             return -1;
