--- a/src/main/java/dappleseam/clients/Owed.java
+++ b/src/main/java/dappleseam/clients/PendingReply.java
@@ -2,28 +2,28 @@
 
 import dappleseam.query.Transfer;
 import dappleseam.router.QueryId;
-import dappleseam.wire.Chain;
+import dappleseam.wire.BufferChain;
 import dappleseam.wire.RespWriter;
 
 /** The pending reply to one command. It is written once all earlier replies on the connection have been written. */
-public final class Owed {
+public final class PendingReply {
     /** Maximum bytes of a large value in the output queue; more is added when the client has taken them. */
-    private static final int MOST_PUT_OUT = 64 << 10;
+    private static final int MAX_QUEUED_BYTES = 64 << 10;
 
     private final ClientConnection connection;
     /** Exactly one of these three is set once the reply is available. */
-    private Chain value;
-    private String line;
+    private BufferChain replyValue;
+    private String replyLine;
     private Transfer transfer;
-    private boolean headWritten;
+    private boolean headerWritten;
     /** Null for a command other than a query. */
     private QueryId query;
 
-    Owed(ClientConnection connection) {
+    PendingReply(ClientConnection connection) {
         this.connection = connection;
     }
 
-    void belongsTo(QueryId id) {
+    void setQuery(QueryId id) {
         query = id;
     }
 
@@ -32,73 +32,73 @@
     }
 
     boolean isAnswered() {
-        return value != null || line != null || transfer != null;
+        return replyValue != null || replyLine != null || transfer != null;
     }
 
     /** Replies with a value, and takes ownership of it. */
-    public void value(Chain whole) {
+    public void replyValue(BufferChain completeValue) {
         if (isAnswered() || connection.isClosed()) {
-            whole.release();
+            completeValue.release();
             return;
         }
-        value = whole;
-        connection.flushAnswers();
+        replyValue = completeValue;
+        connection.flushReplies();
     }
 
     /** Replies with a large value that is still being received; it is streamed to the client. */
-    public void begun(Transfer onItsWay) {
+    public void replyTransfer(Transfer arriving) {
         if (isAnswered() || connection.isClosed()) {
-            onItsWay.abandon();
+            arriving.abandon();
             return;
         }
-        transfer = onItsWay;
-        connection.flushAnswers();
+        transfer = arriving;
+        connection.flushReplies();
     }
 
     /** Called when more of the streamed value is available, or it has ended. */
-    public void more() {
+    public void transferAdvanced() {
         if (!connection.isClosed()) {
-            connection.flushAnswers();
+            connection.flushReplies();
         }
     }
 
     /** Whether the client is still connected; checked just before more work is done for it. */
-    public boolean isClientHere() {
-        return connection.isClientHere();
+    public boolean isClientConnected() {
+        return connection.isClientConnected();
     }
 
     /** Replies BUSY: the query had no effect and may be retried, after {@code retryAfterMs} if that is positive. */
-    public void busy(double comeBackMs) {
-        line(comeBackMs > 0 ? "-BUSY " + (long) Math.ceil(comeBackMs) : "-BUSY");
+    public void replyBusy(double retryAfterMs) {
+        replyLine(retryAfterMs > 0 ? "-BUSY " + (long) Math.ceil(retryAfterMs) : "-BUSY");
     }
 
     /** Replies with a single line that starts with its RESP type character. */
-    public void line(String signed) {
+    public void replyLine(String typedLine) {
         if (!isAnswered() && !connection.isClosed()) {
-            line = signed;
-            connection.flushAnswers();
+            replyLine = typedLine;
+            connection.flushReplies();
         }
     }
 
     /** Writes what is available, up to the queue limit; returns whether the reply is complete. */
-    boolean writeTo(Chain out) {
+    boolean writeTo(BufferChain out) {
         if (transfer != null) {
-            return writePartTo(out);
+            return writeTransferTo(out);
         }
-        if (line != null) {
-            RespWriter.line(out, line);
+        if (replyLine != null) {
+            RespWriter.line(out, replyLine);
         } else {
-            RespWriter.bulkMoved(out, value);
+            RespWriter.bulkMoved(out, replyValue);
         }
         return true;
     }
 
-    private boolean writePartTo(Chain out) {
-        if (!headWritten) {
-            headWritten = true;
+    private boolean writeTransferTo(BufferChain out) {
+        if (!headerWritten) {
+            headerWritten = true;
             out.put("$" + transfer.length + "\r\n");
         }
-        transfer.takeTo(out, Math.max(0, MOST_PUT_OUT - out.size()));
+        transfer.moveTo(out, Math.max(0, MAX_QUEUED_BYTES - out.size()));
         if (!transfer.isDone()) {
             return false;
         }
@@ -108,13 +108,13 @@
     }
 
     /** Whether a streamed value failed part-way, so that the rest cannot follow. */
-    boolean isBroken() {
-        return transfer != null && transfer.isBroken();
+    boolean isFailed() {
+        return transfer != null && transfer.isFailed();
     }
 
     void release() {
-        if (value != null) {
-            value.release();
+        if (replyValue != null) {
+            replyValue.release();
         }
         if (transfer != null) {
             transfer.abandon();
--- a/src/main/java/dappleseam/clients/Queries.java
+++ b/src/main/java/dappleseam/clients/QueryHandler.java
@@ -4,15 +4,15 @@
 import dappleseam.router.QueryId;
 
 /** Receives the queries that clients send. */
-public interface Queries {
+public interface QueryHandler {
     /**
      * Handles a query that may have waited up to {@code waitedMs} before it was read, and completes {@code reply} now or later. Returns the
      * query's id, or null if it was refused and {@code reply} is already completed.
      */
-    QueryId take(Command command, Owed owed, double waitedMs);
+    QueryId submit(Command command, PendingReply reply, double waitedMs);
 
     /** Rejects a query without handling it, because its client may have disconnected. */
-    void reject(Command command, Owed owed);
+    void reject(Command command, PendingReply reply);
 
     /** Called when the client of an unanswered query has disconnected. */
     void clientLeft(QueryId id);
--- a/src/main/java/dappleseam/list/ListReader.java
+++ b/src/main/java/dappleseam/list/ListReader.java
@@ -18,15 +18,15 @@
 /** Reads the list service's JSON: members for the router, and the addresses to connect to. */
 public final class ListReader {
     /** Maximum number of cached addresses: enough for a large fleet, whose lists repeat them. */
-    private static final int MOST_ADDRESSES = 4096;
+    private static final int MAX_CACHED_ADDRESSES = 4096;
 
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
-    private final List<String> machines;
+    private final List<String> modelNames;
     private final Map<String, Integer> zones = new HashMap<>();
 
     /** Takes the names of the node models and of the zones, in the order of their indexes. */
-    public ListReader(List<String> machines, List<String> zones) {
-        this.machines = machines;
+    public ListReader(List<String> modelNames, List<String> zones) {
+        this.modelNames = modelNames;
         zones.forEach(zone -> this.zones.put(zone, this.zones.size()));
     }
 
@@ -49,7 +49,7 @@
     private NodeList list(JsonParser parser) throws IOException {
         Long version = null;
         boolean whole = false;
-        List<Listed> entries = null;
+        List<ListEntry> entries = null;
         parser.nextToken();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
             String key = parser.currentName();
@@ -69,8 +69,8 @@
         return new NodeList(version, whole, entries);
     }
 
-    private List<Listed> entries(JsonParser parser) throws IOException {
-        List<Listed> entries = new ArrayList<>();
+    private List<ListEntry> entries(JsonParser parser) throws IOException {
+        List<ListEntry> entries = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
             entries.add(entry(parser));
         }
@@ -78,14 +78,14 @@
     }
 
     /** The known fields of one entry. */
-    private static final class Fields {
+    private static final class EntryFields {
         String uid = "";
         String endpoint = "";
         String zone = "";
-        String machine = "";
+        String modelName = "";
         String state = "";
         int group;
-        double scale = 1;
+        double weight = 1;
         double bootMs;
 
         void read(String key, JsonParser value) throws IOException {
@@ -93,18 +93,18 @@
                 case "uid" -> uid = value.getValueAsString("");
                 case "endpoint" -> endpoint = value.getValueAsString("");
                 case "az" -> zone = value.getValueAsString("");
-                case "model" -> machine = value.getValueAsString("");
+                case "model" -> modelName = value.getValueAsString("");
                 case "state" -> state = value.getValueAsString("");
                 case "pod_group" -> group = value.getValueAsInt();
-                case "capacity_hint" -> scale = value.getValueAsDouble(1);
+                case "capacity_hint" -> weight = value.getValueAsDouble(1);
                 case "boot_ms" -> bootMs = value.getValueAsDouble();
                 default -> { } // unknown keys are ignored, as new ones may be added
             }
         }
     }
 
-    private Listed entry(JsonParser parser) throws IOException {
-        Fields fields = new Fields();
+    private ListEntry entry(JsonParser parser) throws IOException {
+        EntryFields fields = new EntryFields();
         while (parser.currentToken() != JsonToken.END_OBJECT && parser.nextToken() == JsonToken.FIELD_NAME) {
             String key = parser.currentName();
             JsonToken value = parser.nextToken();
@@ -122,8 +122,8 @@
             default -> Member.State.GONE;
         };
         int zone = zones.computeIfAbsent(fields.zone, z -> zones.size());
-        Member member = new Member(new NodeId(hash(fields.uid)), state, machines.indexOf(fields.machine), fields.group, zone, fields.scale, fields.bootMs);
-        return new Listed(fields.uid, member, address(fields.endpoint), fields.zone, fields.machine);
+        Member member = new Member(new NodeId(hash(fields.uid)), state, modelNames.indexOf(fields.modelName), fields.group, zone, fields.weight, fields.bootMs);
+        return new ListEntry(fields.uid, member, address(fields.endpoint), fields.zone, fields.modelName);
     }
 
     /** The parsed address; null for an empty one, as nodes that are gone need none. */
@@ -134,7 +134,7 @@
         }
         try {
             InetSocketAddress address = Address.parse(text);
-            if (addresses.size() >= MOST_ADDRESSES) {
+            if (addresses.size() >= MAX_CACHED_ADDRESSES) {
                 addresses.clear();
             }
             addresses.put(text, address);
--- a/src/main/java/dappleseam/list/ListWatch.java
+++ b/src/main/java/dappleseam/list/ListWatch.java
@@ -1,10 +1,10 @@
 package dappleseam.list;
 
-import dappleseam.wire.Chain;
-import dappleseam.wire.HttpReader;
+import dappleseam.wire.BufferChain;
+import dappleseam.wire.HttpResponseReader;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
-import dappleseam.wire.Progress;
+import dappleseam.wire.IoLoop;
+import dappleseam.wire.ParseStatus;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -24,150 +24,150 @@
  */
 public final class ListWatch {
     private static final Logger LOG = System.getLogger(ListWatch.class.getName());
-    private static final long LONGEST_LIST = 4 << 20;
+    private static final long MAX_LIST_BYTES = 4 << 20;
     /** Maximum hold time of a long poll in ms, and the share of it that is random so that proxies do not poll in step. */
     private static final double HOLD_MS = 2500;
-    private static final double HOLD_DRAWN = 0.2;
+    private static final double HOLD_JITTER = 0.2;
     /** How long a call may take beyond its hold time, in ms, as the service processes calls one after the other. */
-    private static final double LATE_MS = 1000;
-    private static final double CONNECT_MS = 1000;
+    private static final double RESPONSE_GRACE_MS = 1000;
+    private static final double CONNECT_TIMEOUT_MS = 1000;
     /** Time in ms after which a call with no connection open yet starts another attempt in parallel, and the maximum number of attempts. */
-    static final double DIAL_AGAIN_MS = 400;
-    static final int MOST_DIALS = 3;
+    static final double EXTRA_ATTEMPT_MS = 400;
+    static final int MAX_ATTEMPTS = 3;
     /** Maximum random delay in ms before a broken or stalled watch is reopened, as all proxies may be affected at once. */
-    private static final double ANEW_MS = 100;
+    private static final double REOPEN_JITTER_MS = 100;
     /**
      * Initial back-off in ms, doubled each time, before a failed call is retried if the list is pushed: then a change counts as delivered as soon
      * as the agent has it.
      */
-    private static final double AGAIN_MS = 100;
-    private static final double AGAIN_MOST_MS = 250;
+    private static final double BACKOFF_MS = 100;
+    private static final double MAX_BACKOFF_MS = 250;
 
-    private final Loop loop;
+    private final IoLoop loop;
     private InetSocketAddress service;
-    private ListReader lists;
-    private final Consumer<NodeList> news;
-    private final Consumer<String> failed;
-    private final DoubleUnaryOperator again;
+    private ListReader listReader;
+    private final Consumer<NodeList> onList;
+    private final Consumer<String> onFailure;
+    private final DoubleUnaryOperator adjustBackoff;
     private final RandomGenerator random;
     private long version;
-    private boolean always;
-    private double againMs = AGAIN_MS;
+    private boolean isPermanent;
+    private double backoffMs = BACKOFF_MS;
     /** The call in progress; null while not watching. */
     private Call call;
 
     /** {@code adjustBackoff} maps the proposed delay in ms before the next retry to the one that is used. */
-    public ListWatch(Loop loop, InetSocketAddress service, ListReader lists, long version,
-                     Consumer<NodeList> news, Consumer<String> failed, DoubleUnaryOperator again, RandomGenerator random) {
+    public ListWatch(IoLoop loop, InetSocketAddress service, ListReader listReader, long version,
+                     Consumer<NodeList> onList, Consumer<String> onFailure, DoubleUnaryOperator adjustBackoff, RandomGenerator random) {
         this.loop = loop;
         this.service = service;
-        this.lists = lists;
+        this.listReader = listReader;
         this.version = version;
-        this.news = news;
-        this.failed = failed;
-        this.again = again;
+        this.onList = onList;
+        this.onFailure = onFailure;
+        this.adjustBackoff = adjustBackoff;
         this.random = random;
     }
 
     /** Starts watching, unless a call is in progress. The first call returns at once with what changed since the known version. */
-    public void follow() {
+    public void startWatching() {
         if (call == null) {
-            begin(0, false);
+            startCall(0, false);
         }
     }
 
     /** Hold time of the next long poll. */
     private long holdMs() {
-        return Math.round(HOLD_MS * (1 - HOLD_DRAWN * random.nextDouble()));
+        return Math.round(HOLD_MS * (1 - HOLD_JITTER * random.nextDouble()));
     }
 
     /** Starts watching, and from now on retries failed calls; used if the list is pushed to a proxy. */
-    public void followAlways() {
-        always = true;
-        follow();
+    public void watchPermanently() {
+        isPermanent = true;
+        startWatching();
     }
 
     /** Switches to the list service at another address, continuing from the last known version. */
-    public void moveTo(InetSocketAddress other) {
-        if (!other.equals(service)) {
-            service = other;
+    public void moveTo(InetSocketAddress newService) {
+        if (!newService.equals(service)) {
+            service = newService;
             if (call != null) {
-                call.end();
+                call.endCall();
             }
-            follow();
+            startWatching();
         }
     }
 
     /** Requests the full list again, to be read with another reader. */
-    public void readAnew(ListReader otherLists) {
-        lists = otherLists;
+    public void refetchWith(ListReader newReader) {
+        listReader = newReader;
         version = 0;
         if (call != null) {
-            call.end();
-            follow();
+            call.endCall();
+            startWatching();
         }
     }
 
-    private void begin(long holdMs, boolean goesOn) {
-        call = new Call(holdMs, goesOn);
-        call.dial();
+    private void startCall(long holdMs, boolean isContinuation) {
+        call = new Call(holdMs, isContinuation);
+        call.connect();
     }
 
-    private final class Call implements Link.Events {
-        private final HttpReader reader = new HttpReader(loop.pool(), LONGEST_LIST);
-        private Loop.Deadline late = () -> { };
-        private final List<Loop.Deadline> dials = new ArrayList<>();
+    private final class Call implements Link.Listener {
+        private final HttpResponseReader reader = new HttpResponseReader(loop.pool(), MAX_LIST_BYTES);
+        private IoLoop.PendingTask responseTimer = () -> { };
+        private final List<IoLoop.PendingTask> attempts = new ArrayList<>();
         /** Connection attempts that have neither succeeded nor failed. */
-        private int hanging;
-        private Loop.Deadline dialAgain = () -> { };
+        private int pendingAttempts;
+        private IoLoop.PendingTask extraAttemptTimer = () -> { };
         private final long firstHoldMs;
         private Link link;
         /** Whether the previous call was answered, so that the service is presumably still healthy. */
-        private boolean isWatch;
+        private boolean isContinuation;
 
-        Call(long firstHoldMs, boolean goesOn) {
+        Call(long firstHoldMs, boolean isContinuation) {
             this.firstHoldMs = firstHoldMs;
-            isWatch = goesOn;
+            isContinuation = isContinuation;
         }
 
-        void dial() {
-            hanging++;
-            dials.add(loop.dialKept(service, CONNECT_MS, this::up, this::dialFailed));
-            dialAgain = loop.at(loop.nowMs() + DIAL_AGAIN_MS, this::dialBeside);
+        void connect() {
+            pendingAttempts++;
+            attempts.add(loop.connectReserved(service, CONNECT_TIMEOUT_MS, this::connected, this::attemptFailed));
+            extraAttemptTimer = loop.scheduleAt(loop.nowMs() + EXTRA_ATTEMPT_MS, this::connectInParallel);
         }
 
         /**
          * Starts another attempt, as one hanging connection does not mean that the service is down; skipped if nodes and clients use all
          * descriptors.
          */
-        private void dialBeside() {
-            if (loop.mayDial()) {
-                hanging++;
-                dials.add(loop.dial(service, CONNECT_MS, this::up, this::dialFailed));
+        private void connectInParallel() {
+            if (loop.mayConnect()) {
+                pendingAttempts++;
+                attempts.add(loop.connect(service, CONNECT_TIMEOUT_MS, this::connected, this::attemptFailed));
             }
-            if (dials.size() < MOST_DIALS) {
-                dialAgain = loop.at(loop.nowMs() + DIAL_AGAIN_MS, this::dialBeside);
+            if (attempts.size() < MAX_ATTEMPTS) {
+                extraAttemptTimer = loop.scheduleAt(loop.nowMs() + EXTRA_ATTEMPT_MS, this::connectInParallel);
             }
         }
 
-        private void dialFailed(String cause) {
-            hanging--;
-            if (hanging == 0 && link == null) {
+        private void attemptFailed(String cause) {
+            pendingAttempts--;
+            if (pendingAttempts == 0 && link == null) {
                 fail(cause);
             }
         }
 
-        private void up(StreamConnection connection) {
-            dialAgain.callOff();
-            dials.forEach(Loop.Deadline::callOff);
-            link = loop.link(connection, this);
+        private void connected(StreamConnection connection) {
+            extraAttemptTimer.cancelTask();
+            attempts.forEach(IoLoop.PendingTask::cancelTask);
+            link = loop.createLink(connection, this);
             link.resume();
-            ask(firstHoldMs);
+            sendRequest(firstHoldMs);
         }
 
-        private void ask(long holdMs) {
-            late.callOff();
-            late = loop.at(loop.nowMs() + holdMs + LATE_MS, () -> fail("no response in time"));
+        private void sendRequest(long holdMs) {
+            responseTimer.cancelTask();
+            responseTimer = loop.scheduleAt(loop.nowMs() + holdMs + RESPONSE_GRACE_MS, () -> fail("no response in time"));
             link.out().put("GET /registry/instances?from=" + version + "&hold_ms=" + holdMs
                     + " HTTP/1.1\r\nHost: list\r\n\r\n");
             link.flush();
@@ -175,24 +175,24 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            Progress progress = reader.read(bytes);
-            if (progress == Progress.BAD) {
+            ParseStatus progress = reader.read(bytes);
+            if (progress == ParseStatus.MALFORMED) {
                 fail("malformed HTTP response");
-            } else if (progress == Progress.DONE) {
-                answered(reader.staysOpen() && !bytes.hasRemaining()); // after unexpected bytes the connection cannot be trusted
+            } else if (progress == ParseStatus.DONE) {
+                handleResponse(reader.staysOpen() && !bytes.hasRemaining()); // after unexpected bytes the connection cannot be trusted
             }
         }
 
-        private void answered(boolean staysOpen) {
+        private void handleResponse(boolean staysOpen) {
             int status = reader.status();
-            Chain body = reader.takeBody();
+            BufferChain body = reader.takeBody();
             NodeList list;
             try {
                 if (status != 200) {
-                    isWatch = false; // the service itself reports that it is overloaded
+                    isContinuation = false; // the service itself reports that it is overloaded
                     throw new IOException("status " + status);
                 }
-                list = lists.read(body.bytes());
+                list = listReader.read(body.bytes());
             } catch (IOException | RuntimeException e) { // after an invalid list the old one stays
                 fail(e.getMessage());
                 return;
@@ -200,52 +200,52 @@
                 body.release();
             }
             version = list.version();
-            againMs = AGAIN_MS;
-            isWatch = true;
+            backoffMs = BACKOFF_MS;
+            isContinuation = true;
             if (staysOpen) {
-                ask(holdMs());
+                sendRequest(holdMs());
             } else {
-                end();
-                begin(holdMs(), true);
+                endCall();
+                startCall(holdMs(), true);
             }
-            news.accept(list);
+            onList.accept(list);
         }
 
         @Override
-        public void finished() {
-            if (reader.endsBody()) {
-                answered(false);
+        public void endOfStream() {
+            if (reader.isCompleteAtClose()) {
+                handleResponse(false);
             } else {
                 fail("closed by the peer");
             }
         }
 
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             fail(cause);
         }
 
         private void fail(String cause) {
             if (call == this) {
-                end();
-                if (isWatch) { // the first call after an answered one is made without back-off
+                endCall();
+                if (isContinuation) { // the first call after an answered one is made without back-off
                     LOG.log(Level.INFO, "list: the watch is opened anew: {0}", cause);
-                    loop.at(loop.nowMs() + ANEW_MS * random.nextDouble(), ListWatch.this::follow);
+                    loop.scheduleAt(loop.nowMs() + REOPEN_JITTER_MS * random.nextDouble(), ListWatch.this::startWatching);
                     return;
                 }
-                failed.accept(cause);
-                if (always) {
-                    loop.at(loop.nowMs() + again.applyAsDouble(againMs), ListWatch.this::follow);
-                    againMs = Math.min(AGAIN_MOST_MS, 2 * againMs);
+                onFailure.accept(cause);
+                if (isPermanent) {
+                    loop.scheduleAt(loop.nowMs() + adjustBackoff.applyAsDouble(backoffMs), ListWatch.this::startWatching);
+                    backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
                 }
             }
         }
 
-        private void end() {
+        private void endCall() {
             call = null;
-            late.callOff();
-            dialAgain.callOff();
-            dials.forEach(Loop.Deadline::callOff);
+            responseTimer.cancelTask();
+            extraAttemptTimer.cancelTask();
+            attempts.forEach(IoLoop.PendingTask::cancelTask);
             reader.release();
             if (link != null) {
                 link.close();
--- a/src/main/java/dappleseam/list/StartTimes.java
+++ b/src/main/java/dappleseam/list/StartTimes.java
@@ -14,7 +14,7 @@
  */
 public final class StartTimes {
     /** Maximum number of nodes remembered, listed or not: a node that leaves the list and returns has not been restarted. */
-    private static final int MOST = 8192;
+    private static final int MAX_NODES = 8192;
 
     private record Start(double bootMs, double startedAtMs) {}
 
@@ -23,49 +23,49 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<NodeId, Start> eldest) {
-            return size() > MOST;
+            return size() > MAX_NODES;
         }
     };
 
     /** The members of the list that this process starts with, from its file or the first one received, with adjusted start times. Times in ms. */
-    public List<Member> ofFirst(NodeList list, double nowMs, double wallMs) {
+    public List<Member> adjustFirstList(NodeList list, double nowMs, double wallMs) {
         starts.clear();
         double newest = list.entries().stream().mapToDouble(entry -> entry.member().startedAtMs()).max().orElse(0);
-        return members(list, nowMs, bootMs -> atLeast(newest - bootMs, wallMs - bootMs));
+        return members(list, nowMs, bootMs -> minAgeMs(newest - bootMs, wallMs - bootMs));
     }
 
     /** The lower of both ages, as the list's times may span a clock step; the list's age if this process's wall clock is behind. */
-    private static double atLeast(double agedByListMs, double agedByWallMs) {
-        return agedByWallMs < 0 ? agedByListMs : Math.min(agedByListMs, agedByWallMs);
+    private static double minAgeMs(double listAgeMs, double wallAgeMs) {
+        return wallAgeMs < 0 ? listAgeMs : Math.min(listAgeMs, wallAgeMs);
     }
 
     /** The members of a later list or update, with adjusted start times. */
-    public List<Member> of(NodeList list, double nowMs) {
+    public List<Member> adjustUpdate(NodeList list, double nowMs) {
         return members(list, nowMs, bootMs -> 0);
     }
 
     /** Estimates the age of a node, in ms, that it has at least. */
-    private interface Age {
-        double leastMs(double bootMs);
+    private interface MinAge {
+        double ofBootMs(double bootMs);
     }
 
-    private List<Member> members(NodeList list, double nowMs, Age age) {
+    private List<Member> members(NodeList list, double nowMs, MinAge minAge) {
         List<Member> members = new ArrayList<>(list.entries().size());
-        for (Listed entry : list.entries()) {
+        for (ListEntry entry : list.entries()) {
             Member member = entry.member();
-            members.add(member.startedAt(startedAtMs(member, nowMs, age)));
+            members.add(member.withStartedAt(startedAtMs(member, nowMs, minAge)));
         }
         return members;
     }
 
-    private double startedAtMs(Member member, double nowMs, Age age) {
+    private double startedAtMs(Member member, double nowMs, MinAge minAge) {
         double bootMs = member.startedAtMs();
         if (bootMs <= 0) {
             return 0;
         }
         Start known = starts.get(member.node());
         if (known == null || known.bootMs != bootMs) {
-            known = new Start(bootMs, Math.max(0, nowMs - age.leastMs(bootMs)));
+            known = new Start(bootMs, Math.max(0, nowMs - minAge.ofBootMs(bootMs)));
             starts.put(member.node(), known);
         }
         return known.startedAtMs;
--- a/src/main/java/dappleseam/origin/Origin.java
+++ b/src/main/java/dappleseam/origin/Origin.java
@@ -2,19 +2,19 @@
 
 import dappleseam.query.Backend;
 import dappleseam.query.Command;
-import dappleseam.query.Connections;
-import dappleseam.query.Ending;
+import dappleseam.query.ConnectionPolicy;
+import dappleseam.query.ExecutionResult;
 import dappleseam.query.Execution;
-import dappleseam.query.Inflow;
-import dappleseam.query.Reached;
+import dappleseam.query.LargeValueReceiver;
+import dappleseam.query.WriteProgress;
 import dappleseam.query.Slots;
 import dappleseam.router.Outcome;
-import dappleseam.wire.Chain;
-import dappleseam.wire.HttpReader;
-import dappleseam.wire.Large;
+import dappleseam.wire.BufferChain;
+import dappleseam.wire.HttpResponseReader;
+import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
-import dappleseam.wire.Progress;
+import dappleseam.wire.IoLoop;
+import dappleseam.wire.ParseStatus;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import org.xnio.StreamConnection;
@@ -22,49 +22,49 @@
 /** The origin server, over HTTP/1.1 with one exchange at a time on each connection. */
 public final class Origin implements Backend {
     /** Maximum bytes of a value in the output queue; more is added when the origin has taken them. */
-    private static final int MOST_PUT_OUT = 64 << 10;
+    private static final int MAX_QUEUED_BYTES = 64 << 10;
 
-    private final Loop loop;
+    private final IoLoop loop;
     private final InetSocketAddress endpoint;
-    private Connections limits;
-    private final Slots<Connection> open = new Slots<>();
+    private ConnectionPolicy policy;
+    private final Slots<Connection> connections = new Slots<>();
     private boolean retired;
 
-    public Origin(Loop loop, InetSocketAddress endpoint, Connections limits) {
+    public Origin(IoLoop loop, InetSocketAddress endpoint, ConnectionPolicy policy) {
         this.loop = loop;
         this.endpoint = endpoint;
-        this.limits = limits;
+        this.policy = policy;
     }
 
     @Override
     public void begin(Execution execution) {
-        for (Connection c : open.all()) { // always the first free one, so that the last ones become idle and are closed
-            if (c.current == null && c.isClean()) {
+        for (Connection c : connections.all()) { // always the first free one, so that the last ones become idle and are closed
+            if (c.current == null && c.isReusable()) {
                 c.send(execution);
                 return;
             }
         }
         Connection c = new Connection(execution);
-        c.dialling = loop.dial(endpoint, limits.connectTimeoutMs(), c::up, c::failed);
+        c.connectAttempt = loop.connect(endpoint, policy.connectTimeoutMs(), c::connected, c::connectFailed);
     }
 
     @Override
-    public Reached giveUp(Execution execution) {
-        for (Connection c : open.all()) {
+    public WriteProgress stopWaiting(Execution execution) {
+        for (Connection c : connections.all()) {
             if (c.current == execution) {
-                Reached reached = c.reached();
+                WriteProgress writeProgress = c.writeProgress();
                 c.current = null;
                 c.close();
-                return reached;
+                return writeProgress;
             }
         }
-        return Reached.NOT_WHOLE;
+        return WriteProgress.INCOMPLETE;
     }
 
     @Override
-    public boolean takeBack(Execution execution) {
-        for (Connection c : open.all()) {
-            if (c.current == execution && c.reached() == Reached.NOT_WHOLE) {
+    public boolean cancelUnsent(Execution execution) {
+        for (Connection c : connections.all()) {
+            if (c.current == execution && c.writeProgress() == WriteProgress.INCOMPLETE) {
                 c.current = null;
                 c.close();
                 return true;
@@ -74,13 +74,13 @@
     }
 
     @Override
-    public void limit(Connections newLimits) {
-        limits = newLimits;
+    public void setPolicy(ConnectionPolicy newPolicy) {
+        policy = newPolicy;
     }
 
     @Override
     public void closeIdle() {
-        for (Connection c : open.all()) {
+        for (Connection c : connections.all()) {
             if (c.current == null) {
                 c.close();
             }
@@ -88,11 +88,11 @@
     }
 
     @Override
-    public void endWaiting() {
-        for (Connection c : open.all()) {
-            if (c.link == null || c.current != null && c.link.written() <= c.beginsAt) {
+    public void failWaiting() {
+        for (Connection c : connections.all()) {
+            if (c.link == null || c.current != null && c.link.bytesWritten() <= c.startOffset) {
                 c.close();
-                c.end(Ending.broken(Reached.NOT_WHOLE, "the origin is draining or gone"));
+                c.end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, "the origin is draining or gone"));
             }
         }
     }
@@ -101,32 +101,32 @@
     public void retire() {
         retired = true;
         closeIdle();
-        endWaiting();
+        failWaiting();
     }
 
-    private final class Connection implements Inflow.Connection {
-        private final Inflow inflow = new Inflow(loop, this);
-        private final HttpReader reader = new HttpReader(loop.pool(), Large.LONGEST, inflow);
+    private final class Connection implements LargeValueReceiver.Connection {
+        private final LargeValueReceiver largeValues = new LargeValueReceiver(loop, this);
+        private final HttpResponseReader reader = new HttpResponseReader(loop.pool(), LargeValueHandler.MAX_BYTES, largeValues);
         /** Bytes already queued of the value being sent. */
-        private long put;
-        private Loop.Deadline dialling = () -> { };
-        private Loop.Deadline closing = () -> { };
-        private final int slot = open.put(this);
+        private long valueBytesQueued;
+        private IoLoop.PendingTask connectAttempt = () -> { };
+        private IoLoop.PendingTask closeTimer = () -> { };
+        private final int slot = connections.put(this);
         private Link link;
         private Execution current;
         private double idleSince;
         /** How long the connection had been idle before the unanswered request; negative for the first request. */
-        private double idleMs = -1;
+        private double idleBeforeReuseMs = -1;
         /** Byte range of the current request in the connection's output; the end is {@link Long#MAX_VALUE} until all of it is queued. */
-        private long beginsAt;
-        private long endsAt;
+        private long startOffset;
+        private long endOffset;
 
         Connection(Execution first) {
             current = first;
         }
 
-        private void up(StreamConnection connection) {
-            link = loop.link(connection, this);
+        private void connected(StreamConnection connection) {
+            link = loop.createLink(connection, this);
             link.resume();
             if (current.mayBegin()) {
                 send(current);
@@ -135,63 +135,63 @@
                 if (retired) {
                     close();
                 } else {
-                    rest();
+                    becomeIdle();
                 }
             }
         }
 
         /** Waits for the next request, and is closed shortly before the origin would close it. */
-        private void rest() {
+        private void becomeIdle() {
             idleSince = loop.nowMs();
-            closing = loop.at(loop.nowMs() + limits.retireMs(), this::close);
+            closeTimer = loop.scheduleAt(loop.nowMs() + policy.idleTimeoutMs(), this::close);
         }
 
-        private void failed(String cause) {
-            open.free(slot);
-            end(Ending.broken(Reached.NOT_WHOLE, cause));
+        private void connectFailed(String cause) {
+            connections.free(slot);
+            end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
         }
 
         void send(Execution e) {
-            closing.callOff();
+            closeTimer.cancelTask();
             current = e;
-            beginsAt = link.queued();
-            endsAt = Long.MAX_VALUE;
+            startOffset = link.bytesQueued();
+            endOffset = Long.MAX_VALUE;
             try {
-                write(e, Math.max(1, Math.round(e.waitUntil - loop.nowMs())), link.out());
-                put = 0;
-                putValue();
+                write(e, Math.max(1, Math.round(e.deadlineMs - loop.nowMs())), link.out());
+                valueBytesQueued = 0;
+                queueValue();
             } catch (RuntimeException fault) { // a partly written request must not be followed by another
-                ended("internal error: " + fault);
+                disconnected("internal error: " + fault);
                 return;
             }
             link.flush();
         }
 
         /** Queues the next part of the value; the query keeps the only full copy of it. */
-        private void putValue() {
-            Chain value = current.command.value();
-            put += value == null ? 0 : link.out().copyPart(value, put, MOST_PUT_OUT);
-            if (value == null || put == value.size()) {
-                endsAt = link.queued();
+        private void queueValue() {
+            BufferChain value = current.command.value();
+            valueBytesQueued += value == null ? 0 : link.out().copyRange(value, valueBytesQueued, MAX_QUEUED_BYTES);
+            if (value == null || valueBytesQueued == value.size()) {
+                endOffset = link.bytesQueued();
             }
         }
 
-        private static void write(Execution e, long waitMs, Chain to) {
+        private static void write(Execution e, long waitMs, BufferChain to) {
             Command command = e.command;
             to.put((command.isWrite() ? "PUT /" : "GET /") + command.key() + " HTTP/1.1\r\nHost: origin\r\n"
-                    + "X-Correlation-Id: " + command.id() + "\r\nX-Facts: " + command.factsWaiting(waitMs) + "\r\n"
+                    + "X-Correlation-Id: " + command.id() + "\r\nX-Facts: " + command.factsWithTimeout(waitMs) + "\r\n"
                     + (command.isWrite() ? "Content-Length: " + command.value().size() + "\r\n\r\n" : "\r\n"));
         }
 
         @Override
-        public void drained() {
-            if (current != null && reached() == Reached.WHOLE) {
+        public void flushed() {
+            if (current != null && writeProgress() == WriteProgress.COMPLETE) {
                 current.written();
-            } else if (current != null && endsAt == Long.MAX_VALUE) {
+            } else if (current != null && endOffset == Long.MAX_VALUE) {
                 try {
-                    putValue();
+                    queueValue();
                 } catch (RuntimeException fault) { // less was sent than Content-Length announced
-                    ended("internal error: " + fault);
+                    disconnected("internal error: " + fault);
                     return;
                 }
                 link.flush();
@@ -199,7 +199,7 @@
         }
 
         @Override
-        public Execution begins() {
+        public Execution answeringExecution() {
             return current;
         }
 
@@ -214,27 +214,27 @@
             close();
         }
 
-        Reached reached() {
-            return link != null && link.written() >= endsAt ? Reached.WHOLE : Reached.NOT_WHOLE;
+        WriteProgress writeProgress() {
+            return link != null && link.bytesWritten() >= endOffset ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
         }
 
         @Override
         public void received(ByteBuffer bytes) {
-            Progress progress = reader.read(bytes);
-            if (progress == Progress.BAD || current == null) {
-                boolean whole = reached() == Reached.WHOLE;
+            ParseStatus parsed = reader.read(bytes);
+            if (parsed == ParseStatus.MALFORMED || current == null) {
+                boolean whole = writeProgress() == WriteProgress.COMPLETE;
                 close();
-                end(whole ? Ending.erred("malformed HTTP response")
-                        : Ending.broken(Reached.NOT_WHOLE, "a response before the request was sent"));
-            } else if (progress == Progress.DONE) {
-                answered(!bytes.hasRemaining());
+                end(whole ? ExecutionResult.erred("malformed HTTP response")
+                        : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, "a response before the request was sent"));
+            } else if (parsed == ParseStatus.DONE) {
+                handleResponse(!bytes.hasRemaining());
             }
         }
 
         /** Whether an idle connection can be reused; closes it if input or a close has arrived since the last response. */
-        boolean isClean() {
-            idleMs = loop.nowMs() - idleSince;
-            if (link.isQuiet() && limits.reuse().isLikely(idleMs)) {
+        boolean isReusable() {
+            idleBeforeReuseMs = loop.nowMs() - idleSince;
+            if (link.hasNoInput() && policy.reuseStats().mayReuse(idleBeforeReuseMs)) {
                 return true;
             }
             close();
@@ -242,71 +242,71 @@
         }
 
         /** Handles a complete response. If not {@code clean}, bytes followed it: the response counts, but the connection is closed. */
-        private void answered(boolean clean) {
+        private void handleResponse(boolean clean) {
             boolean completed = reader.status() == 200;
             boolean neverRan = reader.header("x-unprocessed").equals("1")
                     && (reader.status() == 503 || reader.status() == 504);
-            Ending failure = neverRan ? Ending.of(Outcome.FULL) : Ending.erred("status " + reader.status());
-            boolean staysOpen = clean && reader.staysOpen() && !retired && endsAt != Long.MAX_VALUE;
-            Chain body = reader.takeBody();
+            ExecutionResult failure = neverRan ? ExecutionResult.of(Outcome.FULL) : ExecutionResult.erred("status " + reader.status());
+            boolean staysOpen = clean && reader.staysOpen() && !retired && endOffset != Long.MAX_VALUE;
+            BufferChain body = reader.takeBody();
             Execution done = current;
             current = null;
-            inflow.whole();
-            toldOfReuse(false);
+            largeValues.complete();
+            reportReuse(false);
             if (staysOpen) {
-                rest();
+                becomeIdle();
             } else {
                 close();
             }
             if (!completed) {
                 body.release();
             }
-            done.end(completed ? Ending.completed(body) : failure);
+            done.end(completed ? ExecutionResult.completed(body) : failure);
         }
 
-        private void toldOfReuse(boolean broke) {
-            if (idleMs >= 0) {
-                limits.reuse().told(idleMs, broke);
-                idleMs = -1;
+        private void reportReuse(boolean hasFailed) {
+            if (idleBeforeReuseMs >= 0) {
+                policy.reuseStats().recordReuse(idleBeforeReuseMs, hasFailed);
+                idleBeforeReuseMs = -1;
             }
         }
 
         /** A body without a length is complete on an orderly close only, never on a reset, so that no client gets part of a value. */
         @Override
-        public void finished() {
-            if (current != null && reader.endsBody()) {
-                answered(true);
+        public void endOfStream() {
+            if (current != null && reader.isCompleteAtClose()) {
+                handleResponse(true);
             } else {
-                ended("closed by the peer");
+                disconnected("closed by the peer");
             }
         }
 
         @Override
-        public void ended(String cause) {
-            Reached reached = reached();
+        public void disconnected(String cause) {
+            WriteProgress writeProgress = writeProgress();
             if (current != null) {
-                toldOfReuse(true);
+                reportReuse(true);
             }
             close();
-            end(Ending.broken(reached, cause));
+            end(ExecutionResult.connectionFailed(writeProgress, cause));
         }
 
         void close() {
-            dialling.callOff();
-            closing.callOff();
+            connectAttempt.cancelTask();
+            closeTimer.cancelTask();
             reader.release();
-            open.free(slot);
+            connections.free(slot);
             if (link != null) {
                 link.close();
             }
-            inflow.broken();
+            largeValues.fail();
         }
 
-        private void end(Ending ending) {
+        private void end(ExecutionResult result) {
             if (current != null) {
                 Execution e = current;
                 current = null;
-                e.end(ending);
+                e.end(result);
             }
         }
     }
--- a/src/main/java/dappleseam/servers/CacheNode.java
+++ b/src/main/java/dappleseam/servers/CacheNode.java
@@ -2,18 +2,18 @@
 
 import dappleseam.query.Backend;
 import dappleseam.query.Command;
-import dappleseam.query.Connections;
-import dappleseam.query.Ending;
+import dappleseam.query.ConnectionPolicy;
+import dappleseam.query.ExecutionResult;
 import dappleseam.query.Execution;
-import dappleseam.query.Inflow;
-import dappleseam.query.Reached;
+import dappleseam.query.LargeValueReceiver;
+import dappleseam.query.WriteProgress;
 import dappleseam.query.Slots;
 import dappleseam.router.Outcome;
-import dappleseam.wire.Chain;
-import dappleseam.wire.Large;
+import dappleseam.wire.BufferChain;
+import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
-import dappleseam.wire.Progress;
+import dappleseam.wire.IoLoop;
+import dappleseam.wire.ParseStatus;
 import dappleseam.wire.RespMessage;
 import dappleseam.wire.RespReader;
 import dappleseam.wire.RespWriter;
@@ -26,36 +26,36 @@
 /** One cache node and this proxy's RESP connections to it. Commands on a connection are pipelined; the node replies in order. */
 public final class CacheNode implements Backend {
     /** Bulk strings in a reply: the value, its status, the load report. */
-    private static final int PARTS = 3;
+    private static final int REPLY_PARTS = 3;
     /** Time in ms for which only abandoned commands may be unanswered on a connection; then it is considered dead. */
-    private static final double STUCK_MS = 2500;
+    private static final double ABANDONED_TIMEOUT_MS = 2500;
     /** Time in ms after a reply in which a duplicate of it may arrive, while there have been corrupted replies. */
-    private static final double COPY_MS = 15;
+    private static final double DUPLICATE_REPLY_MS = 15;
     /** Longest plausible round-trip time in ms: a connection that took longer to open was delayed in this process. */
-    private static final double FAR_MS = 2;
+    private static final double MAX_ROUND_TRIP_MS = 2;
 
-    private final Loop loop;
+    private final IoLoop loop;
     private final InetSocketAddress endpoint;
-    private Connections limits;
-    private final Slots<Connection> open = new Slots<>();
+    private ConnectionPolicy policy;
+    private final Slots<Connection> connections = new Slots<>();
     private boolean retired;
 
-    public CacheNode(Loop loop, InetSocketAddress endpoint, Connections limits) {
+    public CacheNode(IoLoop loop, InetSocketAddress endpoint, ConnectionPolicy policy) {
         this.loop = loop;
         this.endpoint = endpoint;
-        this.limits = limits;
+        this.policy = policy;
     }
 
     @Override
     public void begin(Execution execution) {
         Connection best = null;
-        for (Connection c : open.all()) {
-            if (c.hasRoom() && (best == null || c.load() < best.load()) && c.isClean()) {
+        for (Connection c : connections.all()) {
+            if (c.hasRoom() && (best == null || c.load() < best.load()) && c.isReusable()) {
                 best = c;
             }
         }
-        boolean shared = limits.share() && limits.reuse().isCalm(loop.nowMs());
-        if (best == null || best.load() > 0 && !shared && loop.mayDial()) {
+        boolean shared = policy.preferSharing() && policy.reuseStats().isSharingSafe(loop.nowMs());
+        if (best == null || best.load() > 0 && !shared && loop.mayConnect()) {
             best = new Connection();
             best.waiting.add(execution);
             best.dial();
@@ -65,24 +65,24 @@
     }
 
     @Override
-    public Reached giveUp(Execution execution) {
-        for (Connection c : open.all()) {
-            if (c.takeBack(execution)) {
-                return Reached.NOT_WHOLE;
+    public WriteProgress stopWaiting(Execution execution) {
+        for (Connection c : connections.all()) {
+            if (c.cancelUnsent(execution)) {
+                return WriteProgress.INCOMPLETE;
             }
-            for (Sent sent : c.sent) {
+            for (SentCommand sent : c.sent) {
                 if (sent.execution == execution) {
-                    return c.giveUp(sent);
+                    return c.stopWaiting(sent);
                 }
             }
         }
-        return Reached.NOT_WHOLE;
+        return WriteProgress.INCOMPLETE;
     }
 
     @Override
-    public boolean takeBack(Execution execution) {
-        for (Connection c : open.all()) {
-            if (c.takeBack(execution)) {
+    public boolean cancelUnsent(Execution execution) {
+        for (Connection c : connections.all()) {
+            if (c.cancelUnsent(execution)) {
                 return true;
             }
         }
@@ -90,13 +90,13 @@
     }
 
     @Override
-    public void limit(Connections newLimits) {
-        limits = newLimits;
+    public void setPolicy(ConnectionPolicy newPolicy) {
+        policy = newPolicy;
     }
 
     @Override
     public void closeIdle() {
-        for (Connection c : open.all()) {
+        for (Connection c : connections.all()) {
             if (c.link != null && c.load() == 0) {
                 c.close();
             }
@@ -104,10 +104,10 @@
     }
 
     @Override
-    public void endWaiting() {
-        for (Connection c : open.all()) {
-            c.endUnbegun("the node is draining or gone");
-            c.endWaiting("the node is draining or gone");
+    public void failWaiting() {
+        for (Connection c : connections.all()) {
+            c.failUnwritten("the node is draining or gone");
+            c.failWaiting("the node is draining or gone");
         }
     }
 
@@ -115,41 +115,41 @@
     public void retire() {
         retired = true;
         closeIdle();
-        endWaiting();
+        failWaiting();
     }
 
     /**
      * Whether a reply arrives too early to belong to a command that was sent before the previous reply came: it is then a duplicate of that
      * reply. No genuine reply takes less than a round trip, for which the time to connect is an estimate unless this thread itself was late.
      */
-    static boolean isTooSoon(double sentAt, double lastAnsweredAt, double connectMs, double now) {
-        return sentAt <= lastAnsweredAt && now - sentAt < Math.min(connectMs, FAR_MS);
+    static boolean isTooEarly(double sentAt, double lastRepliedAt, double connectMs, double now) {
+        return sentAt <= lastRepliedAt && now - sentAt < Math.min(connectMs, MAX_ROUND_TRIP_MS);
     }
 
     /** A command that was queued for output, with its byte range in the connection's output. */
-    private record Sent(Execution execution, long beginsAt, long endsAt, double at) {}
+    private record SentCommand(Execution execution, long startOffset, long endOffset, double sentAtMs) {}
 
-    private final class Connection implements Inflow.Connection {
+    private final class Connection implements LargeValueReceiver.Connection {
         /** Executions waiting for the connection to open. */
         final ArrayDeque<Execution> waiting = new ArrayDeque<>();
         /** Commands queued or written and not answered, in order. */
-        final ArrayDeque<Sent> sent = new ArrayDeque<>();
+        final ArrayDeque<SentCommand> sent = new ArrayDeque<>();
         /** Commands queued whose last byte is not known to be written, in order. */
-        private final ArrayDeque<Sent> unwritten = new ArrayDeque<>();
-        private final Inflow inflow = new Inflow(loop, this);
-        private final RespReader reader = new RespReader(loop.pool(), Large.LONGEST, inflow);
-        private final int slot = open.put(this);
+        private final ArrayDeque<SentCommand> unwritten = new ArrayDeque<>();
+        private final LargeValueReceiver largeValues = new LargeValueReceiver(loop, this);
+        private final RespReader reader = new RespReader(loop.pool(), LargeValueHandler.MAX_BYTES, largeValues);
+        private final int slot = connections.put(this);
         private Link link;
         private double idleSince;
-        private final double dialledAt = loop.nowMs();
+        private final double connectStartedAt = loop.nowMs();
         private double connectMs;
-        private double answeredAt;
+        private double lastReplyAt;
         /** Whether the reply being received was expected when its large value began. */
-        private boolean beginsAnswer;
+        private boolean isLargeReplyExpected;
         /** How long the connection had been idle before the first unanswered command; negative if it was not idle. */
-        private double idleMs = -1;
+        private double idleBeforeReuseMs = -1;
         /** Closes the connection unless it is cancelled by activity. */
-        private Loop.Deadline closing = () -> { };
+        private IoLoop.PendingTask closeTimer = () -> { };
 
         int load() {
             return waiting.size() + sent.size();
@@ -161,34 +161,34 @@
          * taken for the new command's reply.
          */
         boolean hasRoom() {
-            boolean mayBeCopied = load() == 0 && link != null && loop.nowMs() - answeredAt < COPY_MS
-                    && !limits.reuse().isCalm(loop.nowMs());
+            boolean mayBeCopied = load() == 0 && link != null && loop.nowMs() - lastReplyAt < DUPLICATE_REPLY_MS
+                    && !policy.reuseStats().isSharingSafe(loop.nowMs());
             boolean isWritten = link == null || link.out().size() == 0; // a command queued behind unwritten bytes could not be taken back
-            return load() < limits.commandsAtOnce() && !mayBeCopied && isWritten
+            return load() < policy.maxCommandsPerConnection() && !mayBeCopied && isWritten
                     && (sent.isEmpty() || !sent.peekFirst().execution.hasEnded());
         }
 
         /** Whether an idle connection can be reused; closes it if input or a close has arrived since the last reply. */
-        boolean isClean() {
+        boolean isReusable() {
             if (load() > 0 || link == null) {
                 return true;
             }
             double idle = loop.nowMs() - idleSince;
-            if (!link.isQuiet() || !limits.reuse().isLikely(idle)) {
+            if (!link.hasNoInput() || !policy.reuseStats().mayReuse(idle)) {
                 close();
                 return false;
             }
-            idleMs = idle;
+            idleBeforeReuseMs = idle;
             return true;
         }
 
         void dial() {
-            loop.dial(endpoint, limits.connectTimeoutMs(), this::up, this::failed);
+            loop.connect(endpoint, policy.connectTimeoutMs(), this::connected, this::connectFailed);
         }
 
-        private void up(StreamConnection connection) {
-            link = loop.link(connection, this);
-            connectMs = loop.nowMs() - dialledAt;
+        private void connected(StreamConnection connection) {
+            link = loop.createLink(connection, this);
+            connectMs = loop.nowMs() - connectStartedAt;
             link.resume();
             while (!waiting.isEmpty() && !link.isClosed()) {
                 Execution next = waiting.peek(); // stays queued meanwhile: checking its client may read the next query
@@ -198,73 +198,73 @@
                 }
             }
             if (!link.isClosed()) {
-                settled();
+                scheduleIdleClose();
             }
         }
 
-        private void failed(String cause) {
-            open.free(slot);
-            endWaiting(cause);
+        private void connectFailed(String cause) {
+            connections.free(slot);
+            failWaiting(cause);
         }
 
         void send(Execution e) {
-            closing.callOff();
+            closeTimer.cancelTask();
             if (link == null) {
                 waiting.add(e);
                 return;
             }
-            long beginsAt = link.queued();
+            long startOffset = link.bytesQueued();
             try {
-                write(e.command, Math.max(1, Math.round(e.waitUntil - loop.nowMs())), link.out());
+                write(e.command, Math.max(1, Math.round(e.deadlineMs - loop.nowMs())), link.out());
             } catch (RuntimeException fault) { // a partly written command must not be followed by another
-                sent.add(new Sent(e, beginsAt, Long.MAX_VALUE, loop.nowMs()));
-                ended("internal error: " + fault);
+                sent.add(new SentCommand(e, startOffset, Long.MAX_VALUE, loop.nowMs()));
+                disconnected("internal error: " + fault);
                 return;
             }
-            Sent one = new Sent(e, beginsAt, link.queued(), loop.nowMs());
-            sent.add(one);
-            unwritten.add(one);
+            SentCommand entry = new SentCommand(e, startOffset, link.bytesQueued(), loop.nowMs());
+            sent.add(entry);
+            unwritten.add(entry);
             link.flush();
         }
 
         @Override
-        public void drained() {
-            tellWritten();
+        public void flushed() {
+            reportWritten();
         }
 
-        private void tellWritten() {
-            while (!unwritten.isEmpty() && unwritten.peek().endsAt <= link.written()) {
+        private void reportWritten() {
+            while (!unwritten.isEmpty() && unwritten.peek().endOffset <= link.bytesWritten()) {
                 unwritten.poll().execution.written();
             }
         }
 
-        private static void write(Command command, long waitMs, Chain to) {
+        private static void write(Command command, long waitMs, BufferChain to) {
             RespWriter.array(to, command.isWrite() ? 5 : 4);
             RespWriter.bulk(to, command.isWrite() ? "C.SET" : "C.GET");
             RespWriter.bulk(to, command.key());
             RespWriter.bulk(to, command.id());
-            RespWriter.bulk(to, command.factsWaiting(waitMs));
+            RespWriter.bulk(to, command.factsWithTimeout(waitMs));
             if (command.isWrite()) {
                 RespWriter.bulk(to, command.value());
             }
         }
 
         /** Withdraws an execution whose command is not completely written; only the last one can be. Returns whether it was withdrawn. */
-        boolean takeBack(Execution execution) {
+        boolean cancelUnsent(Execution execution) {
             if (waiting.remove(execution)) {
                 return true;
             }
-            Sent newest = sent.peekLast();
-            if (newest == null || newest.execution != execution || link.written() >= newest.endsAt) {
+            SentCommand newest = sent.peekLast();
+            if (newest == null || newest.execution != execution || link.bytesWritten() >= newest.endOffset) {
                 return false;
             }
             sent.removeLast();
             unwritten.remove(newest);
-            if (link.written() == newest.beginsAt) { // all unwritten bytes belong to it
+            if (link.bytesWritten() == newest.startOffset) { // all unwritten bytes belong to it
                 link.dropUnwritten();
-                settled();
+                scheduleIdleClose();
             } else {
-                ended("a partly written command was cancelled"); // otherwise the rest would still be written
+                disconnected("a partly written command was cancelled"); // otherwise the rest would still be written
             }
             return true;
         }
@@ -273,24 +273,24 @@
          * Abandons a command. Other commands on the connection are not affected; if the policy asks for it, a connection that carries only
          * this command is closed.
          */
-        Reached giveUp(Sent given) {
-            if (limits.closeToGiveUp() && sent.size() == 1) {
-                Reached reached = link.written() >= given.endsAt ? Reached.WHOLE : Reached.NOT_WHOLE;
+        WriteProgress stopWaiting(SentCommand target) {
+            if (policy.closeToCancel() && sent.size() == 1) {
+                WriteProgress writeProgress = link.bytesWritten() >= target.endOffset ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
                 sent.clear();
                 close();
-                return reached;
+                return writeProgress;
             }
-            if (sent.peek() == given && answeredAt <= given.at) {
+            if (sent.peek() == target && lastReplyAt <= target.sentAtMs) {
                 // Stops later commands from sharing connections: if this reply never comes, all commands behind it are lost.
-                limits.reuse().troubled(loop.nowMs());
+                policy.reuseStats().recordFailure(loop.nowMs());
             }
-            closing.callOff();
-            closing = loop.at(loop.nowMs() + STUCK_MS, this::closeIfForgotten);
-            return Reached.WHOLE; // bytes not written yet are still sent
+            closeTimer.cancelTask();
+            closeTimer = loop.scheduleAt(loop.nowMs() + ABANDONED_TIMEOUT_MS, this::closeIfAbandoned);
+            return WriteProgress.COMPLETE; // bytes not written yet are still sent
         }
 
-        private void closeIfForgotten() {
-            if (!inflow.isUnderWay() && sent.stream().allMatch(s -> s.execution.hasEnded())) {
+        private void closeIfAbandoned() {
+            if (!largeValues.isReceiving() && sent.stream().allMatch(s -> s.execution.hasEnded())) {
                 close();
             }
         }
@@ -298,28 +298,28 @@
         @Override
         public void received(ByteBuffer bytes) {
             while (bytes.hasRemaining() && !link.isClosed()) {
-                Progress progress = reader.read(bytes);
-                if (progress == Progress.BAD) {
-                    spoilt("malformed RESP");
-                } else if (progress == Progress.DONE) {
-                    answered(reader.take());
+                ParseStatus parsed = reader.read(bytes);
+                if (parsed == ParseStatus.MALFORMED) {
+                    replyInvalid("malformed RESP");
+                } else if (parsed == ParseStatus.DONE) {
+                    handleReply(reader.takeMessage());
                 }
             }
             if (!link.isClosed()) {
-                settled();
+                scheduleIdleClose();
             }
         }
 
-        private boolean isOwed() {
-            return !sent.isEmpty() && !isTooSoon(sent.peek().at, answeredAt, connectMs, loop.nowMs());
+        private boolean isReplyExpected() {
+            return !sent.isEmpty() && !isTooEarly(sent.peek().sentAtMs, lastReplyAt, connectMs, loop.nowMs());
         }
 
         @Override
-        public Execution begins() {
+        public Execution answeringExecution() {
             // Stops later commands from sharing connections: if the client reads slowly, all commands behind this value wait.
-            limits.reuse().troubled(loop.nowMs());
-            beginsAnswer = isOwed();
-            return beginsAnswer ? sent.peek().execution : null;
+            policy.reuseStats().recordFailure(loop.nowMs());
+            isLargeReplyExpected = isReplyExpected();
+            return isLargeReplyExpected ? sent.peek().execution : null;
         }
 
         @Override
@@ -331,113 +331,113 @@
         @Override
         public void abandoned() {
             if (sent.size() > 1) {
-                inflow.resume();
+                largeValues.resume();
             } else if (!link.isClosed()) {
                 sent.clear();
                 close();
             }
         }
 
-        private void answered(RespMessage message) {
-            Ending ending = beginsAnswer || isOwed() ? ending(message) : null;
-            if (ending == null) { // an unexpected or invalid reply: what follows cannot be trusted either
+        private void handleReply(RespMessage message) {
+            ExecutionResult result = isLargeReplyExpected || isReplyExpected() ? resultOf(message) : null;
+            if (result == null) { // an unexpected or invalid reply: what follows cannot be trusted either
                 message.release();
-                spoilt("invalid or unexpected reply");
+                replyInvalid("invalid or unexpected reply");
                 return;
             }
-            toldOfReuse(false);
-            answeredAt = loop.nowMs();
-            beginsAnswer = false;
+            reportReuse(false);
+            lastReplyAt = loop.nowMs();
+            isLargeReplyExpected = false;
             Execution done = sent.poll().execution;
-            inflow.whole();
-            if (message.firstWasLong()) {
-                ending.release();
+            largeValues.complete();
+            if (message.isFirstBulkLarge()) {
+                result.release();
             } else {
-                done.end(ending);
+                done.end(result);
             }
             message.release();
         }
 
         /** The result that a reply stands for; null if it is well-formed RESP but not a valid reply to a command. */
-        private static Ending ending(RespMessage message) {
-            if (message.sign == '*' && message.bulks.size() == PARTS) {
-                return message.bulk(0) == null ? Ending.of(Outcome.MISS) : Ending.completed(message.takeBulk(0));
+        private static ExecutionResult resultOf(RespMessage message) {
+            if (message.type == '*' && message.bulks.size() == REPLY_PARTS) {
+                return message.bulk(0) == null ? ExecutionResult.of(Outcome.MISS) : ExecutionResult.completed(message.takeBulk(0));
             }
             if (!message.isError()) {
                 return null;
             }
-            return message.line.equals("BUSY") ? Ending.of(Outcome.FULL)
-                    : message.line.startsWith("ERR ") ? Ending.erred(message.line) : null;
+            return message.line.equals("BUSY") ? ExecutionResult.of(Outcome.FULL)
+                    : message.line.startsWith("ERR ") ? ExecutionResult.erred(message.line) : null;
         }
 
         /** If the connection is idle, closes it now or, before the node would, by a timer. */
-        private void settled() {
+        private void scheduleIdleClose() {
             if (load() > 0) {
                 return;
             }
-            closing.callOff();
+            closeTimer.cancelTask();
             idleSince = loop.nowMs();
             if (retired) {
                 close();
             } else {
-                closing = loop.at(loop.nowMs() + limits.retireMs(), this::closeIfForgotten);
+                closeTimer = loop.scheduleAt(loop.nowMs() + policy.idleTimeoutMs(), this::closeIfAbandoned);
             }
         }
 
-        private void toldOfReuse(boolean broke) {
-            if (idleMs >= 0) {
-                limits.reuse().told(idleMs, broke);
-                idleMs = -1;
+        private void reportReuse(boolean hasFailed) {
+            if (idleBeforeReuseMs >= 0) {
+                policy.reuseStats().recordReuse(idleBeforeReuseMs, hasFailed);
+                idleBeforeReuseMs = -1;
             }
         }
 
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             if (!sent.isEmpty()) {
-                limits.reuse().troubled(loop.nowMs());
-                toldOfReuse(true);
+                policy.reuseStats().recordFailure(loop.nowMs());
+                reportReuse(true);
             }
             close();
-            broken(whole -> Ending.broken(whole ? Reached.WHOLE : Reached.NOT_WHOLE, cause));
-            endWaiting(cause);
+            failSent(whole -> ExecutionResult.connectionFailed(whole ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE, cause));
+            failWaiting(cause);
         }
 
         /** An invalid reply: the node is alive and completely written commands may have run, but the connection cannot be trusted any more. */
-        private void spoilt(String cause) {
-            limits.reuse().troubled(loop.nowMs());
+        private void replyInvalid(String cause) {
+            policy.reuseStats().recordFailure(loop.nowMs());
             close();
-            broken(whole -> whole ? Ending.erred(cause) : Ending.broken(Reached.NOT_WHOLE, cause));
-            endWaiting(cause);
+            failSent(whole -> whole ? ExecutionResult.erred(cause) : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
+            failWaiting(cause);
         }
 
         void close() {
-            tellWritten();
-            closing.callOff();
+            reportWritten();
+            closeTimer.cancelTask();
             reader.release();
-            open.free(slot);
+            connections.free(slot);
             link.close();
-            inflow.broken();
+            largeValues.fail();
         }
 
         /** Ends all unanswered commands; the result depends on whether the command was completely written. */
-        private void broken(Function<Boolean, Ending> ending) {
+        private void failSent(Function<Boolean, ExecutionResult> toResult) {
             while (!sent.isEmpty()) {
-                Sent s = sent.poll();
-                s.execution.end(ending.apply(link.written() >= s.endsAt));
+                SentCommand s = sent.poll();
+                s.execution.end(toResult.apply(link.bytesWritten() >= s.endOffset));
             }
         }
 
         /** Ends the last command if no byte of it has been written; only the last one can be in that state. */
-        void endUnbegun(String cause) {
-            Sent newest = sent.peekLast();
-            if (newest != null && link.written() <= newest.beginsAt && takeBack(newest.execution)) {
-                newest.execution.end(Ending.broken(Reached.NOT_WHOLE, cause));
+        void failUnwritten(String cause) {
+            SentCommand newest = sent.peekLast();
+            if (newest != null && link.bytesWritten() <= newest.startOffset && cancelUnsent(newest.execution)) {
+                newest.execution.end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
             }
         }
 
-        void endWaiting(String cause) {
+        void failWaiting(String cause) {
             while (!waiting.isEmpty()) {
-                waiting.poll().end(Ending.broken(Reached.NOT_WHOLE, cause));
+                waiting.poll().end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
             }
         }
     }
--- a/src/main/java/dappleseam/wire/Chain.java
+++ b/src/main/java/dappleseam/wire/BufferChain.java
@@ -7,13 +7,13 @@
 import java.util.ArrayDeque;
 
 /** A byte queue made of pooled buffers: bytes are appended at the end and consumed from the front. */
-public final class Chain {
+public final class BufferChain {
     private final BufferPool pool;
     /** The content of each buffer is from its position, the first byte not consumed, to its limit. */
     private final ArrayDeque<ByteBuffer> buffers = new ArrayDeque<>();
     private long size;
 
-    public Chain(BufferPool pool) {
+    public BufferChain(BufferPool pool) {
         this.pool = pool;
     }
 
@@ -27,7 +27,7 @@
         while (left > 0) {
             ByteBuffer last = buffers.peekLast();
             if (last == null || last.limit() == last.capacity()) {
-                last = pool.take().limit(0);
+                last = pool.acquire().limit(0);
                 buffers.addLast(last);
             }
             int part = Math.min(left, last.capacity() - last.limit());
@@ -41,22 +41,22 @@
     }
 
     /** Appends the characters of {@code ascii} as single bytes. */
-    public Chain put(String ascii) {
+    public BufferChain put(String ascii) {
         byte[] bytes = ascii.getBytes(StandardCharsets.ISO_8859_1);
         put(ByteBuffer.wrap(bytes), bytes.length);
         return this;
     }
 
     /** Appends a copy of the whole content of {@code other}. */
-    public Chain copy(Chain other) {
-        copyPart(other, 0, other.size);
+    public BufferChain copyFrom(BufferChain other) {
+        copyRange(other, 0, other.size);
         return this;
     }
 
     /** Moves the whole content of {@code other} to the end of this chain. */
-    public void take(Chain other) {
+    public void moveFrom(BufferChain other) {
         if (other.size <= BufferPool.SIZE / 4) {
-            copy(other); // copied, so that a short reply does not occupy a whole buffer
+            copyFrom(other); // copied, so that a short reply does not occupy a whole buffer
             other.release();
         } else {
             buffers.addAll(other.buffers);
@@ -67,7 +67,7 @@
     }
 
     /** Appends a copy of up to {@code count} bytes of {@code other} starting at offset {@code from}; returns how many were copied. */
-    public long copyPart(Chain other, long from, long count) {
+    public long copyRange(BufferChain other, long from, long count) {
         long skip = from;
         long left = count;
         for (ByteBuffer buffer : other.buffers) {
@@ -86,8 +86,8 @@
     }
 
     /** Moves up to {@code maxBytes} bytes from the front of {@code other} to the end of this chain. */
-    public void takePart(Chain other, long most) {
-        long left = most;
+    public void moveUpTo(BufferChain other, long maxBytes) {
+        long left = maxBytes;
         while (left > 0 && !other.buffers.isEmpty()) {
             ByteBuffer first = other.buffers.peekFirst();
             int bytes = first.remaining();
@@ -98,7 +98,7 @@
                 bytes = (int) Math.min(left, bytes);
                 put(first, bytes);
                 if (!first.hasRemaining()) {
-                    pool.giveBack(other.buffers.pollFirst());
+                    pool.recycle(other.buffers.pollFirst());
                 }
             }
             other.size -= bytes;
@@ -115,7 +115,7 @@
             if (first.hasRemaining()) {
                 break;
             }
-            pool.giveBack(buffers.pollFirst());
+            pool.recycle(buffers.pollFirst());
         }
         size -= written;
         return written;
@@ -135,7 +135,7 @@
 
     /** Discards the content and returns its buffers to the pool. */
     public void release() {
-        buffers.forEach(pool::giveBack);
+        buffers.forEach(pool::recycle);
         buffers.clear();
         size = 0;
     }
--- a/src/main/java/dappleseam/wire/BufferPool.java
+++ b/src/main/java/dappleseam/wire/BufferPool.java
@@ -8,47 +8,47 @@
     /** Bytes of a buffer: most messages fit into one buffer, a value below the large-value threshold into nine. */
     public static final int SIZE = 8 << 10;
     /** Share of the buffers reserved for replies: when less is available, clients are not read. */
-    private static final double KEPT_FOR_ANSWERS = 0.5;
+    private static final double RESERVED_FOR_REPLIES = 0.5;
 
     private final ArrayDeque<ByteBuffer> free = new ArrayDeque<>();
-    private final int most;
-    private int out;
+    private final int maxBuffers;
+    private int inUseCount;
 
-    public BufferPool(int most) {
-        this.most = most;
+    public BufferPool(int maxBuffers) {
+        this.maxBuffers = maxBuffers;
     }
 
-    ByteBuffer take() {
-        if (out >= most) {
-            throw new IllegalStateException("all " + most + " buffers are in use");
+    ByteBuffer acquire() {
+        if (inUseCount >= maxBuffers) {
+            throw new IllegalStateException("all " + maxBuffers + " buffers are in use");
         }
-        out++;
+        inUseCount++;
         ByteBuffer buffer = free.pollLast();
         return buffer != null ? buffer : ByteBuffer.allocateDirect(SIZE);
     }
 
-    void giveBack(ByteBuffer buffer) {
-        out--;
+    void recycle(ByteBuffer buffer) {
+        inUseCount--;
         free.addLast(buffer.clear());
     }
 
     /** Whether the available buffers are needed for the queries already accepted. */
     public boolean isScarce() {
-        return most - out < KEPT_FOR_ANSWERS * most;
+        return maxBuffers - inUseCount < RESERVED_FOR_REPLIES * maxBuffers;
     }
 
     /** Bytes still available. */
-    public long free() {
-        return (long) (most - out) * SIZE;
+    public long availableBytes() {
+        return (long) (maxBuffers - inUseCount) * SIZE;
     }
 
     /** Capacity in bytes. */
-    public long all() {
-        return (long) most * SIZE;
+    public long totalBytes() {
+        return (long) maxBuffers * SIZE;
     }
 
     /** Number of buffers in use. */
     public int inUse() {
-        return out;
+        return inUseCount;
     }
 }
--- a/src/main/java/dappleseam/wire/Loop.java
+++ b/src/main/java/dappleseam/wire/IoLoop.java
@@ -5,7 +5,7 @@
 import org.xnio.StreamConnection;
 
 /** The I/O thread as protocol code sees it: its clock, timers, connections and buffers. */
-public interface Loop {
+public interface IoLoop {
     /**
      * The machine's monotonic clock in ms with fractions, the same in all its processes and well above 0. Wall clocks are not used as they may
      * be stepped.
@@ -13,27 +13,27 @@
     double nowMs();
 
     /** Runs {@code task} at that time or soon after. */
-    Deadline at(double whenMs, Runnable due);
+    PendingTask scheduleAt(double whenMs, Runnable task);
 
     /** Opens a connection. Calls exactly one of {@code onConnected} and {@code onFailure}, unless the returned task is cancelled before. */
-    Deadline dial(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up, Consumer<String> failed);
+    PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected, Consumer<String> onFailure);
 
     /** As {@link #connect}, for the one connection with a reserved descriptor: connections to nodes and clients may use up all others. */
-    default Deadline dialKept(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up, Consumer<String> failed) {
-        return dial(to, timeoutMs, up, failed);
+    default PendingTask connectReserved(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected, Consumer<String> onFailure) {
+        return connect(to, timeoutMs, onConnected, onFailure);
     }
 
     /** Whether a descriptor is available for another connection to a peer. */
-    boolean mayDial();
+    boolean mayConnect();
 
     /** Wraps an open connection. */
-    Link link(StreamConnection connection, Link.Events events);
+    Link createLink(StreamConnection connection, Link.Listener listener);
 
     /** The buffers of this thread. */
     BufferPool pool();
 
     /** A scheduled call or a connection attempt, which can be cancelled; cancelling it later has no effect. */
-    interface Deadline {
-        void callOff();
+    interface PendingTask {
+        void cancelTask();
     }
 }
--- a/src/main/java/dappleseam/wire/Link.java
+++ b/src/main/java/dappleseam/wire/Link.java
@@ -13,14 +13,14 @@
  */
 public final class Link {
     /** Maximum reads in a row before other connections are served. */
-    private static final int READS = 8;
+    private static final int MAX_READS = 8;
     /** Read buffer size of a nested read: usually nothing has arrived, at most some hundred commands. */
-    private static final int LOOK = 8 << 10;
+    private static final int NESTED_READ_BYTES = 8 << 10;
     /** Maximum bytes read ahead while delivery is paused, more than a hundred commands; a close behind more input than that is not seen. */
-    private static final int AHEAD = 16 << 10;
+    private static final int READ_AHEAD_BYTES = 16 << 10;
 
     /** Callbacks for the events of a connection. */
-    public interface Events {
+    public interface Listener {
         /** Bytes have arrived; all of them must be consumed before this returns. */
         void received(ByteBuffer bytes);
 
@@ -28,46 +28,46 @@
          * The connection failed or was closed by the peer. At most one of this and {@link #endOfStream} is called, once, and never after
          * {@link Link#close}.
          */
-        void ended(String cause);
+        void disconnected(String cause);
 
         /** The peer has closed the connection in order, and all that it wrote has arrived; not called for a reset. */
-        default void finished() {
-            ended("closed by the peer");
+        default void endOfStream() {
+            disconnected("closed by the peer");
         }
 
         /**
          * All available input was delivered, or read ahead as far as possible (see {@link Link#hasUnreadInput}), and the connection is still
          * open.
          */
-        default void caughtUp() {}
+        default void readComplete() {}
 
         /** All queued output is written. */
-        default void drained() {}
+        default void flushed() {}
     }
 
     private final StreamConnection connection;
     private final ConduitStreamSourceChannel source;
     private final ConduitStreamSinkChannel sink;
     private final ByteBuffer scratch;
-    private final Events events;
-    private final Chain out;
-    private long written;
+    private final Listener listener;
+    private final BufferChain out;
+    private long bytesWritten;
     private boolean closed;
     private boolean paused;
     /** The last read stopped before all available input was read. */
     private boolean hasMore;
     /** Input read while delivery is paused; null while input is delivered at once. */
-    private ByteBuffer ahead;
+    private ByteBuffer undelivered;
 
     /** {@code scratch} is a read buffer shared by all connections of the thread, as input is consumed at once. */
-    public Link(StreamConnection connection, BufferPool pool, ByteBuffer scratch, Events events) {
+    public Link(StreamConnection connection, BufferPool pool, ByteBuffer scratch, Listener listener) {
         this.connection = connection;
         this.scratch = scratch;
-        this.events = events;
-        out = new Chain(pool);
+        this.listener = listener;
+        out = new BufferChain(pool);
         source = connection.getSourceChannel();
         sink = connection.getSinkChannel();
-        source.getReadSetter().set(channel -> readable());
+        source.getReadSetter().set(channel -> readAvailable());
         sink.getWriteSetter().set(channel -> flush());
     }
 
@@ -77,34 +77,34 @@
             paused = false;
             source.resumeReads();
         }
-        if (ahead != null) {
-            ByteBuffer before = ahead;
-            ahead = null;
+        if (undelivered != null) {
+            ByteBuffer input = undelivered;
+            undelivered = null;
             if (!closed) {
-                handOn(before.flip());
+                deliver(input.flip());
             }
         }
     }
 
     /** Delivers no input until {@link #resume}, but reads ahead in order to see a close: backpressure must not hide one. */
-    public void hold() {
-        if (!closed && ahead == null) {
-            ahead = ByteBuffer.allocate(AHEAD);
+    public void pauseDelivery() {
+        if (!closed && undelivered == null) {
+            undelivered = ByteBuffer.allocate(READ_AHEAD_BYTES);
         }
     }
 
     /** Whether there may be input that was not read, or could not be read ahead, so that a close behind it would not be seen. */
-    public boolean isBlind() {
-        return hasMore || ahead != null && !ahead.hasRemaining();
+    public boolean hasUnreadInput() {
+        return hasMore || undelivered != null && !undelivered.hasRemaining();
     }
 
     /** Whether input was read ahead and is not delivered yet. */
-    public boolean hasReadAhead() {
-        return ahead != null && ahead.position() > 0;
+    public boolean hasUndeliveredInput() {
+        return undelivered != null && undelivered.position() > 0;
     }
 
     /** Stops reading until {@link #resume}; a close is not seen meanwhile. */
-    public void pause() {
+    public void pauseReading() {
         if (!closed) {
             paused = true;
             source.suspendReads();
@@ -112,18 +112,18 @@
     }
 
     /** The output queue; {@link #flush} sends it. */
-    public Chain out() {
+    public BufferChain out() {
         return out;
     }
 
     /** Bytes queued for output since the connection was opened. */
-    public long queued() {
-        return written + out.size();
+    public long bytesQueued() {
+        return bytesWritten + out.size();
     }
 
     /** Bytes written to the kernel since the connection was opened; they may have reached the peer. */
-    public long written() {
-        return written;
+    public long bytesWritten() {
+        return bytesWritten;
     }
 
     public boolean isClosed() {
@@ -142,7 +142,7 @@
             return;
         }
         try {
-            written += out.writeTo(sink);
+            bytesWritten += out.writeTo(sink);
             if (out.size() > 0) {
                 sink.resumeWrites();
                 return;
@@ -151,14 +151,14 @@
                 sink.suspendWrites();
             }
         } catch (IOException | RuntimeException e) {
-            end("write: " + e.getMessage());
+            handleFailure("write: " + e.getMessage());
             return;
         }
-        events.drained();
+        listener.flushed();
     }
 
     /** Whether no input and no close has arrived on a connection on which none is expected. A byte read by this check is lost. */
-    public boolean isQuiet() {
+    public boolean hasNoInput() {
         try {
             return !closed && source.read(ByteBuffer.allocate(1)) == 0;
         } catch (IOException e) {
@@ -170,35 +170,35 @@
      * Reads and delivers the available input now. Must not be called while the bytes of another connection are handled, as both share the read
      * buffer.
      */
-    public void readable() {
+    public void readAvailable() {
         read(scratch);
     }
 
     /** As {@link #readAvailable}, but can be called while the bytes of another connection are handled. */
-    public void look() {
+    public void readAvailableNested() {
         if (!paused) {
-            read(ByteBuffer.allocate(LOOK));
+            read(ByteBuffer.allocate(NESTED_READ_BYTES));
         }
     }
 
     /** Reads until no input is left, so that a close behind the last bytes is seen before they are acted upon. */
     private void read(ByteBuffer into) {
         int count = 1;
-        for (int i = 0; i < READS && !closed && count > 0; i++) {
+        for (int i = 0; i < MAX_READS && !closed && count > 0; i++) {
             try {
-                count = ahead != null ? readAhead() : source.read(into.clear());
-                if (count > 0 && ahead == null) {
-                    events.received(into.flip());
+                count = undelivered != null ? readAhead() : source.read(into.clear());
+                if (count > 0 && undelivered == null) {
+                    listener.received(into.flip());
                 }
             } catch (IOException e) {
-                end("read: " + e.getMessage());
+                handleFailure("read: " + e.getMessage());
                 return;
             } catch (RuntimeException e) { // an internal error ends this connection only
-                end("internal error: " + e);
+                handleFailure("internal error: " + e);
                 return;
             }
             if (count < 0) {
-                finish();
+                handleEndOfStream();
                 return;
             }
             if (paused) {
@@ -207,45 +207,45 @@
         }
         hasMore = !closed && count > 0;
         if (!closed && !hasMore) {
-            events.caughtUp();
+            listener.readComplete();
         }
     }
 
-    private void handOn(ByteBuffer before) {
+    private void deliver(ByteBuffer input) {
         try {
-            events.received(before);
+            listener.received(input);
         } catch (RuntimeException e) { // see read
-            end("internal error: " + e);
+            handleFailure("internal error: " + e);
         }
         if (!closed) { // a close may follow input that could not be read ahead
-            read(ByteBuffer.allocate(LOOK));
+            read(ByteBuffer.allocate(NESTED_READ_BYTES));
         }
     }
 
     private int readAhead() throws IOException {
-        int count = ahead.hasRemaining() ? source.read(ahead) : 0;
-        if (!ahead.hasRemaining()) {
+        int count = undelivered.hasRemaining() ? source.read(undelivered) : 0;
+        if (!undelivered.hasRemaining()) {
             source.suspendReads();
         }
         return count;
     }
 
-    private void finish() {
+    private void handleEndOfStream() {
         if (!closed) {
             close();
-            events.finished();
+            listener.endOfStream();
         }
     }
 
-    private void end(String cause) {
+    private void handleFailure(String cause) {
         if (!closed) {
             close();
-            events.ended(cause);
+            listener.disconnected(cause);
         }
     }
 
     /** Closes at once on the I/O thread, so that no input can arrive between a last read and the close. */
-    public void closeAtOnce() {
+    public void closeImmediately() {
         if (!closed) {
             closed = true;
             out.release();
--- a/src/main/java/dappleseam/wire/Progress.java
+++ b/src/main/java/dappleseam/wire/ParseStatus.java
@@ -1,11 +1,11 @@
 package dappleseam.wire;
 
 /** State of an incremental parser after a read. */
-public enum Progress {
+public enum ParseStatus {
     /** All bytes are consumed, and the message is incomplete. */
-    MORE,
+    NEED_MORE,
     /** The message is complete; unconsumed bytes belong to the next one. */
     DONE,
     /** The bytes are not a valid message. */
-    BAD
+    MALFORMED
 }
--- a/src/main/java/dappleseam/wire/RespMessage.java
+++ b/src/main/java/dappleseam/wire/RespMessage.java
@@ -6,41 +6,41 @@
 /** A RESP2 message: a simple string, error, integer, bulk string, or array of bulk strings. */
 public final class RespMessage {
     /** The RESP type character: one of {@code + - : $ *}. */
-    public final char sign;
+    public final char type;
     /** The text of a single-line message, without its type character. */
     public final String line;
     /** The bulk string, or those of the array; null bulk strings are null elements. */
-    public final List<Chain> bulks = new ArrayList<>(5);
+    public final List<BufferChain> bulks = new ArrayList<>(5);
 
     RespMessage(char sign, String line) {
-        this.sign = sign;
+        this.type = sign;
         this.line = line;
     }
 
     /** The first bulk string was large and went to a {@link LargeValueHandler}; an empty one takes its place here. */
-    boolean firstWasLong;
+    boolean isFirstBulkLarge;
 
-    public boolean firstWasLong() {
-        return firstWasLong;
+    public boolean isFirstBulkLarge() {
+        return isFirstBulkLarge;
     }
 
     public boolean isError() {
-        return sign == '-';
+        return type == '-';
     }
 
     /** The bulk string at that index; null if it is null or there is none. */
-    public Chain bulk(int at) {
+    public BufferChain bulk(int at) {
         return at < bulks.size() ? bulks.get(at) : null;
     }
 
     /** Transfers ownership of the bulk string to the caller: it is no longer released with the message. */
-    public Chain takeBulk(int at) {
+    public BufferChain takeBulk(int at) {
         return bulks.set(at, null);
     }
 
     /** Returns the buffers of the bulk strings to the pool. */
     public void release() {
-        for (Chain bulk : bulks) {
+        for (BufferChain bulk : bulks) {
             if (bulk != null) {
                 bulk.release();
             }
--- a/src/main/java/dappleseam/wire/RespReader.java
+++ b/src/main/java/dappleseam/wire/RespReader.java
@@ -4,43 +4,43 @@
 
 /** Incremental parser of RESP2: single-line messages, bulk strings, and arrays of bulk strings, all bounded. */
 public final class RespReader {
-    private static final int LONGEST_LINE = 512;
-    private static final int LONGEST_ARRAY = 8;
+    private static final int MAX_LINE_LENGTH = 512;
+    private static final int MAX_ARRAY_LENGTH = 8;
     /** Bytes that the bulk strings of a message may have in addition to one of maximum length. */
-    private static final int LONGEST_REST = 8 << 10;
+    private static final int MAX_OTHER_BYTES = 8 << 10;
 
     private final BufferPool pool;
-    private final int longestBulk;
+    private final int maxBulkBytes;
     /** Receives a large bulk string that is the first of its array; null if all are buffered. */
-    private final Large large;
-    private boolean toLarge;
+    private final LargeValueHandler largeValues;
+    private boolean streamsBulk;
     private final StringBuilder line = new StringBuilder();
     private RespMessage message;
     /** Bulk strings of the array that are still missing. */
     private int bulksLeft;
     /** Bytes that further bulk strings of the message may have; bounds the buffers used by a message with many long ones. */
-    private int room;
-    private Chain bulk;
+    private int bytesAllowed;
+    private BufferChain bulk;
     /** Bytes of the bulk string that are still missing; -1 and -2 while its terminating CR and LF are expected. */
-    private int bulkLeft;
+    private int bulkBytesLeft;
 
-    public RespReader(BufferPool pool, int longestBulk) {
-        this(pool, longestBulk, null);
+    public RespReader(BufferPool pool, int maxBulkBytes) {
+        this(pool, maxBulkBytes, null);
     }
 
-    public RespReader(BufferPool pool, int longestBulk, Large large) {
+    public RespReader(BufferPool pool, int maxBulkBytes, LargeValueHandler largeValues) {
         this.pool = pool;
-        this.longestBulk = longestBulk;
-        this.large = large;
+        this.maxBulkBytes = maxBulkBytes;
+        this.largeValues = largeValues;
     }
 
     /** Bytes still missing from the bulk string being read. */
-    public long bulkLeft() {
-        return bulk == null ? 0 : Math.max(0, bulkLeft);
+    public long bulkBytesLeft() {
+        return bulk == null ? 0 : Math.max(0, bulkBytesLeft);
     }
 
     /** The completed message, which the caller has to release. */
-    public RespMessage take() {
+    public RespMessage takeMessage() {
         RespMessage done = message;
         message = null;
         return done;
@@ -52,113 +52,113 @@
     }
 
     /** Parses bytes of {@code in} until a message is complete or malformed, or no bytes are left. */
-    public Progress read(ByteBuffer in) {
+    public ParseStatus read(ByteBuffer in) {
         while (in.hasRemaining()) {
-            Progress progress = bulk != null ? bulkPart(in) : linePart(in);
-            if (progress != Progress.MORE) {
+            ParseStatus progress = bulk != null ? readBulk(in) : readLine(in);
+            if (progress != ParseStatus.NEED_MORE) {
                 return progress;
             }
         }
-        return Progress.MORE;
+        return ParseStatus.NEED_MORE;
     }
 
-    private Progress linePart(ByteBuffer in) {
+    private ParseStatus readLine(ByteBuffer in) {
         char c = (char) (in.get() & 0xFF);
         if (c != '\n') {
             line.append(c);
-            return line.length() > LONGEST_LINE ? Progress.BAD : Progress.MORE;
+            return line.length() > MAX_LINE_LENGTH ? ParseStatus.MALFORMED : ParseStatus.NEED_MORE;
         }
         int end = line.length() - 1;
         if (end < 1 || line.charAt(end) != '\r') {
-            return Progress.BAD;
+            return ParseStatus.MALFORMED;
         }
         char sign = line.charAt(0);
         String rest = line.substring(1, end);
         line.setLength(0);
         if (message != null && sign != '$') {
-            return Progress.BAD;
+            return ParseStatus.MALFORMED;
         }
         return switch (sign) {
             case '+', '-', ':' -> {
                 message = new RespMessage(sign, rest);
-                yield Progress.DONE;
+                yield ParseStatus.DONE;
             }
-            case '*' -> array(number(rest, LONGEST_ARRAY));
-            case '$' -> bulk(number(rest, longestBulk));
-            default -> Progress.BAD;
+            case '*' -> startArray(parseLength(rest, MAX_ARRAY_LENGTH));
+            case '$' -> bulk(parseLength(rest, maxBulkBytes));
+            default -> ParseStatus.MALFORMED;
         };
     }
 
-    private Progress array(int length) {
+    private ParseStatus startArray(int length) {
         if (length < -1) {
-            return Progress.BAD;
+            return ParseStatus.MALFORMED;
         }
         message = new RespMessage('*', "");
-        room = longestBulk + LONGEST_REST;
+        bytesAllowed = maxBulkBytes + MAX_OTHER_BYTES;
         bulksLeft = Math.max(0, length);
-        return bulksLeft == 0 ? Progress.DONE : Progress.MORE;
+        return bulksLeft == 0 ? ParseStatus.DONE : ParseStatus.NEED_MORE;
     }
 
-    private Progress bulk(int length) {
+    private ParseStatus bulk(int length) {
         if (length < -1) {
-            return Progress.BAD;
+            return ParseStatus.MALFORMED;
         }
         if (message == null) {
             message = new RespMessage('$', "");
-            room = longestBulk;
+            bytesAllowed = maxBulkBytes;
             bulksLeft = 1;
         }
         if (length == -1) {
-            return bulkDone(null);
+            return bulkComplete(null);
         }
-        room -= length;
-        if (room < 0) {
-            return Progress.BAD;
+        bytesAllowed -= length;
+        if (bytesAllowed < 0) {
+            return ParseStatus.MALFORMED;
         }
-        bulk = new Chain(pool);
-        toLarge = large != null && message.sign == '*' && message.bulks.isEmpty() && length >= Large.FROM;
-        if (toLarge) {
-            message.firstWasLong = true;
-            large.begins(length);
+        bulk = new BufferChain(pool);
+        streamsBulk = largeValues != null && message.type == '*' && message.bulks.isEmpty() && length >= LargeValueHandler.MIN_BYTES;
+        if (streamsBulk) {
+            message.isFirstBulkLarge = true;
+            largeValues.valueStarted(length);
         }
-        bulkLeft = length == 0 ? -1 : length;
-        return Progress.MORE;
+        bulkBytesLeft = length == 0 ? -1 : length;
+        return ParseStatus.NEED_MORE;
     }
 
-    private Progress bulkPart(ByteBuffer in) {
-        if (bulkLeft > 0) {
-            int part = Math.min(bulkLeft, in.remaining());
-            if (toLarge) {
-                large.part(in, part);
+    private ParseStatus readBulk(ByteBuffer in) {
+        if (bulkBytesLeft > 0) {
+            int part = Math.min(bulkBytesLeft, in.remaining());
+            if (streamsBulk) {
+                largeValues.valueBytes(in, part);
             } else {
                 bulk.put(in, part);
             }
-            bulkLeft = bulkLeft == part ? -1 : bulkLeft - part;
-            return Progress.MORE;
+            bulkBytesLeft = bulkBytesLeft == part ? -1 : bulkBytesLeft - part;
+            return ParseStatus.NEED_MORE;
         }
-        byte expected = (byte) (bulkLeft == -1 ? '\r' : '\n');
+        byte expected = (byte) (bulkBytesLeft == -1 ? '\r' : '\n');
         if (in.get() != expected) {
-            return Progress.BAD;
+            return ParseStatus.MALFORMED;
         }
-        if (bulkLeft-- == -1) {
-            return Progress.MORE;
+        if (bulkBytesLeft-- == -1) {
+            return ParseStatus.NEED_MORE;
         }
-        Chain done = bulk;
+        BufferChain done = bulk;
         bulk = null;
-        return bulkDone(done);
+        return bulkComplete(done);
     }
 
-    private Progress bulkDone(Chain done) {
+    private ParseStatus bulkComplete(BufferChain done) {
         message.bulks.add(done);
-        return --bulksLeft == 0 ? Progress.DONE : Progress.MORE;
+        return --bulksLeft == 0 ? ParseStatus.DONE : ParseStatus.NEED_MORE;
     }
 
     /** Returns the length if it is from -1 to {@code maxLength}, -2 for anything else. */
-    private static int number(String digits, int most) {
+    private static int parseLength(String digits, int maxLength) {
         if (digits.equals("-1")) {
             return -1;
         }
-        int number = (int) Digits.read(digits, 10, most);
+        int number = (int) Digits.parse(digits, 10, maxLength);
         return number < 0 ? -2 : number;
     }
 
@@ -170,7 +170,7 @@
             bulk = null;
         }
         if (message != null) {
-            take().release();
+            takeMessage().release();
         }
     }
 }
--- a/src/main/java/org/xnio/nio/SharedPort.java
+++ b/src/main/java/org/xnio/nio/ReusePortListener.java
@@ -17,18 +17,18 @@
  * It accepts on the worker's first I/O thread and reports failed accepts to the caller. XNIO 3.8.16 has no option for SO_REUSEPORT, and its
  * own listener hides failed accepts behind a back-off of 250 ms.
  */
-public final class SharedPort extends NioHandle implements Closeable {
+public final class ReusePortListener extends NioHandle implements Closeable {
     private final ServerSocketChannel channel;
-    private final Runnable acceptable;
-    private final AtomicInteger open = new AtomicInteger();
-    private volatile int most;
+    private final Runnable onAcceptable;
+    private final AtomicInteger openConnections = new AtomicInteger();
+    private volatile int maxConnections;
     private volatile boolean atLimit;
 
-    private SharedPort(WorkerThread thread, SelectionKey key, ServerSocketChannel channel, int most, Runnable acceptable) {
+    private ReusePortListener(WorkerThread thread, SelectionKey key, ServerSocketChannel channel, int maxConnections, Runnable onAcceptable) {
         super(thread, key);
         this.channel = channel;
-        this.most = most;
-        this.acceptable = acceptable;
+        this.maxConnections = maxConnections;
+        this.onAcceptable = onAcceptable;
     }
 
     /**
@@ -36,7 +36,7 @@
      *
      * @throws IOException if no socket is available or the address is in use
      */
-    public static SharedPort open(XnioWorker worker, InetSocketAddress address, int backlog, int most, Runnable acceptable) throws IOException {
+    public static ReusePortListener open(XnioWorker worker, InetSocketAddress address, int backlog, int maxConnections, Runnable onAcceptable) throws IOException {
         WorkerThread thread = (WorkerThread) worker.getIoThread(0);
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
@@ -46,7 +46,7 @@
             } // otherwise only one process can use the address, which is better than none
             channel.configureBlocking(false);
             channel.bind(address, backlog);
-            SharedPort port = new SharedPort(thread, thread.registerChannel(channel), channel, most, acceptable);
+            ReusePortListener port = new ReusePortListener(thread, thread.registerChannel(channel), channel, maxConnections, onAcceptable);
             port.getSelectionKey().attach(port);
             port.resumeAccepts();
             return port;
@@ -62,7 +62,7 @@
      *
      * @throws IOException if no socket is available now; nothing has been determined then
      */
-    public static void lookForSharing() throws IOException {
+    public static void probeReusePort() throws IOException {
         try (ServerSocketChannel channel = ServerSocketChannel.open()) {
             channel.supportedOptions();
         }
@@ -75,8 +75,8 @@
      */
     public StreamConnection accept() throws IOException {
         while (channel.isOpen()) {
-            atLimit = open.get() >= most;
-            if (atLimit && open.get() >= most) { // checked again, as a connection may have closed before the flag was set
+            atLimit = openConnections.get() >= maxConnections;
+            if (atLimit && openConnections.get() >= maxConnections) { // checked again, as a connection may have closed before the flag was set
                 suspendAccepts();
                 return null;
             }
@@ -84,7 +84,7 @@
             if (accepted == null) {
                 return null;
             }
-            StreamConnection connection = connection(accepted);
+            StreamConnection connection = register(accepted);
             if (connection != null) {
                 return connection;
             }
@@ -93,13 +93,13 @@
     }
 
     /** Registers an accepted connection; returns null if the peer has closed it meanwhile. */
-    private StreamConnection connection(SocketChannel accepted) {
+    private StreamConnection register(SocketChannel accepted) {
         try {
             accepted.configureBlocking(false);
             accepted.setOption(StandardSocketOptions.TCP_NODELAY, true);
             SelectionKey key = getWorkerThread().registerChannel(accepted);
-            open.incrementAndGet();
-            return new NioSocketStreamConnection(getWorkerThread(), key, this::closed);
+            openConnections.incrementAndGet();
+            return new NioSocketStreamConnection(getWorkerThread(), key, this::connectionClosed);
         } catch (IOException e) {
             IoUtils.safeClose(accepted);
             return null;
@@ -107,17 +107,17 @@
     }
 
     /** Called on any thread when a connection is closed. */
-    private void closed() {
-        open.decrementAndGet();
+    private void connectionClosed() {
+        openConnections.decrementAndGet();
         if (atLimit) {
-            getWorkerThread().execute(this::acceptAgain);
+            getWorkerThread().execute(this::resumeAccepting);
         }
     }
 
-    private void acceptAgain() {
+    private void resumeAccepting() {
         if (atLimit && channel.isOpen()) {
             resumeAccepts();
-            acceptable.run();
+            onAcceptable.run();
         }
     }
 
@@ -127,9 +127,9 @@
     }
 
     /** Changes the limit; open connections beyond it stay open. */
-    public void limit(int newMost) {
-        most = newMost;
-        acceptAgain();
+    public void setMaxConnections(int newMaximum) {
+        maxConnections = newMaximum;
+        resumeAccepting();
     }
 
     public void suspendAccepts() {
@@ -150,7 +150,7 @@
 
     @Override
     void handleReady(int ops) {
-        acceptable.run();
+        onAcceptable.run();
     }
 
     @Override
--- a/src/test/java/dappleseam/clients/ClientFrontTest.java
+++ b/src/test/java/dappleseam/clients/ClientFrontendTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dappleseam.wire.Chain;
+import dappleseam.wire.BufferChain;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -18,31 +18,31 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-class ClientFrontTest {
-    private static final String ASKED = "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n1\r\n$3\r\nc=r\r\n";
+class ClientFrontendTest {
+    private static final String QUERY = "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n1\r\n$3\r\nc=r\r\n";
 
-    private interface Part {
-        Object play(ByHand loop, ClientFront front, StreamConnection client) throws IOException;
+    private interface Scenario {
+        Object run(ManualIoLoop loop, ClientFrontend front, StreamConnection client) throws IOException;
     }
 
     /** Runs the scenario on the I/O thread, with one client that has already written {@code written}. */
-    private static Object played(String written, int mostAsking, Part part) throws Exception {
+    private static Object runScenario(String written, int mostAsking, Scenario scenario) throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        CompletableFuture<Object> found = new CompletableFuture<>();
+        CompletableFuture<Object> result = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             try {
-                ByHand loop = new ByHand();
-                ClientFront front = new ClientFront(loop, loop, 100, mostAsking);
+                ManualIoLoop loop = new ManualIoLoop();
+                ClientFrontend front = new ClientFrontend(loop, loop, 100, mostAsking);
                 ChannelPipe<StreamConnection, StreamConnection> pipe = worker.getIoThread().createFullDuplexPipeConnection();
                 write(pipe.getRightSide(), written);
-                front.opened(pipe.getLeftSide());
-                found.complete(part.play(loop, front, pipe.getRightSide()));
+                front.addClient(pipe.getLeftSide());
+                result.complete(scenario.run(loop, front, pipe.getRightSide()));
             } catch (IOException | RuntimeException e) {
-                found.completeExceptionally(e);
+                result.completeExceptionally(e);
             }
         });
         try {
-            return found.get();
+            return result.get();
         } finally {
             worker.shutdownNow();
         }
@@ -54,35 +54,35 @@
 
     /** On shutdown, queries read after the last abort would never be answered, so they must not be read. */
     @Test
-    void afterTheLastLookNothingIsTaken() throws Exception {
-        String half = ASKED.substring(0, 10);
-        assertThat(played(ASKED + half, 10, (loop, front, client) -> {
-            front.takeNoMore();
-            write(client, ASKED.substring(10) + ASKED);
+    void noQueryIsSubmittedOnceReadingHasStopped() throws Exception {
+        String half = QUERY.substring(0, 10);
+        assertThat(runScenario(QUERY + half, 10, (loop, front, client) -> {
+            front.stopReading();
+            write(client, QUERY.substring(10) + QUERY);
             front.closeIdle();
-            loop.owed.get(0).line("-ERR");
+            loop.replies.get(0).replyLine("-ERR");
             front.closeIdle();
-            return List.of(loop.owed.size(), front.hasClients());
+            return List.of(loop.replies.size(), front.hasClients());
         })).isEqualTo(List.of(1, false));
-        assertThat(played(half, 10, (loop, front, client) -> {
-            front.takeNoMore();
-            return List.of(loop.owed.size(), front.hasClients());
+        assertThat(runScenario(half, 10, (loop, front, client) -> {
+            front.stopReading();
+            return List.of(loop.replies.size(), front.hasClients());
         })).isEqualTo(List.of(0, false));
-        assertThat(played("", 10, (loop, front, client) -> {
-            write(client, ASKED);
-            front.takeNoMore(); // still reads what has arrived until now
-            return List.of(loop.owed.size(), front.hasClients());
+        assertThat(runScenario("", 10, (loop, front, client) -> {
+            write(client, QUERY);
+            front.stopReading(); // still reads what has arrived until now
+            return List.of(loop.replies.size(), front.hasClients());
         })).isEqualTo(List.of(1, true));
     }
 
     /** A busy proxy must not close connections of active clients, which it would have to accept again at once. */
     @Test
-    void aClientThatHasJustBeenAnsweredDoesNotMakeWay() throws Exception {
+    void aClientThatWasJustAnsweredIsNotEvicted() throws Exception {
         List<Object> kept = new ArrayList<>();
         for (double until : new double[] {1200, 1800}) {
-            kept.add(played(ASKED, 1, (loop, front, client) -> { // the limit leaves no room for idle clients
-                loop.owed.get(0).line("+OK");
-                loop.pass(until);
+            kept.add(runScenario(QUERY, 1, (loop, front, client) -> { // the limit leaves no room for idle clients
+                loop.replies.get(0).replyLine("+OK");
+                loop.advanceTo(until);
                 return front.hasClients();
             }));
         }
@@ -91,26 +91,26 @@
 
     /** A client that sends a query and closes must not cause an execution: a close directly behind a query is seen before it is submitted. */
     @Test
-    void aQueryIsNotTakenWhereTheClientsEndIsRightBehindIt() throws Exception {
-        assertThat(played("", 10, (loop, front, client) -> {
-            write(client, ASKED);
+    void aQueryDirectlyFollowedByACloseIsNotSubmitted() throws Exception {
+        assertThat(runScenario("", 10, (loop, front, client) -> {
+            write(client, QUERY);
             IoUtils.safeClose(client);
             front.closeIdle(); // reads what has arrived
-            return List.of(loop.owed.size(), front.hasClients());
+            return List.of(loop.replies.size(), front.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
     /** The same if more input has arrived than one read pass handles: nothing is submitted before the close could be seen. */
     @Test
-    void aQueryIsNotTakenWhereTheClientsEndIsBehindMoreThanIsReadAtOnce() throws Exception {
-        String longNames = ASKED.replace("$1\r\na\r\n", "$120\r\n" + "a".repeat(120) + "\r\n");
-        assertThat(played("", 10, (loop, front, client) -> {
+    void aQueryIsNotSubmittedIfTheCloseFollowsMoreThanOneReadPass() throws Exception {
+        String longNames = QUERY.replace("$1\r\na\r\n", "$120\r\n" + "a".repeat(120) + "\r\n");
+        assertThat(runScenario("", 10, (loop, front, client) -> {
             write(client, longNames.repeat(100)); // fewer than pause the connection
             IoUtils.safeClose(client);
             int taken = 0;
             for (int i = 0; i < 10; i++) {
                 front.closeIdle(); // reads what has arrived
-                taken = Math.max(taken, loop.owed.size());
+                taken = Math.max(taken, loop.replies.size());
             }
             return List.of(taken, front.hasClients());
         })).isEqualTo(List.of(0, false));
@@ -118,41 +118,41 @@
 
     /** The same behind more input than is read ahead of a paused client: queries whose client may have closed are rejected. */
     @Test
-    void noQueryIsTakenOfAClientThatHasClosedBehindMoreThanIsReadAhead() throws Exception {
-        assertThat(played("", 10, (loop, front, client) -> {
-            write(client, ASKED.repeat(900));
+    void noQueryIsSubmittedIfTheCloseFollowsMoreThanTheReadAheadBuffer() throws Exception {
+        assertThat(runScenario("", 10, (loop, front, client) -> {
+            write(client, QUERY.repeat(900));
             IoUtils.safeClose(client);
             for (int i = 0; i < 100; i++) {
                 front.closeIdle();
-                loop.pass(loop.now + 25);
+                loop.advanceTo(loop.now + 25);
             }
-            return List.of(loop.owed.size(), front.hasClients());
+            return List.of(loop.replies.size(), front.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
     /** A client that sends a query, then a malformed command, then endless input must still get both replies in time. */
     @Test
-    void anErrorIsNotHeldUpByWhatComesBehindItWithoutEnd() throws Exception {
-        assertThat(played("", 10, (loop, front, client) -> {
-            write(client, ASKED + "noise\r\n");
+    void anErrorReplyIsNotDelayedByEndlessInput() throws Exception {
+        assertThat(runScenario("", 10, (loop, front, client) -> {
+            write(client, QUERY + "noise\r\n");
             for (int i = 0; i < 40 && front.hasClients(); i++) {
                 write(client, "x".repeat(20_000)); // more than one read pass handles
                 front.closeIdle();
-                loop.pass(loop.now + 10);
+                loop.advanceTo(loop.now + 10);
             }
-            return List.of(loop.owed.size() + loop.rejected, front.hasClients());
+            return List.of(loop.replies.size() + loop.rejected, front.hasClients());
         })).isEqualTo(List.of(1, false));
     }
 
     /** A client that sent more than is accepted at once and then closed is known to be gone, although not all of its input is read. */
     @Test
     void backpressureDoesNotHideAClose() throws Exception {
-        assertThat(played(ASKED.repeat(200), 10, (loop, front, client) -> {
-            int taken = loop.owed.size();
-            boolean before = loop.owed.get(0).isClientHere();
+        assertThat(runScenario(QUERY.repeat(200), 10, (loop, front, client) -> {
+            int taken = loop.replies.size();
+            boolean before = loop.replies.get(0).isClientConnected();
             IoUtils.safeClose(client);
-            boolean after = loop.owed.get(0).isClientHere();
-            return List.of(taken < 200, before, after, loop.owed.size() == taken, loop.left == taken);
+            boolean after = loop.replies.get(0).isClientConnected();
+            return List.of(taken < 200, before, after, loop.replies.size() == taken, loop.disconnected == taken);
         })).isEqualTo(List.of(true, true, false, true, true));
     }
 
@@ -161,64 +161,64 @@
      * reply, and queries that arrive once everything is read are submitted as usual.
      */
     @Test
-    void aClientBehindMoreThanIsReadAheadIsNotKnownToBeThere() throws Exception {
-        assertThat(played(ASKED.repeat(10), 10, (loop, front, client) -> {
-            write(client, ASKED.repeat(900));
+    void aClientWithUnreadInputIsNotAssumedConnected() throws Exception {
+        assertThat(runScenario(QUERY.repeat(10), 10, (loop, front, client) -> {
+            write(client, QUERY.repeat(900));
             front.closeIdle(); // reads as much as fits
-            boolean here = loop.owed.get(0).isClientHere();
-            int taken = loop.owed.size();
-            int all = answered(loop, front, 910);
-            write(client, ASKED);
-            int more = answered(loop, front, 911);
-            return List.of(here, taken, all, more, loop.owed.get(loop.owed.size() - 1).isClientHere());
+            boolean here = loop.replies.get(0).isClientConnected();
+            int taken = loop.replies.size();
+            int all = replyUntil(loop, front, 910);
+            write(client, QUERY);
+            int more = replyUntil(loop, front, 911);
+            return List.of(here, taken, all, more, loop.replies.get(loop.replies.size() - 1).isClientConnected());
         })).isEqualTo(List.of(false, 10, 910, 911, true));
     }
 
     /** Replies to submitted queries and lets more be read, until {@code count} queries were submitted or rejected; the last ones stay unanswered. */
-    private static int answered(ByHand loop, ClientFront front, int count) {
-        for (int i = 0; i < 1000 && loop.owed.size() + loop.rejected < count; i++) {
-            List.copyOf(loop.owed).forEach(owed -> owed.line("+OK"));
-            loop.pass(loop.now + 25);
-            if (loop.owed.size() + loop.rejected < count) {
+    private static int replyUntil(ManualIoLoop loop, ClientFrontend front, int count) {
+        for (int i = 0; i < 1000 && loop.replies.size() + loop.rejected < count; i++) {
+            List.copyOf(loop.replies).forEach(owed -> owed.replyLine("+OK"));
+            loop.advanceTo(loop.now + 25);
+            if (loop.replies.size() + loop.rejected < count) {
                 front.closeIdle(); // reads as much as fits; the client has commands on their way, so it is not closed
             }
         }
-        return loop.owed.size() + loop.rejected;
+        return loop.replies.size() + loop.rejected;
     }
 
     /** Guards against a timer leak: each pause of a client used to leave one more periodic check behind for good. */
     @Test
-    void aClientThatIsFullAgainAndAgainIsLookedAtByOneDeadline() throws Exception {
-        assertThat(played(ASKED.repeat(128), 10, (loop, front, client) -> {
-            int before = loop.due.size();
+    void repeatedPausesScheduleOneTimer() throws Exception {
+        assertThat(runScenario(QUERY.repeat(128), 10, (loop, front, client) -> {
+            int before = loop.scheduled.size();
             for (int i = 0; i < 100; i++) {
-                loop.owed.get(i).line("+OK");
-                write(client, ASKED);
+                loop.replies.get(i).replyLine("+OK");
+                write(client, QUERY);
                 front.closeIdle(); // reads it
             }
-            return List.of(loop.owed.size(), loop.due.size() - before);
+            return List.of(loop.replies.size(), loop.scheduled.size() - before);
         })).isEqualTo(List.of(228, 0));
     }
 
     /** Commands that were read ahead are due a reply, so a connection with nothing else pending is not idle. */
     @Test
-    void aConnectionWithCommandsReadAheadIsNotClosedAsIdle() throws Exception {
-        assertThat(played("", 10, (loop, front, client) -> {
-            List<Chain> taken = new ArrayList<>();
+    void aConnectionWithUndeliveredCommandsIsNotClosedAsIdle() throws Exception {
+        assertThat(runScenario("", 10, (loop, front, client) -> {
+            List<BufferChain> taken = new ArrayList<>();
             for (int i = 0; i < 40; i++) { // most buffers are in use elsewhere
-                taken.add(new Chain(loop.pool));
+                taken.add(new BufferChain(loop.pool));
                 taken.get(i).put("x");
             }
-            write(client, ASKED);
+            write(client, QUERY);
             front.closeIdle(); // reads the first, then pauses
-            write(client, ASKED);
-            loop.owed.get(0).line("+OK");
+            write(client, QUERY);
+            loop.replies.get(0).replyLine("+OK");
             front.closeIdle(); // reads the second ahead
             front.closeIdle();
             boolean open = front.hasClients();
-            taken.forEach(Chain::release);
-            loop.pass(1100);
-            return List.of(open, loop.owed.size());
+            taken.forEach(BufferChain::release);
+            loop.advanceTo(1100);
+            return List.of(open, loop.replies.size());
         })).isEqualTo(List.of(true, 2));
     }
 }
--- a/src/test/java/dappleseam/clients/ByHand.java
+++ b/src/test/java/dappleseam/clients/ManualIoLoop.java
@@ -4,7 +4,7 @@
 import dappleseam.router.QueryId;
 import dappleseam.wire.BufferPool;
 import dappleseam.wire.Link;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -14,12 +14,12 @@
 import org.xnio.StreamConnection;
 
 /** An I/O loop whose clock is advanced by the test. Also a query handler that records the queries and leaves the replies to the test. */
-public final class ByHand implements Loop, Queries {
-    public final List<Map.Entry<Double, Runnable>> due = new ArrayList<>();
-    public final List<Owed> owed = new ArrayList<>();
+public final class ManualIoLoop implements IoLoop, QueryHandler {
+    public final List<Map.Entry<Double, Runnable>> scheduled = new ArrayList<>();
+    public final List<PendingReply> replies = new ArrayList<>();
     public final BufferPool pool = new BufferPool(64);
     public double now = 1000;
-    public int left;
+    public int disconnected;
     public int rejected;
 
     @Override
@@ -28,33 +28,33 @@
     }
 
     @Override
-    public Deadline at(double whenMs, Runnable then) {
-        Map.Entry<Double, Runnable> one = Map.entry(whenMs, then);
-        due.add(one);
-        return () -> due.remove(one);
+    public PendingTask scheduleAt(double whenMs, Runnable task) {
+        Map.Entry<Double, Runnable> pendingEntry = Map.entry(whenMs, task);
+        scheduled.add(pendingEntry);
+        return () -> scheduled.remove(pendingEntry);
     }
 
     /** Advances the clock to {@code untilMs} in steps of 1 ms, and runs the tasks that fall due. */
-    public void pass(double untilMs) {
+    public void advanceTo(double untilMs) {
         for (; now < untilMs; now++) {
-            List.copyOf(due).stream().filter(d -> d.getKey() <= now && due.remove(d)).forEach(d -> d.getValue().run());
+            List.copyOf(scheduled).stream().filter(d -> d.getKey() <= now && scheduled.remove(d)).forEach(d -> d.getValue().run());
         }
     }
 
     @Override
-    public Deadline dial(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
-                         Consumer<String> failed) {
+    public PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected,
+                         Consumer<String> onFailure) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public boolean mayDial() {
+    public boolean mayConnect() {
         return false;
     }
 
     @Override
-    public Link link(StreamConnection connection, Link.Events events) {
-        return new Link(connection, pool, ByteBuffer.allocate(1024), events);
+    public Link createLink(StreamConnection connection, Link.Listener listener) {
+        return new Link(connection, pool, ByteBuffer.allocate(1024), listener);
     }
 
     @Override
@@ -63,19 +63,19 @@
     }
 
     @Override
-    public QueryId take(Command command, Owed one, double waitedMs) {
-        owed.add(one);
-        return new QueryId(owed.size());
+    public QueryId submit(Command command, PendingReply reply, double waitedMs) {
+        replies.add(reply);
+        return new QueryId(replies.size());
     }
 
     @Override
-    public void reject(Command command, Owed one) {
+    public void reject(Command command, PendingReply reply) {
         rejected++;
-        one.busy(0);
+        reply.replyBusy(0);
     }
 
     @Override
     public void clientLeft(QueryId id) {
-        left++;
+        disconnected++;
     }
 }
--- a/src/test/java/dappleseam/list/ListReaderTest.java
+++ b/src/test/java/dappleseam/list/ListReaderTest.java
@@ -24,9 +24,9 @@
 
     /** The ring must be the same at all proxies, so nodes are identified by uid and not by address, which may differ between proxies. */
     @Test
-    void aNodeIsKnownByItsUidAndReachedAtItsEndpoint() throws IOException {
-        Listed here = read(list("s-1", "127.0.0.1:6379")).entries().get(0);
-        Listed there = read(list("s-1", "127.0.0.2:6379")).entries().get(0);
+    void aNodeIsIdentifiedByUidAndReachedAtItsEndpoint() throws IOException {
+        ListEntry here = read(list("s-1", "127.0.0.1:6379")).entries().get(0);
+        ListEntry there = read(list("s-1", "127.0.0.2:6379")).entries().get(0);
         assertThat(here.member()).isEqualTo(there.member())
                 .isEqualTo(new Member(here.member().node(), Member.State.DRAINING, 1, 3, 1, 1.5, 77));
         assertThat(here.endpoint().getHostString()).isEqualTo("127.0.0.1");
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void whatIsNoListIsToldApart() {
+    void malformedListsAreRejected() {
         assertThatThrownBy(() -> read("{\"rev\":1}")).isInstanceOf(IOException.class);
         assertThatThrownBy(() -> read(list("s-1", "nowhere"))).isInstanceOf(IOException.class)
                 .hasMessageContaining("nowhere");
@@ -49,7 +49,7 @@
 
     /** A list truncated at any byte is rejected; unknown keys are ignored. */
     @Test
-    void partOfAListIsNone() throws IOException {
+    void aTruncatedListIsRejectedAndUnknownKeysAreIgnored() throws IOException {
         String whole = list("s-1", "127.0.0.1:6379").replace("\"rev\"", "\"new\":{\"a\":[1,{}]},\n  \"rev\"").replace("\"az\"", "\"tags\":[{\"uid\":\"no\"}], \"az\"");
         assertThat(read(whole).entries()).isEqualTo(read(list("s-1", "127.0.0.1:6379")).entries());
         for (int i = 0; i < whole.length(); i++) {
--- a/src/test/java/dappleseam/site/FleetFileReaderTest.java
+++ b/src/test/java/dappleseam/site/FleetFileReaderTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import dappleseam.fleet.peers.Identity;
+import dappleseam.fleet.peers.FleetConfig;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
@@ -17,17 +17,17 @@
     @TempDir
     Path folder;
 
-    private Identity read(String text) throws Exception {
-        return FleetFileReader.read(Files.writeString(folder.resolve("fleet.json"), text), "n1", 7);
+    private FleetConfig read(String text) throws Exception {
+        return FleetConfigReader.read(Files.writeString(folder.resolve("fleet.json"), text), "n1", 7);
     }
 
     @Test
     void theExampleIsSoundAndLeavesDefaults() throws Exception {
-        Identity read = FleetFileReader.read(SHIPPED, "n1", 7);
+        FleetConfig read = FleetConfigReader.read(SHIPPED, "n1", 7);
         assertThat(read.name().text()).isEqualTo("n1");
-        assertThat(read.terms().counted()).isEqualTo(7);
+        assertThat(read.membershipConfig().initialFleetSize()).isEqualTo(7);
         assertThat(read.advertise()).isEqualTo(read.bind());
-        assertThat(read.record()).isNull();
+        assertThat(read.recordFile()).isNull();
     }
 
     @ParameterizedTest
@@ -42,7 +42,7 @@
     void aFaultNamesItsKey(String sound, String faulty, String message) throws Exception {
         String shipped = Files.readString(SHIPPED);
         assertThat(shipped).contains(sound);
-        assertThatThrownBy(() -> read(shipped.replace(sound, faulty))).isInstanceOf(FaultySettingException.class).hasMessageStartingWith(message);
+        assertThatThrownBy(() -> read(shipped.replace(sound, faulty))).isInstanceOf(InvalidConfigException.class).hasMessageStartingWith(message);
     }
 
     @ParameterizedTest
@@ -60,13 +60,13 @@
         if (message.isEmpty()) {
             assertThat(read(text).leases().majority()).isEqualTo(2);
         } else {
-            assertThatThrownBy(() -> read(text)).isInstanceOf(FaultySettingException.class).hasMessageStartingWith(message);
+            assertThatThrownBy(() -> read(text)).isInstanceOf(InvalidConfigException.class).hasMessageStartingWith(message);
         }
     }
 
     @Test
     void aFileThatIsNotThereIsSaidSo() {
-        assertThatThrownBy(() -> FleetFileReader.read(folder.resolve("none"), "n1", 1)).isInstanceOf(FaultySettingException.class)
+        assertThatThrownBy(() -> FleetConfigReader.read(folder.resolve("none"), "n1", 1)).isInstanceOf(InvalidConfigException.class)
                 .hasMessageStartingWith("--fleet: cannot be read");
     }
 }
--- a/src/test/java/dappleseam/wire/LinkTest.java
+++ b/src/test/java/dappleseam/wire/LinkTest.java
@@ -20,10 +20,10 @@
 
 class LinkTest {
     /** A connection that records which thread closed it. */
-    private static final class Closing extends StreamConnection {
+    private static final class CloseRecordingConnection extends StreamConnection {
         final BlockingQueue<Thread> closedBy = new LinkedBlockingQueue<>();
 
-        Closing(XnioIoThread thread) {
+        CloseRecordingConnection(XnioIoThread thread) {
             super(thread);
             setSourceConduit(new EmptyStreamSourceConduit(thread));
             setSinkConduit(new NullStreamSinkConduit(thread));
@@ -64,13 +64,13 @@
     @Test
     void theIoThreadDoesNotCloseConnections() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        Closing connection = new Closing(worker.getIoThread());
-        Link link = new Link(connection, new BufferPool(1), ByteBuffer.allocate(1), new Link.Events() {
+        CloseRecordingConnection connection = new CloseRecordingConnection(worker.getIoThread());
+        Link link = new Link(connection, new BufferPool(1), ByteBuffer.allocate(1), new Link.Listener() {
             @Override
             public void received(ByteBuffer bytes) {}
 
             @Override
-            public void ended(String cause) {}
+            public void disconnected(String cause) {}
         });
         worker.getIoThread().execute(link::close);
         assertThat(connection.closedBy.poll(20, TimeUnit.SECONDS)).isNotNull().isNotSameAs(worker.getIoThread());
