--- a/src/main/java/dappleseam/clients/ClientFrontend.java
+++ b/src/main/java/dappleseam/clients/ClientFrontend.java
@@ -60,8 +60,8 @@
     private double closeIdleFrom = Double.POSITIVE_INFINITY;
 
     /**
-     * Keeps up to {@code maxConnections} connections open, more wait in the backlog. {@code queryConnections} is the number of connections that clients
-     * open for queries at most.
+     * Keeps up to {@code maxConnections} connections open, more wait in the backlog. {@code queryConnections} is the maximum number of
+     * connections that clients open for queries.
      */
     public ClientFrontend(IoLoop loop, QueryHandler handler, int maxConnections, int queryConnections) {
         this.loop = loop;
--- a/src/main/java/dappleseam/list/ListWatch.java
+++ b/src/main/java/dappleseam/list/ListWatch.java
@@ -108,8 +108,8 @@
         }
     }
 
-    private void startCall(long holdMs, boolean isContinuation) {
-        call = new Call(holdMs, isContinuation);
+    private void startCall(long holdMs, boolean followsAnswer) {
+        call = new Call(holdMs, followsAnswer);
         call.connect();
     }
 
@@ -125,9 +125,9 @@
         /** Whether the previous call was answered, so that the service is presumably still healthy. */
         private boolean isContinuation;
 
-        Call(long firstHoldMs, boolean isContinuation) {
+        Call(long firstHoldMs, boolean followsAnswer) {
             this.firstHoldMs = firstHoldMs;
-            isContinuation = isContinuation;
+            isContinuation = followsAnswer;
         }
 
         void connect() {
--- a/src/main/java/dappleseam/origin/Origin.java
+++ b/src/main/java/dappleseam/origin/Origin.java
@@ -115,7 +115,7 @@
         private Link link;
         private Execution current;
         private double idleSince;
-        /** How long the connection had been idle before the unanswered request; negative for the first request. */
+        /** How long the connection had been idle before the unanswered request; below 0 for the first request. */
         private double idleBeforeReuseMs = -1;
         /** Byte range of the current request in the connection's output; the end is {@link Long#MAX_VALUE} until all of it is queued. */
         private long startOffset;
--- a/src/main/java/dappleseam/servers/CacheNode.java
+++ b/src/main/java/dappleseam/servers/CacheNode.java
@@ -146,9 +146,9 @@
         private double lastReplyAt;
         /** Whether the reply being received was expected when its large value began. */
         private boolean isLargeReplyExpected;
-        /** How long the connection had been idle before the first unanswered command; negative if it was not idle. */
+        /** How long the connection had been idle before the first unanswered command; below 0 if it was not idle. */
         private double idleBeforeReuseMs = -1;
-        /** Closes the connection unless it is cancelled by activity. */
+        /** Closes the connection when it fires; cancelled by activity. */
         private IoLoop.PendingTask closeTimer = () -> { };
 
         int load() {
--- a/src/main/java/dappleseam/wire/IoLoop.java
+++ b/src/main/java/dappleseam/wire/IoLoop.java
@@ -32,8 +32,9 @@
     /** The buffers of this thread. */
     BufferPool pool();
 
-    /** A scheduled call or a connection attempt, which can be cancelled; cancelling it later has no effect. */
+    /** A scheduled call or a connection attempt. */
     interface PendingTask {
+        /** Cancels the task if it is still pending. */
         void cancelTask();
     }
 }
