--- a/src/main/java/dappleseam/clients/ClientConnection.java
+++ b/src/main/java/dappleseam/clients/ClientConnection.java
@@ -2,9 +2,9 @@
 
 import dappleseam.query.Command;
 import dappleseam.wire.BufferChain;
+import dappleseam.wire.IoLoop;
 import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.IoLoop;
 import dappleseam.wire.ParseStatus;
 import dappleseam.wire.RespMessage;
 import dappleseam.wire.RespReader;
@@ -147,10 +147,10 @@
         while (bytes.hasRemaining() && !isClosing && !link.isClosed()) {
             lastReadAt = loop.nowMs();
             commandStartedAt = reader.isBetweenMessages() ? lastReadAt : commandStartedAt;
-            ParseStatus progress = reader.read(bytes);
-            if (progress == ParseStatus.MALFORMED) {
+            ParseStatus parsed = reader.read(bytes);
+            if (parsed == ParseStatus.MALFORMED) {
                 failAndClose("-ERR Protocol error");
-            } else if (progress == ParseStatus.DONE) {
+            } else if (parsed == ParseStatus.DONE) {
                 handleCommand(reader.takeMessage());
                 releaseGrant();
             }
--- a/src/main/java/dappleseam/list/ListReader.java
+++ b/src/main/java/dappleseam/list/ListReader.java
@@ -48,7 +48,7 @@
 
     private NodeList list(JsonParser parser) throws IOException {
         Long version = null;
-        boolean whole = false;
+        boolean full = false;
         List<ListEntry> entries = null;
         parser.nextToken();
         while (parser.nextToken() == JsonToken.FIELD_NAME) {
@@ -57,7 +57,7 @@
             if (key.equals("rev") && value == JsonToken.VALUE_NUMBER_INT) {
                 version = parser.getLongValue();
             } else if (key.equals("all")) {
-                whole = parser.getValueAsBoolean();
+                full = parser.getValueAsBoolean();
             } else if (key.equals("targets") && value == JsonToken.START_ARRAY) {
                 entries = entries(parser);
             }
@@ -66,7 +66,7 @@
         if (version == null || entries == null) {
             throw new IOException("list: rev or targets is missing");
         }
-        return new NodeList(version, whole, entries);
+        return new NodeList(version, full, entries);
     }
 
     private List<ListEntry> entries(JsonParser parser) throws IOException {
--- a/src/main/java/dappleseam/list/ListWatch.java
+++ b/src/main/java/dappleseam/list/ListWatch.java
@@ -2,12 +2,12 @@
 
 import dappleseam.wire.BufferChain;
 import dappleseam.wire.HttpResponseReader;
-import dappleseam.wire.Link;
 import dappleseam.wire.IoLoop;
+import dappleseam.wire.Link;
 import dappleseam.wire.ParseStatus;
 import java.io.IOException;
-import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
+import java.lang.System.Logger;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -175,10 +175,10 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            ParseStatus progress = reader.read(bytes);
-            if (progress == ParseStatus.MALFORMED) {
+            ParseStatus parsed = reader.read(bytes);
+            if (parsed == ParseStatus.MALFORMED) {
                 fail("malformed HTTP response");
-            } else if (progress == ParseStatus.DONE) {
+            } else if (parsed == ParseStatus.DONE) {
                 handleResponse(reader.staysOpen() && !bytes.hasRemaining()); // after unexpected bytes the connection cannot be trusted
             }
         }
--- a/src/main/java/dappleseam/origin/Origin.java
+++ b/src/main/java/dappleseam/origin/Origin.java
@@ -3,17 +3,17 @@
 import dappleseam.query.Backend;
 import dappleseam.query.Command;
 import dappleseam.query.ConnectionPolicy;
-import dappleseam.query.ExecutionResult;
 import dappleseam.query.Execution;
+import dappleseam.query.ExecutionResult;
 import dappleseam.query.LargeValueReceiver;
-import dappleseam.query.WriteProgress;
 import dappleseam.query.Slots;
+import dappleseam.query.WriteProgress;
 import dappleseam.router.Outcome;
 import dappleseam.wire.BufferChain;
 import dappleseam.wire.HttpResponseReader;
+import dappleseam.wire.IoLoop;
 import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.IoLoop;
 import dappleseam.wire.ParseStatus;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -176,10 +176,10 @@
             }
         }
 
-        private static void write(Execution e, long waitMs, BufferChain to) {
+        private static void write(Execution e, long timeoutMs, BufferChain to) {
             Command command = e.command;
             to.put((command.isWrite() ? "PUT /" : "GET /") + command.key() + " HTTP/1.1\r\nHost: origin\r\n"
-                    + "X-Correlation-Id: " + command.id() + "\r\nX-Facts: " + command.factsWithTimeout(waitMs) + "\r\n"
+                    + "X-Correlation-Id: " + command.id() + "\r\nX-Facts: " + command.factsWithTimeout(timeoutMs) + "\r\n"
                     + (command.isWrite() ? "Content-Length: " + command.value().size() + "\r\n\r\n" : "\r\n"));
         }
 
@@ -222,9 +222,9 @@
         public void received(ByteBuffer bytes) {
             ParseStatus parsed = reader.read(bytes);
             if (parsed == ParseStatus.MALFORMED || current == null) {
-                boolean whole = writeProgress() == WriteProgress.COMPLETE;
+                boolean complete = writeProgress() == WriteProgress.COMPLETE;
                 close();
-                end(whole ? ExecutionResult.erred("malformed HTTP response")
+                end(complete ? ExecutionResult.erred("malformed HTTP response")
                         : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, "a response before the request was sent"));
             } else if (parsed == ParseStatus.DONE) {
                 handleResponse(!bytes.hasRemaining());
--- a/src/main/java/dappleseam/servers/CacheNode.java
+++ b/src/main/java/dappleseam/servers/CacheNode.java
@@ -3,16 +3,16 @@
 import dappleseam.query.Backend;
 import dappleseam.query.Command;
 import dappleseam.query.ConnectionPolicy;
-import dappleseam.query.ExecutionResult;
 import dappleseam.query.Execution;
+import dappleseam.query.ExecutionResult;
 import dappleseam.query.LargeValueReceiver;
-import dappleseam.query.WriteProgress;
 import dappleseam.query.Slots;
+import dappleseam.query.WriteProgress;
 import dappleseam.router.Outcome;
 import dappleseam.wire.BufferChain;
+import dappleseam.wire.IoLoop;
 import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.IoLoop;
 import dappleseam.wire.ParseStatus;
 import dappleseam.wire.RespMessage;
 import dappleseam.wire.RespReader;
@@ -58,7 +58,7 @@
         if (best == null || best.load() > 0 && !shared && loop.mayConnect()) {
             best = new Connection();
             best.waiting.add(execution);
-            best.dial();
+            best.connect();
         } else {
             best.send(execution);
         }
@@ -161,10 +161,10 @@
          * taken for the new command's reply.
          */
         boolean hasRoom() {
-            boolean mayBeCopied = load() == 0 && link != null && loop.nowMs() - lastReplyAt < DUPLICATE_REPLY_MS
+            boolean mayBeDuplicated = load() == 0 && link != null && loop.nowMs() - lastReplyAt < DUPLICATE_REPLY_MS
                     && !policy.reuseStats().isSharingSafe(loop.nowMs());
             boolean isWritten = link == null || link.out().size() == 0; // a command queued behind unwritten bytes could not be taken back
-            return load() < policy.maxCommandsPerConnection() && !mayBeCopied && isWritten
+            return load() < policy.maxCommandsPerConnection() && !mayBeDuplicated && isWritten
                     && (sent.isEmpty() || !sent.peekFirst().execution.hasEnded());
         }
 
@@ -182,7 +182,7 @@
             return true;
         }
 
-        void dial() {
+        void connect() {
             loop.connect(endpoint, policy.connectTimeoutMs(), this::connected, this::connectFailed);
         }
 
@@ -238,12 +238,12 @@
             }
         }
 
-        private static void write(Command command, long waitMs, BufferChain to) {
+        private static void write(Command command, long timeoutMs, BufferChain to) {
             RespWriter.array(to, command.isWrite() ? 5 : 4);
             RespWriter.bulk(to, command.isWrite() ? "C.SET" : "C.GET");
             RespWriter.bulk(to, command.key());
             RespWriter.bulk(to, command.id());
-            RespWriter.bulk(to, command.factsWithTimeout(waitMs));
+            RespWriter.bulk(to, command.factsWithTimeout(timeoutMs));
             if (command.isWrite()) {
                 RespWriter.bulk(to, command.value());
             }
@@ -398,7 +398,7 @@
                 reportReuse(true);
             }
             close();
-            failSent(whole -> ExecutionResult.connectionFailed(whole ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE, cause));
+            failSent(complete -> ExecutionResult.connectionFailed(complete ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE, cause));
             failWaiting(cause);
         }
 
@@ -406,7 +406,7 @@
         private void replyInvalid(String cause) {
             policy.reuseStats().recordFailure(loop.nowMs());
             close();
-            failSent(whole -> whole ? ExecutionResult.erred(cause) : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
+            failSent(complete -> complete ? ExecutionResult.erred(cause) : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
             failWaiting(cause);
         }
 
--- a/src/main/java/dappleseam/wire/HttpResponseReader.java
+++ b/src/main/java/dappleseam/wire/HttpResponseReader.java
@@ -69,12 +69,12 @@
     /** Parses bytes of {@code in} until the response is complete or malformed, or no bytes are left. */
     public ParseStatus read(ByteBuffer in) {
         while (in.hasRemaining()) {
-            ParseStatus progress = switch (state) {
+            ParseStatus parsed = switch (state) {
                 case BODY, CHUNK, UNTIL_CLOSE -> readBody(in);
                 default -> readLine(in);
             };
-            if (progress != ParseStatus.NEED_MORE) {
-                return progress;
+            if (parsed != ParseStatus.NEED_MORE) {
+                return parsed;
             }
         }
         return ParseStatus.NEED_MORE;
--- a/src/main/java/dappleseam/wire/RespMessage.java
+++ b/src/main/java/dappleseam/wire/RespMessage.java
@@ -12,8 +12,8 @@
     /** The bulk string, or those of the array; null bulk strings are null elements. */
     public final List<BufferChain> bulks = new ArrayList<>(5);
 
-    RespMessage(char sign, String line) {
-        this.type = sign;
+    RespMessage(char type, String line) {
+        this.type = type;
         this.line = line;
     }
 
--- a/src/main/java/dappleseam/wire/RespReader.java
+++ b/src/main/java/dappleseam/wire/RespReader.java
@@ -54,9 +54,9 @@
     /** Parses bytes of {@code in} until a message is complete or malformed, or no bytes are left. */
     public ParseStatus read(ByteBuffer in) {
         while (in.hasRemaining()) {
-            ParseStatus progress = bulk != null ? readBulk(in) : readLine(in);
-            if (progress != ParseStatus.NEED_MORE) {
-                return progress;
+            ParseStatus parsed = bulk != null ? readBulk(in) : readLine(in);
+            if (parsed != ParseStatus.NEED_MORE) {
+                return parsed;
             }
         }
         return ParseStatus.NEED_MORE;
@@ -72,19 +72,19 @@
         if (end < 1 || line.charAt(end) != '\r') {
             return ParseStatus.MALFORMED;
         }
-        char sign = line.charAt(0);
+        char type = line.charAt(0);
         String rest = line.substring(1, end);
         line.setLength(0);
-        if (message != null && sign != '$') {
+        if (message != null && type != '$') {
             return ParseStatus.MALFORMED;
         }
-        return switch (sign) {
+        return switch (type) {
             case '+', '-', ':' -> {
-                message = new RespMessage(sign, rest);
+                message = new RespMessage(type, rest);
                 yield ParseStatus.DONE;
             }
             case '*' -> startArray(parseLength(rest, MAX_ARRAY_LENGTH));
-            case '$' -> bulk(parseLength(rest, maxBulkBytes));
+            case '$' -> startBulk(parseLength(rest, maxBulkBytes));
             default -> ParseStatus.MALFORMED;
         };
     }
@@ -99,7 +99,7 @@
         return bulksLeft == 0 ? ParseStatus.DONE : ParseStatus.NEED_MORE;
     }
 
-    private ParseStatus bulk(int length) {
+    private ParseStatus startBulk(int length) {
         if (length < -1) {
             return ParseStatus.MALFORMED;
         }
--- a/src/main/java/org/xnio/nio/ReusePortListener.java
+++ b/src/main/java/org/xnio/nio/ReusePortListener.java
@@ -46,10 +46,10 @@
             } // otherwise only one process can use the address, which is better than none
             channel.configureBlocking(false);
             channel.bind(address, backlog);
-            ReusePortListener port = new ReusePortListener(thread, thread.registerChannel(channel), channel, maxConnections, onAcceptable);
-            port.getSelectionKey().attach(port);
-            port.resumeAccepts();
-            return port;
+            ReusePortListener listener = new ReusePortListener(thread, thread.registerChannel(channel), channel, maxConnections, onAcceptable);
+            listener.getSelectionKey().attach(listener);
+            listener.resumeAccepts();
+            return listener;
         } catch (IOException | RuntimeException e) {
             IoUtils.safeClose(channel);
             throw e;
--- a/src/test/java/dappleseam/clients/ClientFrontendTest.java
+++ b/src/test/java/dappleseam/clients/ClientFrontendTest.java
@@ -22,21 +22,21 @@
     private static final String QUERY = "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n1\r\n$3\r\nc=r\r\n";
 
     private interface Scenario {
-        Object run(ManualIoLoop loop, ClientFrontend front, StreamConnection client) throws IOException;
+        Object run(ManualIoLoop loop, ClientFrontend frontend, StreamConnection client) throws IOException;
     }
 
     /** Runs the scenario on the I/O thread, with one client that has already written {@code written}. */
-    private static Object runScenario(String written, int mostAsking, Scenario scenario) throws Exception {
+    private static Object runScenario(String written, int queryConnections, Scenario scenario) throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         CompletableFuture<Object> result = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             try {
                 ManualIoLoop loop = new ManualIoLoop();
-                ClientFrontend front = new ClientFrontend(loop, loop, 100, mostAsking);
+                ClientFrontend frontend = new ClientFrontend(loop, loop, 100, queryConnections);
                 ChannelPipe<StreamConnection, StreamConnection> pipe = worker.getIoThread().createFullDuplexPipeConnection();
                 write(pipe.getRightSide(), written);
-                front.addClient(pipe.getLeftSide());
-                result.complete(scenario.run(loop, front, pipe.getRightSide()));
+                frontend.addClient(pipe.getLeftSide());
+                result.complete(scenario.run(loop, frontend, pipe.getRightSide()));
             } catch (IOException | RuntimeException e) {
                 result.completeExceptionally(e);
             }
@@ -56,22 +56,22 @@
     @Test
     void noQueryIsSubmittedOnceReadingHasStopped() throws Exception {
         String half = QUERY.substring(0, 10);
-        assertThat(runScenario(QUERY + half, 10, (loop, front, client) -> {
-            front.stopReading();
+        assertThat(runScenario(QUERY + half, 10, (loop, frontend, client) -> {
+            frontend.stopReading();
             write(client, QUERY.substring(10) + QUERY);
-            front.closeIdle();
+            frontend.closeIdle();
             loop.replies.get(0).replyLine("-ERR");
-            front.closeIdle();
-            return List.of(loop.replies.size(), front.hasClients());
+            frontend.closeIdle();
+            return List.of(loop.replies.size(), frontend.hasClients());
         })).isEqualTo(List.of(1, false));
-        assertThat(runScenario(half, 10, (loop, front, client) -> {
-            front.stopReading();
-            return List.of(loop.replies.size(), front.hasClients());
+        assertThat(runScenario(half, 10, (loop, frontend, client) -> {
+            frontend.stopReading();
+            return List.of(loop.replies.size(), frontend.hasClients());
         })).isEqualTo(List.of(0, false));
-        assertThat(runScenario("", 10, (loop, front, client) -> {
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
             write(client, QUERY);
-            front.stopReading(); // still reads what has arrived until now
-            return List.of(loop.replies.size(), front.hasClients());
+            frontend.stopReading(); // still reads what has arrived until now
+            return List.of(loop.replies.size(), frontend.hasClients());
         })).isEqualTo(List.of(1, true));
     }
 
@@ -80,10 +80,10 @@
     void aClientThatWasJustAnsweredIsNotEvicted() throws Exception {
         List<Object> kept = new ArrayList<>();
         for (double until : new double[] {1200, 1800}) {
-            kept.add(runScenario(QUERY, 1, (loop, front, client) -> { // the limit leaves no room for idle clients
+            kept.add(runScenario(QUERY, 1, (loop, frontend, client) -> { // the limit leaves no room for idle clients
                 loop.replies.get(0).replyLine("+OK");
                 loop.advanceTo(until);
-                return front.hasClients();
+                return frontend.hasClients();
             }));
         }
         assertThat(kept).containsExactly(true, false);
@@ -92,11 +92,11 @@
     /** A client that sends a query and closes must not cause an execution: a close directly behind a query is seen before it is submitted. */
     @Test
     void aQueryDirectlyFollowedByACloseIsNotSubmitted() throws Exception {
-        assertThat(runScenario("", 10, (loop, front, client) -> {
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
             write(client, QUERY);
             IoUtils.safeClose(client);
-            front.closeIdle(); // reads what has arrived
-            return List.of(loop.replies.size(), front.hasClients());
+            frontend.closeIdle(); // reads what has arrived
+            return List.of(loop.replies.size(), frontend.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
@@ -104,50 +104,50 @@
     @Test
     void aQueryIsNotSubmittedIfTheCloseFollowsMoreThanOneReadPass() throws Exception {
         String longNames = QUERY.replace("$1\r\na\r\n", "$120\r\n" + "a".repeat(120) + "\r\n");
-        assertThat(runScenario("", 10, (loop, front, client) -> {
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
             write(client, longNames.repeat(100)); // fewer than pause the connection
             IoUtils.safeClose(client);
             int taken = 0;
             for (int i = 0; i < 10; i++) {
-                front.closeIdle(); // reads what has arrived
+                frontend.closeIdle(); // reads what has arrived
                 taken = Math.max(taken, loop.replies.size());
             }
-            return List.of(taken, front.hasClients());
+            return List.of(taken, frontend.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
     /** The same behind more input than is read ahead of a paused client: queries whose client may have closed are rejected. */
     @Test
     void noQueryIsSubmittedIfTheCloseFollowsMoreThanTheReadAheadBuffer() throws Exception {
-        assertThat(runScenario("", 10, (loop, front, client) -> {
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
             write(client, QUERY.repeat(900));
             IoUtils.safeClose(client);
             for (int i = 0; i < 100; i++) {
-                front.closeIdle();
+                frontend.closeIdle();
                 loop.advanceTo(loop.now + 25);
             }
-            return List.of(loop.replies.size(), front.hasClients());
+            return List.of(loop.replies.size(), frontend.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
     /** A client that sends a query, then a malformed command, then endless input must still get both replies in time. */
     @Test
     void anErrorReplyIsNotDelayedByEndlessInput() throws Exception {
-        assertThat(runScenario("", 10, (loop, front, client) -> {
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
             write(client, QUERY + "noise\r\n");
-            for (int i = 0; i < 40 && front.hasClients(); i++) {
+            for (int i = 0; i < 40 && frontend.hasClients(); i++) {
                 write(client, "x".repeat(20_000)); // more than one read pass handles
-                front.closeIdle();
+                frontend.closeIdle();
                 loop.advanceTo(loop.now + 10);
             }
-            return List.of(loop.replies.size() + loop.rejected, front.hasClients());
+            return List.of(loop.replies.size() + loop.rejected, frontend.hasClients());
         })).isEqualTo(List.of(1, false));
     }
 
     /** A client that sent more than is accepted at once and then closed is known to be gone, although not all of its input is read. */
     @Test
     void backpressureDoesNotHideAClose() throws Exception {
-        assertThat(runScenario(QUERY.repeat(200), 10, (loop, front, client) -> {
+        assertThat(runScenario(QUERY.repeat(200), 10, (loop, frontend, client) -> {
             int taken = loop.replies.size();
             boolean before = loop.replies.get(0).isClientConnected();
             IoUtils.safeClose(client);
@@ -162,25 +162,25 @@
      */
     @Test
     void aClientWithUnreadInputIsNotAssumedConnected() throws Exception {
-        assertThat(runScenario(QUERY.repeat(10), 10, (loop, front, client) -> {
+        assertThat(runScenario(QUERY.repeat(10), 10, (loop, frontend, client) -> {
             write(client, QUERY.repeat(900));
-            front.closeIdle(); // reads as much as fits
+            frontend.closeIdle(); // reads as much as fits
             boolean here = loop.replies.get(0).isClientConnected();
             int taken = loop.replies.size();
-            int all = replyUntil(loop, front, 910);
+            int all = replyUntil(loop, frontend, 910);
             write(client, QUERY);
-            int more = replyUntil(loop, front, 911);
+            int more = replyUntil(loop, frontend, 911);
             return List.of(here, taken, all, more, loop.replies.get(loop.replies.size() - 1).isClientConnected());
         })).isEqualTo(List.of(false, 10, 910, 911, true));
     }
 
     /** Replies to submitted queries and lets more be read, until {@code count} queries were submitted or rejected; the last ones stay unanswered. */
-    private static int replyUntil(ManualIoLoop loop, ClientFrontend front, int count) {
+    private static int replyUntil(ManualIoLoop loop, ClientFrontend frontend, int count) {
         for (int i = 0; i < 1000 && loop.replies.size() + loop.rejected < count; i++) {
             List.copyOf(loop.replies).forEach(owed -> owed.replyLine("+OK"));
             loop.advanceTo(loop.now + 25);
             if (loop.replies.size() + loop.rejected < count) {
-                front.closeIdle(); // reads as much as fits; the client has commands on their way, so it is not closed
+                frontend.closeIdle(); // reads as much as fits; the client has commands on their way, so it is not closed
             }
         }
         return loop.replies.size() + loop.rejected;
@@ -189,12 +189,12 @@
     /** Guards against a timer leak: each pause of a client used to leave one more periodic check behind for good. */
     @Test
     void repeatedPausesScheduleOneTimer() throws Exception {
-        assertThat(runScenario(QUERY.repeat(128), 10, (loop, front, client) -> {
+        assertThat(runScenario(QUERY.repeat(128), 10, (loop, frontend, client) -> {
             int before = loop.scheduled.size();
             for (int i = 0; i < 100; i++) {
                 loop.replies.get(i).replyLine("+OK");
                 write(client, QUERY);
-                front.closeIdle(); // reads it
+                frontend.closeIdle(); // reads it
             }
             return List.of(loop.replies.size(), loop.scheduled.size() - before);
         })).isEqualTo(List.of(228, 0));
@@ -203,19 +203,19 @@
     /** Commands that were read ahead are due a reply, so a connection with nothing else pending is not idle. */
     @Test
     void aConnectionWithUndeliveredCommandsIsNotClosedAsIdle() throws Exception {
-        assertThat(runScenario("", 10, (loop, front, client) -> {
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
             List<BufferChain> taken = new ArrayList<>();
             for (int i = 0; i < 40; i++) { // most buffers are in use elsewhere
                 taken.add(new BufferChain(loop.pool));
                 taken.get(i).put("x");
             }
             write(client, QUERY);
-            front.closeIdle(); // reads the first, then pauses
+            frontend.closeIdle(); // reads the first, then pauses
             write(client, QUERY);
             loop.replies.get(0).replyLine("+OK");
-            front.closeIdle(); // reads the second ahead
-            front.closeIdle();
-            boolean open = front.hasClients();
+            frontend.closeIdle(); // reads the second ahead
+            frontend.closeIdle();
+            boolean open = frontend.hasClients();
             taken.forEach(BufferChain::release);
             loop.advanceTo(1100);
             return List.of(open, loop.replies.size());
--- a/src/test/java/dappleseam/list/ListWatchTest.java
+++ b/src/test/java/dappleseam/list/ListWatchTest.java
@@ -4,8 +4,8 @@
 
 import dappleseam.clients.ManualIoLoop;
 import dappleseam.wire.BufferPool;
-import dappleseam.wire.Link;
 import dappleseam.wire.IoLoop;
+import dappleseam.wire.Link;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
