--- a/src/main/java/dappleseam/clients/PendingReply.java
+++ b/src/main/java/dappleseam/clients/PendingReply.java
@@ -67,7 +67,7 @@
         return connection.isClientConnected();
     }
 
-    /** Replies BUSY: the query had no effect and may be retried, after {@code retryAfterMs} if that is positive. */
+    /** Replies BUSY: the query had no effect and may be retried, after {@code retryAfterMs} if that is over 0. */
     public void replyBusy(double retryAfterMs) {
         replyLine(retryAfterMs > 0 ? "-BUSY " + (long) Math.ceil(retryAfterMs) : "-BUSY");
     }
