--- a/src/main/java/dappleseam/clients/ClientConnection.java
+++ b/src/main/java/dappleseam/clients/ClientConnection.java
@@ -2,9 +2,9 @@
 
 import dappleseam.query.Command;
 import dappleseam.wire.BufferChain;
+import dappleseam.wire.IoLoop;
 import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.IoLoop;
 import dappleseam.wire.ParseStatus;
 import dappleseam.wire.RespMessage;
 import dappleseam.wire.RespReader;
@@ -15,325 +15,338 @@
 import java.util.regex.Pattern;
 import org.xnio.StreamConnection;
 
-/** One client's connection: commands in, answers out in the order of the commands. */
+/**
+ * One client connection: parses commands, submits queries to the {@link QueryHandler} and writes the replies in the order of the commands.
+ * Reading is paused while too many replies or bytes are pending, and the connection is closed when the client stalls.
+ */
 final class ClientConnection implements Link.Listener {
-    /** Commands owed an answer, and bytes the client has not taken, at which nothing more is read from it. */
-    private static final int MOST_OWED = 128;
-    private static final long MOST_UNREAD = 128 << 10;
-    /** Time in ms without a byte taken after which a client has gone: well past any statement timeout. */
-    private static final double STALL_MS = 20_000;
-    /** Time in ms for the first command, and between two parts of one: no honest client takes as long. */
-    private static final double SILENT_MS = 2200;
-    /** Time in ms for one command in all, in parts of any size. */
-    private static final double LONGEST_COMMAND_MS = 20_000;
-    /** Time in ms without a query open after which a client that has asked before is closed. */
-    private static final double IDLE_MS = 5000;
-    /** Time in ms without a query open after which a client is not likely to ask again soon. */
-    private static final double SETTLED_MS = 250;
-    /** Time in ms after which buffers are looked for again. */
-    private static final double BUFFERS_AGAIN_MS = 20;
-    /** What may go on into a path or a header. */
+    /** Limits on pending replies and on unsent reply bytes; at either one, reading from the client is paused. */
+    private static final int MAX_PENDING_REPLIES = 128;
+    private static final long MAX_UNSENT_BYTES = 128 << 10;
+    /** Time in ms after which a client that takes no reply bytes is considered gone: well past any statement timeout. */
+    private static final double WRITE_STALL_MS = 20_000;
+    /** Limit in ms until the first command, and between two parts of a command; no well-behaved client takes as long. */
+    private static final double READ_TIMEOUT_MS = 2200;
+    /** Limit in ms for receiving one command, in however many parts it arrives. */
+    private static final double MAX_COMMAND_MS = 20_000;
+    /** Time in ms without an open query after which a client that has sent queries before is closed. */
+    private static final double IDLE_TIMEOUT_MS = 5000;
+    /** Time in ms without an open query after which a client is unlikely to send another one soon. */
+    private static final double QUIESCENT_MS = 250;
+    /** Delay in ms before a paused connection checks again whether it can read. */
+    private static final double RECHECK_MS = 20;
+    /** Keys and ids: only characters that are safe in a URL path and in an HTTP header. */
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._~:-]{1,128}");
     private static final Pattern FACTS = Pattern.compile("[!-+\\--~]+(,[!-+\\--~]+)*");
-    private static final int LONGEST_FACTS = 1024;
-    /** Time in ms for which a new client's first command may be on its way. */
-    private static final double NEW_MS = 1000;
-    /** Which to keep rather, the later ones: silent, idle, in the middle of a command, new; then by time. */
-    static final Comparator<ClientConnection> BY_USE =
-            Comparator.comparingInt(ClientConnection::use).thenComparingDouble(c -> c.quietSince);
-
-    /** A query that has come, and what it is owed. */
-    private record Asked(Command command, PendingReply owed) {}
+    private static final int MAX_FACTS_LENGTH = 1024;
+    /** Time in ms for which the first command of a new client may still be on its way. */
+    private static final double NEW_CLIENT_MS = 1000;
+    /**
+     * Eviction order, first to be evicted first: clients that never sent a query, idle ones, those in the middle of a command, new ones;
+     * within each group the one quiet for the longest time.
+     */
+    static final Comparator<ClientConnection> BY_EVICTION_ORDER =
+            Comparator.comparingInt(ClientConnection::evictionRank).thenComparingDouble(c -> c.lastReplyAt);
+
+    /** A query that has been read, and its pending reply. */
+    private record ParsedQuery(Command command, PendingReply reply) {}
 
     private final IoLoop loop;
-    private final QueryHandler queries;
-    private final ClientFrontend front;
+    private final QueryHandler handler;
+    private final ClientFrontend frontend;
     private final RespReader reader;
     private final Link link;
-    private final ArrayDeque<PendingReply> owed = new ArrayDeque<>();
-    /** Read, and not handed on yet: an end may be right behind them. */
-    private final ArrayDeque<Asked> asked = new ArrayDeque<>();
-    private IoLoop.PendingTask stallWatch;
-    private IoLoop.PendingTask silence = () -> { };
-    /** When the last answer was written, at first when the connection came. */
-    private double quietSince;
-    /** When the command began that is not whole yet, and when its last part came. */
-    private double begunAt;
-    private double heardAt;
-    /** Bytes of buffers granted for the long value that comes. */
-    private long granted;
-    private boolean hasAsked;
+    private final ArrayDeque<PendingReply> pendingReplies = new ArrayDeque<>();
+    /** Queries read but not submitted yet: the client's close may directly follow them. */
+    private final ArrayDeque<ParsedQuery> parsedQueries = new ArrayDeque<>();
+    private IoLoop.PendingTask stallTimer;
+    private IoLoop.PendingTask silenceTimer = () -> { };
+    /** When the last reply was written; initially when the connection was accepted. */
+    private double lastReplyAt;
+    /** When the incomplete command began, and when its last part was read. */
+    private double commandStartedAt;
+    private double lastReadAt;
+    /** Buffer bytes granted for the large value being received. */
+    private long grantedBytes;
+    private boolean hasQueried;
     private int slot;
-    /** Commands wait to be read, since then; NaN where they do not. */
-    private double heldSince = Double.NaN;
-    /** Since when more waits than can be read ahead, of which nobody knows how old it is; NaN where it does not. */
-    private double blindSince = Double.NaN;
-    private IoLoop.PendingTask lookAgain = () -> { };
-    /** Queries are being handed on, some of which may be answered at once. */
-    private boolean handsOn;
-    /** How long the commands that are read now may have waited. */
+    /** Since when delivery of input is paused; NaN while it is not. */
+    private double pausedSince = Double.NaN;
+    /** Since when more input has been waiting than can be read ahead, so that its age is unknown; NaN while there is none. */
+    private double unreadInputSince = Double.NaN;
+    private IoLoop.PendingTask resumeTimer = () -> { };
+    /** Queries are being submitted; some may be answered synchronously. */
+    private boolean isSubmitting;
+    /** Upper bound in ms on how long the commands being read have waited. */
     private double waitedMs;
-    /** Nothing more is taken; the connection ends once what is owed is written. */
-    private boolean last;
+    /** No more commands are accepted; the connection closes once all pending replies are written. */
+    private boolean isClosing;
 
-    ClientConnection(IoLoop loop, StreamConnection connection, QueryHandler queries, ClientFrontend front) {
+    ClientConnection(IoLoop loop, StreamConnection connection, QueryHandler handler, ClientFrontend frontend) {
         this.loop = loop;
-        this.queries = queries;
-        this.front = front;
+        this.handler = handler;
+        this.frontend = frontend;
         reader = new RespReader(loop.pool(), LargeValueHandler.MAX_BYTES);
         link = loop.createLink(connection, this);
-        quietSince = loop.nowMs();
+        lastReplyAt = loop.nowMs();
     }
 
-    /** Begins to read; {@code slot} is its number at the front, and what it has written by now may have waited so long. */
-    void open(int slot, double mayHaveWaitedMs) {
+    /** Starts reading. {@code slot} is this connection's number in the frontend; input already received may have waited up to {@code maxWaitedMs}. */
+    void start(int slot, double maxWaitedMs) {
         this.slot = slot;
-        waitedMs = mayHaveWaitedMs;
+        waitedMs = maxWaitedMs;
         link.resume();
         link.readAvailable();
         waitedMs = 0;
-        watchForSilence();
+        scheduleSilenceCheck();
     }
 
-    /** Guards the descriptors against clients that say nothing, or half a command and no more. */
-    private void watchForSilence() {
+    /** Closes clients that send nothing or only part of a command, so that they do not use up the file descriptors. */
+    private void scheduleSilenceCheck() {
         if (!link.isClosed()) {
             double now = loop.nowMs();
-            silence = loop.scheduleAt(Math.min(Math.max(silentAt(), now + SILENT_MS / 10), now + IDLE_MS), () -> {
+            silenceTimer = loop.scheduleAt(Math.min(Math.max(silenceDeadline(), now + READ_TIMEOUT_MS / 10), now + IDLE_TIMEOUT_MS), () -> {
                 link.readAvailable();
-                if (!link.isClosed() && silentAt() <= loop.nowMs()) {
-                    closeSilent();
+                if (!link.isClosed() && silenceDeadline() <= loop.nowMs()) {
+                    closeForSilence();
                 }
-                watchForSilence();
+                scheduleSilenceCheck();
             });
         }
     }
 
-    private double silentAt() {
-        return isHeld() ? Double.POSITIVE_INFINITY // it is not the client that keeps us waiting
-                : !reader.isBetweenMessages() ? Math.min(heardAt + SILENT_MS, begunAt + LONGEST_COMMAND_MS)
-                : !owesNothing() ? Double.POSITIVE_INFINITY : quietSince + (hasAsked ? IDLE_MS : SILENT_MS);
+    private double silenceDeadline() {
+        return isPaused() ? Double.POSITIVE_INFINITY // paused by this proxy, not by the client
+                : !reader.isBetweenMessages() ? Math.min(lastReadAt + READ_TIMEOUT_MS, commandStartedAt + MAX_COMMAND_MS)
+                : !hasNothingPending() ? Double.POSITIVE_INFINITY : lastReplyAt + (hasQueried ? IDLE_TIMEOUT_MS : READ_TIMEOUT_MS);
     }
 
-    private void closeSilent() {
+    private void closeForSilence() {
         if (reader.isBetweenMessages()) {
             close();
         } else {
-            refuse("-ERR the command did not end in time");
+            failAndClose("-ERR the command did not end in time");
         }
     }
 
-    /** Takes nothing more; ends the connection once this and what else is owed is written. */
-    private void refuse(String line) {
-        takeNothingBehind();
+    /** Accepts no more commands, and closes the connection once this error and the other pending replies are written. */
+    private void failAndClose(String line) {
+        ignoreFurtherInput();
         reader.release();
-        oweOne().replyLine(line);
+        addReply().replyLine(line);
     }
 
-    /** What is read from here on is dropped. Where it goes on and on, the queries before it are answered all the same. */
-    private void takeNothingBehind() {
-        last = true;
-        loop.scheduleAt(loop.nowMs() + BUFFERS_AGAIN_MS, this::rejectAsked);
+    /** Drops all further input. If the input never ends, the queries read before are still rejected after a short delay. */
+    private void ignoreFurtherInput() {
+        isClosing = true;
+        loop.scheduleAt(loop.nowMs() + RECHECK_MS, this::rejectQueries);
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-        while (bytes.hasRemaining() && !last && !link.isClosed()) {
-            heardAt = loop.nowMs();
-            begunAt = reader.isBetweenMessages() ? heardAt : begunAt;
-            ParseStatus progress = reader.read(bytes);
-            if (progress == ParseStatus.MALFORMED) {
-                refuse("-ERR Protocol error");
-            } else if (progress == ParseStatus.DONE) {
-                command(reader.takeMessage());
-                giveGrantBack();
+        while (bytes.hasRemaining() && !isClosing && !link.isClosed()) {
+            lastReadAt = loop.nowMs();
+            commandStartedAt = reader.isBetweenMessages() ? lastReadAt : commandStartedAt;
+            ParseStatus parsed = reader.read(bytes);
+            if (parsed == ParseStatus.MALFORMED) {
+                failAndClose("-ERR Protocol error");
+            } else if (parsed == ParseStatus.DONE) {
+                handleCommand(reader.takeMessage());
+                releaseGrant();
             }
         }
         pauseIfFull();
     }
 
-    /** Guards the buffers against more long values than they can hold: who has no grant is not read. */
-    private boolean lacksGrant() {
-        if (granted == 0 && reader.bulkLeft() >= LargeValueHandler.MIN_BYTES) {
-            granted = front.grant(reader.bulkLeft());
-            begunAt = loop.nowMs();
-            heardAt = begunAt; // it is not the client that keeps us waiting
+    /**
+     * Tries to get a buffer grant for the large value being received, and returns whether one is needed and not available. Without a grant
+     * the connection is not read, so that large values cannot exhaust the buffers.
+     */
+    private boolean needsBufferGrant() {
+        if (grantedBytes == 0 && reader.bulkBytesLeft() >= LargeValueHandler.MIN_BYTES) {
+            grantedBytes = frontend.grantBuffers(reader.bulkBytesLeft());
+            commandStartedAt = loop.nowMs();
+            lastReadAt = commandStartedAt; // the wait for the grant does not count against the client
         }
-        return granted == 0 && reader.bulkLeft() >= LargeValueHandler.MIN_BYTES;
+        return grantedBytes == 0 && reader.bulkBytesLeft() >= LargeValueHandler.MIN_BYTES;
     }
 
-    private void giveGrantBack() {
-        front.giveBack(granted);
-        granted = 0;
+    private void releaseGrant() {
+        frontend.releaseBuffers(grantedBytes);
+        grantedBytes = 0;
     }
 
-    private PendingReply oweOne() {
-        PendingReply one = new PendingReply(this);
-        owed.add(one);
-        return one;
+    private PendingReply addReply() {
+        PendingReply pending = new PendingReply(this);
+        pendingReplies.add(pending);
+        return pending;
     }
 
-    private void command(RespMessage message) {
-        PendingReply one = oweOne();
+    private void handleCommand(RespMessage message) {
+        PendingReply pending = addReply();
         BufferChain first = message.type == '*' ? message.bulk(0) : null;
         String verb = first == null || first.size() > 16 ? "" : first.text().toUpperCase(Locale.ROOT);
         switch (verb) {
-            case "C.GET" -> query(message, 4, one);
-            case "C.SET" -> query(message, 5, one);
-            case "PING" -> one.replyLine(front.isOutOfService() ? "-ERR out of service" : "+PONG");
-            case "CLIENT", "SELECT" -> one.replyLine("+OK");
+            case "C.GET" -> parseQuery(message, 4, pending);
+            case "C.SET" -> parseQuery(message, 5, pending);
+            case "PING" -> pending.replyLine(frontend.isOutOfService() ? "-ERR out of service" : "+PONG");
+            case "CLIENT", "SELECT" -> pending.replyLine("+OK");
             case "QUIT" -> {
-                takeNothingBehind();
-                one.replyLine("+OK");
+                ignoreFurtherInput();
+                pending.replyLine("+OK");
             }
-            default -> one.replyLine("-ERR unknown command");
+            default -> pending.replyLine("-ERR unknown command");
         }
         message.release();
     }
 
-    private void query(RespMessage message, int parts, PendingReply one) {
+    private void parseQuery(RespMessage message, int parts, PendingReply pending) {
         String key = text(message, 1, 128);
         String id = text(message, 2, 128);
-        String facts = text(message, 3, LONGEST_FACTS);
+        String facts = text(message, 3, MAX_FACTS_LENGTH);
         if (message.bulks.size() != parts || message.bulk(parts - 1) == null) {
-            one.replyLine("-ERR wrong number of arguments");
+            pending.replyLine("-ERR wrong number of arguments");
         } else if (!NAME.matcher(key).matches() || !NAME.matcher(id).matches()) {
-            one.replyLine("-ERR malformed key or id");
+            pending.replyLine("-ERR malformed key or id");
         } else if (!FACTS.matcher(facts).matches()) {
-            one.replyLine("-ERR malformed list of names and values");
+            pending.replyLine("-ERR malformed list of names and values");
         } else {
             Command command = new Command(key, id, facts, parts == 5 ? message.takeBulk(4) : null);
-            if (!hasAsked) {
-                hasAsked = true;
-                front.asked();
+            if (!hasQueried) {
+                hasQueried = true;
+                frontend.firstQueryReceived();
             }
-            asked.add(new Asked(command, one));
+            parsedQueries.add(new ParsedQuery(command, pending));
         }
     }
 
-    /** Guards nodes against queries of a client that has closed behind them, as one that sends much at once and goes. */
+    /**
+     * Submits the queries only now that all input has been read: a client that sends many commands and closes must not cause executions at
+     * the nodes.
+     */
     @Override
     public void readComplete() {
-        handsOn = true;
+        isSubmitting = true;
         if (link.hasUnreadInput()) {
-            rejectAsked();
+            rejectQueries();
         } else {
-            takeAsked();
+            submitQueries();
         }
-        handsOn = false;
+        isSubmitting = false;
     }
 
-    private void takeAsked() {
-        double waited = Double.isNaN(blindSince) ? waitedMs : Math.max(waitedMs, loop.nowMs() - blindSince);
-        blindSince = Double.NaN;
-        while (!asked.isEmpty()) {
-            Asked next = asked.poll();
-            next.owed.belongsTo(queries.submit(next.command, next.owed, waited));
+    private void submitQueries() {
+        double waited = Double.isNaN(unreadInputSince) ? waitedMs : Math.max(waitedMs, loop.nowMs() - unreadInputSince);
+        unreadInputSince = Double.NaN;
+        while (!parsedQueries.isEmpty()) {
+            ParsedQuery next = parsedQueries.poll();
+            next.reply.setQuery(handler.submit(next.command, next.reply, waited));
         }
     }
 
-    /** Answers what is read and cannot be taken: an end may be behind it, or nothing more is taken. */
-    private void rejectAsked() {
-        while (!asked.isEmpty()) {
-            Asked next = asked.poll();
-            queries.reject(next.command, next.owed);
+    /** Rejects the queries that were read but cannot be submitted, because a close may follow them or no more commands are accepted. */
+    private void rejectQueries() {
+        while (!parsedQueries.isEmpty()) {
+            ParsedQuery next = parsedQueries.poll();
+            handler.reject(next.command, next.reply);
         }
     }
 
-    private static String text(RespMessage message, int at, int longest) {
+    private static String text(RespMessage message, int at, int maxLength) {
         BufferChain bulk = message.bulk(at);
-        return bulk == null || bulk.size() > longest ? "" : bulk.text();
+        return bulk == null || bulk.size() > maxLength ? "" : bulk.text();
     }
 
     boolean isClosed() {
         return link.isClosed();
     }
 
-    /** What is read ahead is owed an answer, too. */
-    boolean owesNothing() {
-        return owed.isEmpty() && link.out().size() == 0 && !link.hasUndeliveredInput();
+    /** Whether no reply is pending, unsent, or due for input that was read ahead. */
+    boolean hasNothingPending() {
+        return pendingReplies.isEmpty() && link.out().size() == 0 && !link.hasUndeliveredInput();
     }
 
     private boolean isIdle() {
-        return owesNothing() && reader.isBetweenMessages();
+        return hasNothingPending() && reader.isBetweenMessages();
     }
 
-    boolean hasAsked() {
-        return hasAsked;
+    boolean hasQueried() {
+        return hasQueried;
     }
 
-    boolean hasAskedAndIsIdle() {
-        return hasAsked && isIdle();
+    boolean hasQueriedAndIsIdle() {
+        return hasQueried && isIdle();
     }
 
-    /** Idle for so long that its client is not about to ask again. */
-    boolean hasSettled() {
-        return hasAskedAndIsIdle() && loop.nowMs() - quietSince > SETTLED_MS;
+    /** Whether the connection has been idle for so long that its client is unlikely to send another query soon. */
+    boolean isQuiescent() {
+        return hasQueriedAndIsIdle() && loop.nowMs() - lastReplyAt > QUIESCENT_MS;
     }
 
-    private int use() {
-        boolean isNew = !hasAsked && loop.nowMs() - quietSince < NEW_MS;
-        return isNew ? 3 : !isIdle() ? 2 : hasAsked ? 1 : 0;
+    /** Groups of {@link #BY_EVICTION_ORDER}: 0 is evicted first. */
+    private int evictionRank() {
+        boolean isNew = !hasQueried && loop.nowMs() - lastReplyAt < NEW_CLIENT_MS;
+        return isNew ? 3 : !isIdle() ? 2 : hasQueried ? 1 : 0;
     }
 
-    /** Ends the connection, where nothing is owed on it, for one that is more likely to be of use. */
-    void makeWay() {
+    /** Closes the connection, if nothing is pending on it, to make room for a new one. */
+    void closeToFreeSlot() {
         link.readAvailable();
-        if (!link.isClosed() && owesNothing()) {
+        if (!link.isClosed() && hasNothingPending()) {
             close();
         }
     }
 
-    /** Writes the answers whose turn has come. */
-    void flushAnswers() {
+    /** Writes the replies at the head of the queue that are available. */
+    void flushReplies() {
         if (link.isClosed()) {
             return;
         }
-        boolean any = false;
+        boolean wroteAny = false;
         long before = link.out().size();
         try {
-            while (!owed.isEmpty() && owed.peekFirst().isAnswered()) {
-                if (owed.peekFirst().isBroken()) { // the client can tell only by the end that this is not the whole value
+            while (!pendingReplies.isEmpty() && pendingReplies.peekFirst().isAnswered()) {
+                if (pendingReplies.peekFirst().isFailed()) { // closing is the only way to tell the client that the value is incomplete
                     close();
                     return;
                 }
-                if (!owed.peekFirst().writeTo(link.out())) {
+                if (!pendingReplies.peekFirst().writeTo(link.out())) {
                     break;
                 }
-                owed.pollFirst();
-                any = true;
+                pendingReplies.pollFirst();
+                wroteAny = true;
             }
-        } catch (RuntimeException e) { // half an answer cannot be followed by another
+        } catch (RuntimeException e) { // a partly written reply cannot be followed by another
             close();
             return;
         }
-        if (!any && link.out().size() > before) {
+        if (!wroteAny && link.out().size() > before) {
             link.flush();
-            watchForStall();
+            scheduleStallCheck();
         }
-        if (any) {
-            quietSince = loop.nowMs();
+        if (wroteAny) {
+            lastReplyAt = loop.nowMs();
             link.flush();
-            watchForStall();
-            if (hasAskedAndIsIdle()) {
-                front.fellIdle();
+            scheduleStallCheck();
+            if (hasQueriedAndIsIdle()) {
+                frontend.connectionIdle();
             }
         }
     }
 
-    /** Guards the buffers against a client that takes nothing of its answers any more. */
-    private void watchForStall() {
-        if (link.out().size() > 0 && stallWatch == null) {
+    /** Closes a client that has stopped reading its replies, to release their buffers. */
+    private void scheduleStallCheck() {
+        if (link.out().size() > 0 && stallTimer == null) {
             long before = link.bytesWritten();
-            stallWatch = loop.scheduleAt(loop.nowMs() + STALL_MS, () -> {
-                stallWatch = null;
+            stallTimer = loop.scheduleAt(loop.nowMs() + WRITE_STALL_MS, () -> {
+                stallTimer = null;
                 if (link.isClosed()) {
                     return;
                 }
                 if (link.bytesWritten() == before) {
                     close();
                 } else {
-                    watchForStall();
+                    scheduleStallCheck();
                 }
             });
         }
@@ -341,118 +354,118 @@
 
     @Override
     public void flushed() {
-        if (!owed.isEmpty() && owed.peekFirst().isAnswered()) {
-            flushAnswers(); // the next part of a long value
+        if (!pendingReplies.isEmpty() && pendingReplies.peekFirst().isAnswered()) {
+            flushReplies(); // the next part of a large value
         }
         if (link.isClosed()) {
             return;
         }
-        if (last && owed.isEmpty()) {
+        if (isClosing && pendingReplies.isEmpty()) {
             close();
-        } else if (front.closesIdle() && isIdle()) {
-            loop.scheduleAt(loop.nowMs(), this::closeIfIdle); // not now: bytes of this connection may be in hand
-        } else if (isHeld() && !isFull() && !handsOn) {
+        } else if (frontend.isClosingIdle() && isIdle()) {
+            loop.scheduleAt(loop.nowMs(), this::closeIfIdle); // deferred: bytes of this connection may be being processed
+        } else if (isPaused() && !isFull() && !isSubmitting) {
             resume();
-        } // else at the next look: each answer at once would read more, on one stack
+        } // else by the resume timer: resuming within submission would recurse for each synchronous reply
     }
 
     private boolean isFull() {
-        return owed.size() >= MOST_OWED || link.out().size() >= MOST_UNREAD || lacksGrant()
-                || granted == 0 && loop.pool().isScarce();
+        return pendingReplies.size() >= MAX_PENDING_REPLIES || link.out().size() >= MAX_UNSENT_BYTES || needsBufferGrant()
+                || grantedBytes == 0 && loop.pool().isScarce();
     }
 
-    private boolean isHeld() {
-        return !Double.isNaN(heldSince);
+    private boolean isPaused() {
+        return !Double.isNaN(pausedSince);
     }
 
-    /** Guards the buffers against a client that sends and does not read, or sends more than can be held. */
+    /** Pauses a client that sends without reading replies, or sends more than the buffers can hold. */
     private void pauseIfFull() {
-        if (!isHeld() && !link.isClosed() && isFull()) {
-            heldSince = loop.nowMs();
+        if (!isPaused() && !link.isClosed() && isFull()) {
+            pausedSince = loop.nowMs();
             link.pauseDelivery();
-            lookAgain = loop.scheduleAt(loop.nowMs() + BUFFERS_AGAIN_MS, this::resume);
+            resumeTimer = loop.scheduleAt(loop.nowMs() + RECHECK_MS, this::resume);
         }
     }
 
     private void resume() {
-        lookAgain.cancelTask(); // one at a time, however often it is held
-        if (!isHeld() || link.isClosed() || last) {
+        resumeTimer.cancelTask(); // at most one timer, however often the connection is paused
+        if (!isPaused() || link.isClosed() || isClosing) {
             return;
         }
         if (isFull()) {
-            lookAgain = loop.scheduleAt(loop.nowMs() + BUFFERS_AGAIN_MS, this::resume);
+            resumeTimer = loop.scheduleAt(loop.nowMs() + RECHECK_MS, this::resume);
             return;
         }
-        waitedMs = loop.nowMs() - heldSince;
-        if (link.hasUnreadInput() && Double.isNaN(blindSince)) {
-            blindSince = heldSince;
+        waitedMs = loop.nowMs() - pausedSince;
+        if (link.hasUnreadInput() && Double.isNaN(unreadInputSince)) {
+            unreadInputSince = pausedSince;
         }
-        heldSince = Double.NaN;
-        heardAt = loop.nowMs();
-        begunAt = heardAt;
+        pausedSince = Double.NaN;
+        lastReadAt = loop.nowMs();
+        commandStartedAt = lastReadAt;
         link.resume();
         waitedMs = 0;
     }
 
-    /** Whether its client is still there, as far as can be known now; not known where more waits than is read ahead. */
-    boolean isClientHere() {
+    /** Whether the client is known to be connected, after reading what has arrived; false if unread input may hide its close. */
+    boolean isClientConnected() {
         link.readAvailableNested();
         return !link.isClosed() && !link.hasUnreadInput();
     }
 
     @Override
     public void disconnected(String cause) {
-        gone();
+        cleanUp();
     }
 
-    /** Ends the connection if nothing has come on it and nothing is owed. */
+    /** Closes the connection if no input has arrived and no reply is pending. */
     void closeIfIdle() {
-        if (!link.isClosed() && !last) {
-            link.readAvailable(); // what is read now is answered; a close with it unread would lose it
+        if (!link.isClosed() && !isClosing) {
+            link.readAvailable(); // input read now is answered; closing with it unread would lose it
         }
         if (!link.isClosed() && isIdle()) {
             link.closeImmediately();
-            gone();
+            cleanUp();
         }
     }
 
-    /** Reads what has come, answers that, and reads no more; what is not read is reset, and asked elsewhere. */
-    void takeNoMore() {
-        if (last) {
+    /** Reads and answers what has arrived, then stops reading. Unread input is reset on close, so that the client retries elsewhere. */
+    void stopReading() {
+        if (isClosing) {
             return;
         }
         if (!link.isClosed()) {
             link.readAvailable();
         }
         if (!link.isClosed()) {
-            last = true;
+            isClosing = true;
             link.pauseReading();
-            rejectAsked();
-            if (!link.isClosed() && owesNothing()) { // half a command is not taken
+            rejectQueries();
+            if (!link.isClosed() && hasNothingPending()) { // an incomplete command is dropped
                 link.closeImmediately();
-                gone();
+                cleanUp();
             }
         }
     }
 
     void close() {
         link.close();
-        gone();
+        cleanUp();
     }
 
-    private void gone() {
-        silence.cancelTask();
+    private void cleanUp() {
+        silenceTimer.cancelTask();
         reader.release();
-        giveGrantBack();
-        asked.forEach(one -> one.command.release());
-        asked.clear();
-        for (PendingReply one : owed) {
+        releaseGrant();
+        parsedQueries.forEach(one -> one.command.release());
+        parsedQueries.clear();
+        for (PendingReply one : pendingReplies) {
             one.release();
             if (!one.isAnswered() && one.query() != null) {
-                queries.clientLeft(one.query());
+                handler.clientLeft(one.query());
             }
         }
-        owed.clear();
-        front.closed(slot, hasAsked);
+        pendingReplies.clear();
+        frontend.connectionClosed(slot, hasQueried);
     }
 }
--- a/src/main/java/dappleseam/clients/ClientFrontend.java
+++ b/src/main/java/dappleseam/clients/ClientFrontend.java
@@ -11,246 +11,255 @@
 import org.xnio.XnioWorker;
 import org.xnio.nio.ReusePortListener;
 
-/** Where clients connect. */
+/** Accepts client connections, limits their number and their buffers, and closes them on shutdown or when out of service. */
 public final class ClientFrontend {
     private static final Logger LOG = System.getLogger(ClientFrontend.class.getName());
     private static final int BACKLOG = 512;
-    /** Share of the buffers for long values on their way in. */
-    private static final double SHARE_FOR_LONG = 0.3;
-    /** Connections kept free, where nothing is owed on some, for those that come next. */
-    private static final int KEPT_FREE = 8;
-    /** Share of the clients' own limit that those with nothing owed may take; the rest is for a burst. */
+    /** Share of the buffers for large values being received from clients. */
+    private static final double LARGE_VALUE_SHARE = 0.3;
+    /** Connections kept free for new clients, by evicting clients with no pending reply. */
+    private static final int RESERVED_CONNECTIONS = 8;
+    /** Share of the clients' own connection limit that idle clients may use; the rest is left for a burst. */
     private static final double IDLE_SHARE = 0.75;
-    /** Time in ms between looks at who is idle while they have more: a few clients connect in that time. */
-    private static final double LOOK_AGAIN_MS = 50;
-    /** Back-off in ms after a failed accept, first and most: short beside the shortest deadline, long beside a call that fails at once. */
-    private static final double ACCEPT_AGAIN_MS = 2;
-    private static final double ACCEPT_AGAIN_MOST_MS = 20;
-    /** Least time in ms between two lines of the log about it. */
-    private static final double LOGS_APART_MS = 1000;
-    /** Time in ms for which clients go on being sent here once a PING is answered no. */
-    private static final double SENT_MORE_MS = 400;
+    /** Interval in ms of the checks for idle clients while they exceed that share; only a few clients connect in that time. */
+    private static final double RECHECK_MS = 50;
+    /**
+     * Initial and maximum back-off in ms after a failed accept: short compared with the shortest deadline, long compared with a call that fails
+     * immediately.
+     */
+    private static final double ACCEPT_BACKOFF_MS = 2;
+    private static final double MAX_ACCEPT_BACKOFF_MS = 20;
+    /** Minimum interval in ms between two log lines about failed accepts. */
+    private static final double LOG_INTERVAL_MS = 1000;
+    /** Time in ms for which load balancers may still send clients here after a PING was answered with an error. */
+    private static final double OUT_OF_SERVICE_GRACE_MS = 400;
 
-    /** Time in ms after that from which nothing more is read of clients that have asked: one that is never idle would stay for good. */
-    private static final double LAST_READ_MS = 1000;
+    /**
+     * Time in ms after that grace period from which clients that have sent queries are not read any more: one that is never idle would stay
+     * forever.
+     */
+    private static final double STOP_READING_AFTER_MS = 1000;
 
     private final IoLoop loop;
-    private final QueryHandler queries;
-    private int most;
-    private final int roomToAsk;
-    private int asking;
-    private boolean makingRoom;
-    /** Bytes of buffers that long values may take which have begun to come. */
-    private long granted;
+    private final QueryHandler handler;
+    private int maxConnections;
+    private final int maxQueryingClients;
+    private int queryingClients;
+    private boolean trimScheduled;
+    /** Buffer bytes granted to large values that are being received. */
+    private long grantedBytes;
     private final Slots<ClientConnection> connections = new Slots<>();
-    private ReusePortListener port;
+    private ReusePortListener listener;
     private boolean isStopping;
-    /** Since when connections may wait to be accepted; NaN where none does. */
+    /** Since when connections may be waiting in the accept backlog; NaN if there are none. */
     private double backlogSince = Double.NaN;
-    private double acceptAgainMs = ACCEPT_AGAIN_MS;
+    private double acceptBackoffMs = ACCEPT_BACKOFF_MS;
     private double acceptLoggedAt = Double.NEGATIVE_INFINITY;
     private boolean isOutOfService;
-    /** When clients are to be closed as they fall idle. */
-    private double closesFrom = Double.POSITIVE_INFINITY;
+    /** From when clients are closed as soon as they are idle. */
+    private double closeIdleFrom = Double.POSITIVE_INFINITY;
 
-    /** Takes {@code most} connections at once, more wait to be accepted; clients open {@code mostAsking} for queries. */
-    public ClientFrontend(IoLoop loop, QueryHandler queries, int most, int mostAsking) {
+    /**
+     * Keeps up to {@code maxConnections} connections open, more wait in the backlog. {@code queryConnections} is the maximum number of
+     * connections that clients open for queries.
+     */
+    public ClientFrontend(IoLoop loop, QueryHandler handler, int maxConnections, int queryConnections) {
         this.loop = loop;
-        this.queries = queries;
-        this.most = most;
-        roomToAsk = (int) (IDLE_SHARE * mostAsking);
+        this.handler = handler;
+        this.maxConnections = maxConnections;
+        maxQueryingClients = (int) (IDLE_SHARE * queryConnections);
     }
 
-    /** Takes so many connections at once from now on; those it has beyond that stay. */
-    public void setMaxConnections(int newMost) {
-        most = newMost;
+    /** Changes the connection limit; open connections beyond it stay open. */
+    public void setMaxConnections(int newMaximum) {
+        maxConnections = newMaximum;
         if (isListening() && !isStopping) {
-            port.setMaxConnections(newMost);
+            listener.setMaxConnections(newMaximum);
         }
     }
 
     public boolean isListening() {
-        return port != null && port.isOpen();
+        return listener != null && listener.isOpen();
     }
 
     public void listen(XnioWorker worker, InetSocketAddress address) throws IOException {
-        port = ReusePortListener.open(worker, address, BACKLOG, most, this::acceptWaiting);
+        listener = ReusePortListener.open(worker, address, BACKLOG, maxConnections, this::acceptPending);
     }
 
-    /** Takes all connections that wait. Where accept fails, which passes, they go on waiting and it is tried again soon. */
-    private void acceptWaiting() {
+    /** Accepts all waiting connections. If accept fails, which is transient, they stay in the backlog and it is retried soon. */
+    private void acceptPending() {
         try {
-            for (StreamConnection next = port.accept(); next != null; next = port.accept()) {
+            for (StreamConnection next = listener.accept(); next != null; next = listener.accept()) {
                 addClient(next, backlogAgeMs());
             }
         } catch (IOException e) {
-            acceptLater(e);
+            retryAccept(e);
             return;
         }
-        acceptAgainMs = ACCEPT_AGAIN_MS;
-        if (port.isAtLimit()) {
-            backlogWaits();
+        acceptBackoffMs = ACCEPT_BACKOFF_MS;
+        if (listener.isAtLimit()) {
+            markBacklog();
         } else {
             backlogSince = Double.NaN;
             if (isStopping) {
-                port.close();
+                listener.close();
             }
         }
     }
 
-    private void acceptLater(IOException cause) {
-        backlogWaits();
-        if (loop.nowMs() >= acceptLoggedAt + LOGS_APART_MS) {
+    private void retryAccept(IOException cause) {
+        markBacklog();
+        if (loop.nowMs() >= acceptLoggedAt + LOG_INTERVAL_MS) {
             acceptLoggedAt = loop.nowMs();
             LOG.log(Level.WARNING, "accepting a client failed: {0}", cause.getMessage());
         }
-        port.suspendAccepts(); // else the thread would spin on it
-        loop.scheduleAt(loop.nowMs() + acceptAgainMs, () -> {
-            if (port.isOpen()) {
-                port.resumeAccepts();
-                acceptWaiting();
+        listener.suspendAccepts(); // otherwise the thread would spin on it
+        loop.scheduleAt(loop.nowMs() + acceptBackoffMs, () -> {
+            if (listener.isOpen()) {
+                listener.resumeAccepts();
+                acceptPending();
             }
         });
-        acceptAgainMs = Math.min(ACCEPT_AGAIN_MOST_MS, 2 * acceptAgainMs);
+        acceptBackoffMs = Math.min(MAX_ACCEPT_BACKOFF_MS, 2 * acceptBackoffMs);
     }
 
-    /** Connections may wait to be accepted from now on. */
-    private void backlogWaits() {
+    /** Notes that connections may be waiting in the backlog from now on. */
+    private void markBacklog() {
         if (Double.isNaN(backlogSince)) {
             backlogSince = loop.nowMs();
         }
     }
 
-    /** For how long a connection that is accepted now may have waited, with a query written to it. */
+    /** How long a connection accepted now may have waited in the backlog, with a query already sent on it. */
     private double backlogAgeMs() {
         return Double.isNaN(backlogSince) ? 0 : loop.nowMs() - backlogSince;
     }
 
-    /** A client has connected. */
+    /** Adds a newly accepted client connection. */
     public void addClient(StreamConnection connection) {
         addClient(connection, 0);
     }
 
     private void addClient(StreamConnection connection, double waitedMs) {
-        if (connections.isFull(most)) {
+        if (connections.isFull(maxConnections)) {
             IoUtils.safeClose(connection);
             return;
         }
-        makeRoom();
-        ClientConnection client = new ClientConnection(loop, connection, queries, this);
-        client.open(connections.put(client), waitedMs);
+        evictIfNearlyFull();
+        ClientConnection client = new ClientConnection(loop, connection, handler, this);
+        client.start(connections.put(client), waitedMs);
     }
 
-    /** Guards honest clients against hundreds that connect and say nothing. */
-    private void makeRoom() {
-        if (connections.used() >= most - KEPT_FREE) {
-            connections.all().stream().filter(ClientConnection::owesNothing).min(ClientConnection.BY_USE)
-                    .ifPresent(ClientConnection::makeWay);
+    /** Evicts a client when nearly all connections are in use, so that hundreds of silent clients do not lock out the others. */
+    private void evictIfNearlyFull() {
+        if (connections.used() >= maxConnections - RESERVED_CONNECTIONS) {
+            connections.all().stream().filter(ClientConnection::hasNothingPending).min(ClientConnection.BY_EVICTION_ORDER)
+                    .ifPresent(ClientConnection::closeToFreeSlot);
         }
     }
 
-    /** Room for a long value of so many bytes: the same again, or 0 while there is none. */
-    long grant(long bytes) {
-        long room = (long) (SHARE_FOR_LONG * loop.pool().totalBytes()) - granted;
-        boolean onlyOne = granted == 0 && loop.pool().free() >= bytes;
-        if (bytes > room && !onlyOne || loop.pool().free() - granted < bytes) {
+    /** Grants buffers for a large value: returns {@code bytes}, or 0 if they are not available now. */
+    long grantBuffers(long bytes) {
+        long room = (long) (LARGE_VALUE_SHARE * loop.pool().totalBytes()) - grantedBytes;
+        boolean onlyOne = grantedBytes == 0 && loop.pool().availableBytes() >= bytes;
+        if (bytes > room && !onlyOne || loop.pool().availableBytes() - grantedBytes < bytes) {
             return 0;
         }
-        granted += bytes;
+        grantedBytes += bytes;
         return bytes;
     }
 
-    void giveBack(long bytes) {
-        granted -= bytes;
+    void releaseBuffers(long bytes) {
+        grantedBytes -= bytes;
     }
 
-    /** A client has sent its first query. */
-    void asked() {
-        asking++;
+    /** Called when a client has sent its first query. */
+    void firstQueryReceived() {
+        queryingClients++;
     }
 
-    void closed(int slot, boolean hadAsked) {
-        asking -= hadAsked && connections.get(slot) != null ? 1 : 0;
+    void connectionClosed(int slot, boolean hadQueried) {
+        queryingClients -= hadQueried && connections.get(slot) != null ? 1 : 0;
         connections.free(slot);
     }
 
     /**
-     * A client is owed nothing any more. Guards clients against those that ask once and keep their connection:
-     * they hold so many at most, and with all of them idle here no other could be opened. Those that ask again and
-     * again are left alone: what is closed under load only has to be accepted again.
+     * Called when a client has no pending reply any more. Clients share a limited number of connections; if all of them sat idle here after
+     * one query, no other could be opened, so the excess of idle ones is closed. Clients that send queries continuously are left alone:
+     * closing them under load would only mean accepting them again.
      */
-    void fellIdle() {
-        if (asking > roomToAsk && !makingRoom) {
-            makingRoom = true;
-            loop.scheduleAt(loop.nowMs() + LOOK_AGAIN_MS, () -> {
-                makingRoom = false;
-                connections.all().stream().filter(ClientConnection::hasSettled)
-                        .sorted(ClientConnection.BY_USE).limit(Math.max(0, asking - roomToAsk))
+    void connectionIdle() {
+        if (queryingClients > maxQueryingClients && !trimScheduled) {
+            trimScheduled = true;
+            loop.scheduleAt(loop.nowMs() + RECHECK_MS, () -> {
+                trimScheduled = false;
+                connections.all().stream().filter(ClientConnection::isQuiescent)
+                        .sorted(ClientConnection.BY_EVICTION_ORDER).limit(Math.max(0, queryingClients - maxQueryingClients))
                         .forEach(ClientConnection::closeIfIdle);
-                fellIdle();
+                connectionIdle();
             });
         }
     }
 
     public InetSocketAddress address() throws IOException {
-        return port.address();
+        return listener.address();
     }
 
-    /** Accepts no more, and closes clients as they fall idle: another process takes them. */
+    /** Hands the clients over to another process: stops accepting, and closes each client as soon as it is idle. */
     public void handOver() {
         stopListening();
-        closesFrom = loop.nowMs();
+        closeIdleFrom = loop.nowMs();
     }
 
-    /** Accepts no more, but for what has connected already: what is queued at a listener that closes is reset. */
+    /** Stops listening after accepting what is already in the backlog, which closing the listener would reset. */
     public void stopListening() {
         isStopping = true;
-        port.setMaxConnections(Integer.MAX_VALUE);
-        acceptWaiting();
+        listener.setMaxConnections(Integer.MAX_VALUE);
+        acceptPending();
     }
 
-    /** Sends clients away from now on: a PING is answered no, and connections close as they fall idle. */
+    /** Goes out of service: answers PING with an error and, after a grace period, closes connections as they become idle. */
     public void takeOutOfService() {
         if (!isOutOfService) {
             isOutOfService = true;
-            closesFrom = loop.nowMs() + SENT_MORE_MS;
-            loop.scheduleAt(closesFrom, this::closeIdleWhileAway);
+            closeIdleFrom = loop.nowMs() + OUT_OF_SERVICE_GRACE_MS;
+            loop.scheduleAt(closeIdleFrom, this::closeIdleWhileOutOfService);
         }
     }
 
-    /** Takes clients again. */
+    /** Returns to service. */
     public void returnToService() {
         isOutOfService = false;
-        closesFrom = Double.POSITIVE_INFINITY;
+        closeIdleFrom = Double.POSITIVE_INFINITY;
     }
 
     public boolean isOutOfService() {
         return isOutOfService;
     }
 
-    /** Whether a client is closed as soon as nothing is owed to it. */
-    boolean closesIdle() {
-        return loop.nowMs() >= closesFrom;
+    /** Whether clients are closed as soon as they are idle. */
+    boolean isClosingIdle() {
+        return loop.nowMs() >= closeIdleFrom;
     }
 
-    private void closeIdleWhileAway() {
-        if (closesIdle()) {
+    private void closeIdleWhileOutOfService() {
+        if (isClosingIdle()) {
             closeIdle();
-            if (loop.nowMs() >= closesFrom + LAST_READ_MS) {
-                connections.all().stream().filter(ClientConnection::hasAsked).forEach(ClientConnection::takeNoMore);
+            if (loop.nowMs() >= closeIdleFrom + STOP_READING_AFTER_MS) {
+                connections.all().stream().filter(ClientConnection::hasQueried).forEach(ClientConnection::stopReading);
             }
-            loop.scheduleAt(loop.nowMs() + LOOK_AGAIN_MS, this::closeIdleWhileAway);
+            loop.scheduleAt(loop.nowMs() + RECHECK_MS, this::closeIdleWhileOutOfService);
         }
     }
 
-    /** Ends the connections on which nothing is owed. */
+    /** Closes all idle connections. */
     public void closeIdle() {
         connections.all().forEach(ClientConnection::closeIfIdle);
     }
 
-    /** From now on no query is taken of any client; what is owed is still written. */
+    /** Stops reading from all clients; pending replies are still written. */
     public void stopReading() {
-        connections.all().forEach(ClientConnection::takeNoMore);
+        connections.all().forEach(ClientConnection::stopReading);
     }
 
     public boolean hasClients() {
--- a/src/main/java/dappleseam/clients/PendingReply.java
+++ b/src/main/java/dappleseam/clients/PendingReply.java
@@ -5,25 +5,25 @@
 import dappleseam.wire.BufferChain;
 import dappleseam.wire.RespWriter;
 
-/** The answer that one command is owed; it goes out once those before it on the connection have. */
+/** The pending reply to one command. It is written once all earlier replies on the connection have been written. */
 public final class PendingReply {
-    /** Bytes of a long value put out at once; the next when the client has taken them. */
-    private static final int MOST_PUT_OUT = 64 << 10;
+    /** Maximum bytes of a large value in the output queue; more is added when the client has taken them. */
+    private static final int MAX_QUEUED_BYTES = 64 << 10;
 
     private final ClientConnection connection;
-    /** One of the three, once the answer is there. */
+    /** Exactly one of these three is set once the reply is available. */
     private BufferChain replyValue;
     private String replyLine;
     private Transfer transfer;
-    private boolean headWritten;
-    /** Null for a command that is no query. */
+    private boolean headerWritten;
+    /** Null for a command other than a query. */
     private QueryId query;
 
     PendingReply(ClientConnection connection) {
         this.connection = connection;
     }
 
-    void belongsTo(QueryId id) {
+    void setQuery(QueryId id) {
         query = id;
     }
 
@@ -35,55 +35,55 @@
         return replyValue != null || replyLine != null || transfer != null;
     }
 
-    /** Answers with the value, and takes it over. */
-    public void replyValue(BufferChain whole) {
+    /** Replies with a value, and takes ownership of it. */
+    public void replyValue(BufferChain completeValue) {
         if (isAnswered() || connection.isClosed()) {
-            whole.release();
+            completeValue.release();
             return;
         }
-        replyValue = whole;
-        connection.flushAnswers();
+        replyValue = completeValue;
+        connection.flushReplies();
     }
 
-    /** Answers with a long value as it comes. */
-    public void replyTransfer(Transfer onItsWay) {
+    /** Replies with a large value that is still being received; it is streamed to the client. */
+    public void replyTransfer(Transfer arriving) {
         if (isAnswered() || connection.isClosed()) {
-            onItsWay.abandon();
+            arriving.abandon();
             return;
         }
-        transfer = onItsWay;
-        connection.flushAnswers();
+        transfer = arriving;
+        connection.flushReplies();
     }
 
-    /** There is more of the long value that it is answered with. */
+    /** Called when more of the streamed value is available, or it has ended. */
     public void transferAdvanced() {
         if (!connection.isClosed()) {
-            connection.flushAnswers();
+            connection.flushReplies();
         }
     }
 
-    /** Whether its client is still there: asked just before something more is done for it. */
+    /** Whether the client is still connected; checked just before more work is done for it. */
     public boolean isClientConnected() {
-        return connection.isClientHere();
+        return connection.isClientConnected();
     }
 
-    /** Trying again is harmless, after so many ms where that is over 0. */
-    public void replyBusy(double comeBackMs) {
-        replyLine(comeBackMs > 0 ? "-BUSY " + (long) Math.ceil(comeBackMs) : "-BUSY");
+    /** Replies BUSY: the query had no effect and may be retried, after {@code retryAfterMs} if that is over 0. */
+    public void replyBusy(double retryAfterMs) {
+        replyLine(retryAfterMs > 0 ? "-BUSY " + (long) Math.ceil(retryAfterMs) : "-BUSY");
     }
 
-    /** An answer of one line, with its sign in front. */
-    public void replyLine(String signed) {
+    /** Replies with a single line that starts with its RESP type character. */
+    public void replyLine(String typedLine) {
         if (!isAnswered() && !connection.isClosed()) {
-            replyLine = signed;
-            connection.flushAnswers();
+            replyLine = typedLine;
+            connection.flushReplies();
         }
     }
 
-    /** Puts out what there is, within bounds; says whether that was all of it. */
+    /** Writes what is available, up to the queue limit; returns whether the reply is complete. */
     boolean writeTo(BufferChain out) {
         if (transfer != null) {
-            return writePartTo(out);
+            return writeTransferTo(out);
         }
         if (replyLine != null) {
             RespWriter.line(out, replyLine);
@@ -93,12 +93,12 @@
         return true;
     }
 
-    private boolean writePartTo(BufferChain out) {
-        if (!headWritten) {
-            headWritten = true;
+    private boolean writeTransferTo(BufferChain out) {
+        if (!headerWritten) {
+            headerWritten = true;
             out.put("$" + transfer.length + "\r\n");
         }
-        transfer.moveTo(out, Math.max(0, MOST_PUT_OUT - out.size()));
+        transfer.moveTo(out, Math.max(0, MAX_QUEUED_BYTES - out.size()));
         if (!transfer.isDone()) {
             return false;
         }
@@ -107,8 +107,8 @@
         return true;
     }
 
-    /** What has gone out of a long value cannot be followed by the rest. */
-    boolean isBroken() {
+    /** Whether a streamed value failed part-way, so that the rest cannot follow. */
+    boolean isFailed() {
         return transfer != null && transfer.isFailed();
     }
 
--- a/src/main/java/dappleseam/origin/Origin.java
+++ b/src/main/java/dappleseam/origin/Origin.java
@@ -3,59 +3,59 @@
 import dappleseam.query.Backend;
 import dappleseam.query.Command;
 import dappleseam.query.ConnectionPolicy;
-import dappleseam.query.ExecutionResult;
 import dappleseam.query.Execution;
+import dappleseam.query.ExecutionResult;
 import dappleseam.query.LargeValueReceiver;
-import dappleseam.query.WriteProgress;
 import dappleseam.query.Slots;
+import dappleseam.query.WriteProgress;
 import dappleseam.router.Outcome;
 import dappleseam.wire.BufferChain;
 import dappleseam.wire.HttpResponseReader;
+import dappleseam.wire.IoLoop;
 import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.IoLoop;
 import dappleseam.wire.ParseStatus;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import org.xnio.StreamConnection;
 
-/** The origin, over HTTP/1.1: one exchange at a time on each connection. */
+/** The origin server, over HTTP/1.1 with one exchange at a time on each connection. */
 public final class Origin implements Backend {
-    /** Bytes of a long value put out at once; the next when the origin has taken them. */
-    private static final int MOST_PUT_OUT = 64 << 10;
+    /** Maximum bytes of a value in the output queue; more is added when the origin has taken them. */
+    private static final int MAX_QUEUED_BYTES = 64 << 10;
 
     private final IoLoop loop;
     private final InetSocketAddress endpoint;
-    private ConnectionPolicy limits;
-    private final Slots<Connection> open = new Slots<>();
+    private ConnectionPolicy policy;
+    private final Slots<Connection> connections = new Slots<>();
     private boolean retired;
 
-    public Origin(IoLoop loop, InetSocketAddress endpoint, ConnectionPolicy limits) {
+    public Origin(IoLoop loop, InetSocketAddress endpoint, ConnectionPolicy policy) {
         this.loop = loop;
         this.endpoint = endpoint;
-        this.limits = limits;
+        this.policy = policy;
     }
 
     @Override
     public void begin(Execution execution) {
-        for (Connection c : open.all()) { // always the first that is free, so that the last ones fall idle
-            if (c.current == null && c.isClean()) {
+        for (Connection c : connections.all()) { // always the first free one, so that the last ones become idle and are closed
+            if (c.current == null && c.isReusable()) {
                 c.send(execution);
                 return;
             }
         }
         Connection c = new Connection(execution);
-        c.dialling = loop.connect(endpoint, limits.connectTimeoutMs(), c::up, c::failed);
+        c.connectAttempt = loop.connect(endpoint, policy.connectTimeoutMs(), c::connected, c::connectFailed);
     }
 
     @Override
     public WriteProgress stopWaiting(Execution execution) {
-        for (Connection c : open.all()) {
+        for (Connection c : connections.all()) {
             if (c.current == execution) {
-                WriteProgress reached = c.reached();
+                WriteProgress writeProgress = c.writeProgress();
                 c.current = null;
                 c.close();
-                return reached;
+                return writeProgress;
             }
         }
         return WriteProgress.INCOMPLETE;
@@ -63,8 +63,8 @@
 
     @Override
     public boolean cancelUnsent(Execution execution) {
-        for (Connection c : open.all()) {
-            if (c.current == execution && c.reached() == WriteProgress.INCOMPLETE) {
+        for (Connection c : connections.all()) {
+            if (c.current == execution && c.writeProgress() == WriteProgress.INCOMPLETE) {
                 c.current = null;
                 c.close();
                 return true;
@@ -74,13 +74,13 @@
     }
 
     @Override
-    public void setPolicy(ConnectionPolicy newLimits) {
-        limits = newLimits;
+    public void setPolicy(ConnectionPolicy newPolicy) {
+        policy = newPolicy;
     }
 
     @Override
     public void closeIdle() {
-        for (Connection c : open.all()) {
+        for (Connection c : connections.all()) {
             if (c.current == null) {
                 c.close();
             }
@@ -89,10 +89,10 @@
 
     @Override
     public void failWaiting() {
-        for (Connection c : open.all()) {
-            if (c.link == null || c.current != null && c.link.bytesWritten() <= c.beginsAt) {
+        for (Connection c : connections.all()) {
+            if (c.link == null || c.current != null && c.link.bytesWritten() <= c.startOffset) {
                 c.close();
-                c.end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, "the origin drains or is gone"));
+                c.end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, "the origin is draining or gone"));
             }
         }
     }
@@ -105,93 +105,93 @@
     }
 
     private final class Connection implements LargeValueReceiver.Connection {
-        private final LargeValueReceiver inflow = new LargeValueReceiver(loop, this);
-        private final HttpResponseReader reader = new HttpResponseReader(loop.pool(), LargeValueHandler.MAX_BYTES, inflow);
-        /** Bytes put out of the value that goes out. */
-        private long put;
-        private IoLoop.PendingTask dialling = () -> { };
-        private IoLoop.PendingTask closing = () -> { };
-        private final int slot = open.put(this);
+        private final LargeValueReceiver largeValues = new LargeValueReceiver(loop, this);
+        private final HttpResponseReader reader = new HttpResponseReader(loop.pool(), LargeValueHandler.MAX_BYTES, largeValues);
+        /** Bytes already queued of the value being sent. */
+        private long valueBytesQueued;
+        private IoLoop.PendingTask connectAttempt = () -> { };
+        private IoLoop.PendingTask closeTimer = () -> { };
+        private final int slot = connections.put(this);
         private Link link;
         private Execution current;
         private double idleSince;
-        /** How long it had been idle when the query went out that has no answer yet; under 0 for the first. */
-        private double idleMs = -1;
-        /** Bytes of the connection before the query that goes out, and with it. */
-        private long beginsAt;
-        private long endsAt;
+        /** How long the connection had been idle before the unanswered request; below 0 for the first request. */
+        private double idleBeforeReuseMs = -1;
+        /** Byte range of the current request in the connection's output; the end is {@link Long#MAX_VALUE} until all of it is queued. */
+        private long startOffset;
+        private long endOffset;
 
         Connection(Execution first) {
             current = first;
         }
 
-        private void up(StreamConnection connection) {
+        private void connected(StreamConnection connection) {
             link = loop.createLink(connection, this);
             link.resume();
             if (current.mayBegin()) {
                 send(current);
-            } else if (!link.isClosed()) { // its client may have left while the connection came up
+            } else if (!link.isClosed()) { // its client may have disconnected while the connection was opening
                 current = null;
                 if (retired) {
                     close();
                 } else {
-                    rest();
+                    becomeIdle();
                 }
             }
         }
 
-        /** Stands idle for the next query, or until the origin would close it. */
-        private void rest() {
+        /** Waits for the next request, and is closed shortly before the origin would close it. */
+        private void becomeIdle() {
             idleSince = loop.nowMs();
-            closing = loop.scheduleAt(loop.nowMs() + limits.idleTimeoutMs(), this::close);
+            closeTimer = loop.scheduleAt(loop.nowMs() + policy.idleTimeoutMs(), this::close);
         }
 
-        private void failed(String cause) {
-            open.free(slot);
+        private void connectFailed(String cause) {
+            connections.free(slot);
             end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
         }
 
         void send(Execution e) {
-            closing.cancelTask();
+            closeTimer.cancelTask();
             current = e;
-            beginsAt = link.bytesQueued();
-            endsAt = Long.MAX_VALUE;
+            startOffset = link.bytesQueued();
+            endOffset = Long.MAX_VALUE;
             try {
                 write(e, Math.max(1, Math.round(e.deadlineMs - loop.nowMs())), link.out());
-                put = 0;
-                putValue();
-            } catch (RuntimeException fault) { // half a head must not be followed by another
-                disconnected("fault: " + fault);
+                valueBytesQueued = 0;
+                queueValue();
+            } catch (RuntimeException fault) { // a partly written request must not be followed by another
+                disconnected("internal error: " + fault);
                 return;
             }
             link.flush();
         }
 
-        /** The next part of the value; the query holds the one copy of it. */
-        private void putValue() {
+        /** Queues the next part of the value; the query keeps the only full copy of it. */
+        private void queueValue() {
             BufferChain value = current.command.value();
-            put += value == null ? 0 : link.out().copyRange(value, put, MOST_PUT_OUT);
-            if (value == null || put == value.size()) {
-                endsAt = link.bytesQueued();
+            valueBytesQueued += value == null ? 0 : link.out().copyRange(value, valueBytesQueued, MAX_QUEUED_BYTES);
+            if (value == null || valueBytesQueued == value.size()) {
+                endOffset = link.bytesQueued();
             }
         }
 
-        private static void write(Execution e, long waitMs, BufferChain to) {
+        private static void write(Execution e, long timeoutMs, BufferChain to) {
             Command command = e.command;
             to.put((command.isWrite() ? "PUT /" : "GET /") + command.key() + " HTTP/1.1\r\nHost: origin\r\n"
-                    + "X-Correlation-Id: " + command.id() + "\r\nX-Facts: " + command.factsWithTimeout(waitMs) + "\r\n"
+                    + "X-Correlation-Id: " + command.id() + "\r\nX-Facts: " + command.factsWithTimeout(timeoutMs) + "\r\n"
                     + (command.isWrite() ? "Content-Length: " + command.value().size() + "\r\n\r\n" : "\r\n"));
         }
 
         @Override
         public void flushed() {
-            if (current != null && reached() == WriteProgress.COMPLETE) {
+            if (current != null && writeProgress() == WriteProgress.COMPLETE) {
                 current.written();
-            } else if (current != null && endsAt == Long.MAX_VALUE) {
+            } else if (current != null && endOffset == Long.MAX_VALUE) {
                 try {
-                    putValue();
-                } catch (RuntimeException fault) { // what has gone out is less than it was said to be
-                    disconnected("fault: " + fault);
+                    queueValue();
+                } catch (RuntimeException fault) { // less was sent than Content-Length announced
+                    disconnected("internal error: " + fault);
                     return;
                 }
                 link.flush();
@@ -214,47 +214,47 @@
             close();
         }
 
-        WriteProgress reached() {
-            return link != null && link.bytesWritten() >= endsAt ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
+        WriteProgress writeProgress() {
+            return link != null && link.bytesWritten() >= endOffset ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
         }
 
         @Override
         public void received(ByteBuffer bytes) {
-            ParseStatus progress = reader.read(bytes);
-            if (progress == ParseStatus.MALFORMED || current == null) {
-                boolean whole = reached() == WriteProgress.COMPLETE;
+            ParseStatus parsed = reader.read(bytes);
+            if (parsed == ParseStatus.MALFORMED || current == null) {
+                boolean complete = writeProgress() == WriteProgress.COMPLETE;
                 close();
-                end(whole ? ExecutionResult.erred("not an answer in HTTP")
-                        : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, "an answer ahead of its query"));
-            } else if (progress == ParseStatus.DONE) {
-                answered(!bytes.hasRemaining());
+                end(complete ? ExecutionResult.erred("malformed HTTP response")
+                        : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, "a response before the request was sent"));
+            } else if (parsed == ParseStatus.DONE) {
+                handleResponse(!bytes.hasRemaining());
             }
         }
 
-        /** Guards the next query against what came behind the last answer, or an end nobody has read yet. */
-        boolean isClean() {
-            idleMs = loop.nowMs() - idleSince;
-            if (link.hasNoInput() && limits.reuseStats().mayReuse(idleMs)) {
+        /** Whether an idle connection can be reused; closes it if input or a close has arrived since the last response. */
+        boolean isReusable() {
+            idleBeforeReuseMs = loop.nowMs() - idleSince;
+            if (link.hasNoInput() && policy.reuseStats().mayReuse(idleBeforeReuseMs)) {
                 return true;
             }
             close();
             return false;
         }
 
-        /** Where the answer is not {@code clean}, more came than belongs to it: it counts, the connection ends. */
-        private void answered(boolean clean) {
+        /** Handles a complete response. If not {@code clean}, bytes followed it: the response counts, but the connection is closed. */
+        private void handleResponse(boolean clean) {
             boolean completed = reader.status() == 200;
             boolean neverRan = reader.header("x-unprocessed").equals("1")
                     && (reader.status() == 503 || reader.status() == 504);
             ExecutionResult failure = neverRan ? ExecutionResult.of(Outcome.FULL) : ExecutionResult.erred("status " + reader.status());
-            boolean staysOpen = clean && reader.staysOpen() && !retired && endsAt != Long.MAX_VALUE;
+            boolean staysOpen = clean && reader.staysOpen() && !retired && endOffset != Long.MAX_VALUE;
             BufferChain body = reader.takeBody();
             Execution done = current;
             current = null;
-            inflow.complete();
-            toldOfReuse(false);
+            largeValues.complete();
+            reportReuse(false);
             if (staysOpen) {
-                rest();
+                becomeIdle();
             } else {
                 close();
             }
@@ -264,18 +264,18 @@
             done.end(completed ? ExecutionResult.completed(body) : failure);
         }
 
-        private void toldOfReuse(boolean broke) {
-            if (idleMs >= 0) {
-                limits.reuseStats().recordReuse(idleMs, broke);
-                idleMs = -1;
+        private void reportReuse(boolean hasFailed) {
+            if (idleBeforeReuseMs >= 0) {
+                policy.reuseStats().recordReuse(idleBeforeReuseMs, hasFailed);
+                idleBeforeReuseMs = -1;
             }
         }
 
-        /** Guards a client against part of a value: a body without a length ends with an orderly end, never with a reset. */
+        /** A body without a length is complete on an orderly close only, never on a reset, so that no client gets part of a value. */
         @Override
         public void endOfStream() {
-            if (current != null && reader.endsBody()) {
-                answered(true);
+            if (current != null && reader.isCompleteAtClose()) {
+                handleResponse(true);
             } else {
                 disconnected("closed by the peer");
             }
@@ -283,30 +283,30 @@
 
         @Override
         public void disconnected(String cause) {
-            WriteProgress reached = reached();
+            WriteProgress writeProgress = writeProgress();
             if (current != null) {
-                toldOfReuse(true);
+                reportReuse(true);
             }
             close();
-            end(ExecutionResult.connectionFailed(reached, cause));
+            end(ExecutionResult.connectionFailed(writeProgress, cause));
         }
 
         void close() {
-            dialling.cancelTask();
-            closing.cancelTask();
+            connectAttempt.cancelTask();
+            closeTimer.cancelTask();
             reader.release();
-            open.free(slot);
+            connections.free(slot);
             if (link != null) {
                 link.close();
             }
-            inflow.fail();
+            largeValues.fail();
         }
 
-        private void end(ExecutionResult ending) {
+        private void end(ExecutionResult result) {
             if (current != null) {
                 Execution e = current;
                 current = null;
-                e.end(ending);
+                e.end(result);
             }
         }
     }
--- a/src/main/java/dappleseam/servers/CacheNode.java
+++ b/src/main/java/dappleseam/servers/CacheNode.java
@@ -3,16 +3,16 @@
 import dappleseam.query.Backend;
 import dappleseam.query.Command;
 import dappleseam.query.ConnectionPolicy;
-import dappleseam.query.ExecutionResult;
 import dappleseam.query.Execution;
+import dappleseam.query.ExecutionResult;
 import dappleseam.query.LargeValueReceiver;
-import dappleseam.query.WriteProgress;
 import dappleseam.query.Slots;
+import dappleseam.query.WriteProgress;
 import dappleseam.router.Outcome;
 import dappleseam.wire.BufferChain;
+import dappleseam.wire.IoLoop;
 import dappleseam.wire.LargeValueHandler;
 import dappleseam.wire.Link;
-import dappleseam.wire.IoLoop;
 import dappleseam.wire.ParseStatus;
 import dappleseam.wire.RespMessage;
 import dappleseam.wire.RespReader;
@@ -23,42 +23,42 @@
 import java.util.function.Function;
 import org.xnio.StreamConnection;
 
-/** One cache node and this proxy's connections to it, on which commands are answered in order. */
+/** One cache node and this proxy's RESP connections to it. Commands on a connection are pipelined; the node replies in order. */
 public final class CacheNode implements Backend {
-    /** Bulk strings of an answer: the value, how it went, the load report. */
-    private static final int PARTS = 3;
-    /** Time in ms that a connection may owe only answers nobody waits for; then it is taken for dead. */
-    private static final double STUCK_MS = 2500;
-    /** Time in ms after an answer in which another copy of it may come, where answers are spoilt at all. */
-    private static final double COPY_MS = 15;
-    /** Longest way there and back in ms: a connection that took longer to come up was kept waiting here. */
-    private static final double FAR_MS = 2;
+    /** Bulk strings in a reply: the value, its status, the load report. */
+    private static final int REPLY_PARTS = 3;
+    /** Time in ms for which only abandoned commands may be unanswered on a connection; then it is considered dead. */
+    private static final double ABANDONED_TIMEOUT_MS = 2500;
+    /** Time in ms after a reply in which a duplicate of it may arrive, while there have been corrupted replies. */
+    private static final double DUPLICATE_REPLY_MS = 15;
+    /** Longest plausible round-trip time in ms: a connection that took longer to open was delayed in this process. */
+    private static final double MAX_ROUND_TRIP_MS = 2;
 
     private final IoLoop loop;
     private final InetSocketAddress endpoint;
-    private ConnectionPolicy limits;
-    private final Slots<Connection> open = new Slots<>();
+    private ConnectionPolicy policy;
+    private final Slots<Connection> connections = new Slots<>();
     private boolean retired;
 
-    public CacheNode(IoLoop loop, InetSocketAddress endpoint, ConnectionPolicy limits) {
+    public CacheNode(IoLoop loop, InetSocketAddress endpoint, ConnectionPolicy policy) {
         this.loop = loop;
         this.endpoint = endpoint;
-        this.limits = limits;
+        this.policy = policy;
     }
 
     @Override
     public void begin(Execution execution) {
         Connection best = null;
-        for (Connection c : open.all()) {
-            if (c.hasRoom() && (best == null || c.load() < best.load()) && c.isClean()) {
+        for (Connection c : connections.all()) {
+            if (c.hasRoom() && (best == null || c.load() < best.load()) && c.isReusable()) {
                 best = c;
             }
         }
-        boolean shared = limits.preferSharing() && limits.reuseStats().isSharingSafe(loop.nowMs());
+        boolean shared = policy.preferSharing() && policy.reuseStats().isSharingSafe(loop.nowMs());
         if (best == null || best.load() > 0 && !shared && loop.mayConnect()) {
             best = new Connection();
             best.waiting.add(execution);
-            best.dial();
+            best.connect();
         } else {
             best.send(execution);
         }
@@ -66,13 +66,13 @@
 
     @Override
     public WriteProgress stopWaiting(Execution execution) {
-        for (Connection c : open.all()) {
-            if (c.takeBack(execution)) {
+        for (Connection c : connections.all()) {
+            if (c.cancelUnsent(execution)) {
                 return WriteProgress.INCOMPLETE;
             }
-            for (Sent sent : c.sent) {
+            for (SentCommand sent : c.sent) {
                 if (sent.execution == execution) {
-                    return c.giveUp(sent);
+                    return c.stopWaiting(sent);
                 }
             }
         }
@@ -81,8 +81,8 @@
 
     @Override
     public boolean cancelUnsent(Execution execution) {
-        for (Connection c : open.all()) {
-            if (c.takeBack(execution)) {
+        for (Connection c : connections.all()) {
+            if (c.cancelUnsent(execution)) {
                 return true;
             }
         }
@@ -90,13 +90,13 @@
     }
 
     @Override
-    public void setPolicy(ConnectionPolicy newLimits) {
-        limits = newLimits;
+    public void setPolicy(ConnectionPolicy newPolicy) {
+        policy = newPolicy;
     }
 
     @Override
     public void closeIdle() {
-        for (Connection c : open.all()) {
+        for (Connection c : connections.all()) {
             if (c.link != null && c.load() == 0) {
                 c.close();
             }
@@ -105,9 +105,9 @@
 
     @Override
     public void failWaiting() {
-        for (Connection c : open.all()) {
-            c.endUnbegun("the node drains or is gone");
-            c.endWaiting("the node drains or is gone");
+        for (Connection c : connections.all()) {
+            c.failUnwritten("the node is draining or gone");
+            c.failWaiting("the node is draining or gone");
         }
     }
 
@@ -119,174 +119,178 @@
     }
 
     /**
-     * Guards a command sent before the last answer came against a copy of that answer, right behind it: none comes back
-     * in less time than the way takes, of which the connection's coming up tells unless this thread was late itself.
+     * Whether a reply arrives too early to belong to a command that was sent before the previous reply came: it is then a duplicate of that
+     * reply. No genuine reply takes less than a round trip, for which the time to connect is an estimate unless this thread itself was late.
      */
-    static boolean isTooSoon(double sentAt, double lastAnsweredAt, double connectMs, double now) {
-        return sentAt <= lastAnsweredAt && now - sentAt < Math.min(connectMs, FAR_MS);
+    static boolean isTooEarly(double sentAt, double lastRepliedAt, double connectMs, double now) {
+        return sentAt <= lastRepliedAt && now - sentAt < Math.min(connectMs, MAX_ROUND_TRIP_MS);
     }
 
-    /** A command that was put out, from one byte of the connection to another. */
-    private record Sent(Execution execution, long beginsAt, long endsAt, double at) {}
+    /** A command that was queued for output, with its byte range in the connection's output. */
+    private record SentCommand(Execution execution, long startOffset, long endOffset, double sentAtMs) {}
 
     private final class Connection implements LargeValueReceiver.Connection {
-        /** Not written yet, as the connection is not up. */
+        /** Executions waiting for the connection to open. */
         final ArrayDeque<Execution> waiting = new ArrayDeque<>();
-        /** Written and not answered, in order. */
-        final ArrayDeque<Sent> sent = new ArrayDeque<>();
-        /** Put out, and not known yet to be written whole, in order. */
-        private final ArrayDeque<Sent> unwritten = new ArrayDeque<>();
-        private final LargeValueReceiver inflow = new LargeValueReceiver(loop, this);
-        private final RespReader reader = new RespReader(loop.pool(), LargeValueHandler.MAX_BYTES, inflow);
-        private final int slot = open.put(this);
+        /** Commands queued or written and not answered, in order. */
+        final ArrayDeque<SentCommand> sent = new ArrayDeque<>();
+        /** Commands queued whose last byte is not known to be written, in order. */
+        private final ArrayDeque<SentCommand> unwritten = new ArrayDeque<>();
+        private final LargeValueReceiver largeValues = new LargeValueReceiver(loop, this);
+        private final RespReader reader = new RespReader(loop.pool(), LargeValueHandler.MAX_BYTES, largeValues);
+        private final int slot = connections.put(this);
         private Link link;
         private double idleSince;
-        private final double dialledAt = loop.nowMs();
+        private final double connectStartedAt = loop.nowMs();
         private double connectMs;
-        private double answeredAt;
-        /** The answer that comes now was owed when its long value began. */
-        private boolean beginsAnswer;
-        /** How long it had been idle when the command went out that has no answer yet; under 0 for all others. */
-        private double idleMs = -1;
-        /** Closes the connection unless something happens. */
-        private IoLoop.PendingTask closing = () -> { };
+        private double lastReplyAt;
+        /** Whether the reply being received was expected when its large value began. */
+        private boolean isLargeReplyExpected;
+        /** How long the connection had been idle before the first unanswered command; below 0 if it was not idle. */
+        private double idleBeforeReuseMs = -1;
+        /** Closes the connection when it fires; cancelled by activity. */
+        private IoLoop.PendingTask closeTimer = () -> { };
 
         int load() {
             return waiting.size() + sent.size();
         }
 
         /**
-         * Behind an answer that nobody waits for any more, a query would wait for what was too slow; right behind the last answer, where
-         * some were spoilt of late, a copy of that one would pass for its own.
+         * Whether another command may be sent on this connection. Not while the next reply belongs to an abandoned command: the new one would
+         * wait for what was too slow. And not directly after a reply while replies have recently been corrupted: a duplicate of it would be
+         * taken for the new command's reply.
          */
         boolean hasRoom() {
-            boolean mayBeCopied = load() == 0 && link != null && loop.nowMs() - answeredAt < COPY_MS
-                    && !limits.reuseStats().isSharingSafe(loop.nowMs());
-            boolean isWritten = link == null || link.out().size() == 0; // what is behind a command that stands could be taken back no more
-            return load() < limits.maxCommandsPerConnection() && !mayBeCopied && isWritten
+            boolean mayBeDuplicated = load() == 0 && link != null && loop.nowMs() - lastReplyAt < DUPLICATE_REPLY_MS
+                    && !policy.reuseStats().isSharingSafe(loop.nowMs());
+            boolean isWritten = link == null || link.out().size() == 0; // a command queued behind unwritten bytes could not be taken back
+            return load() < policy.maxCommandsPerConnection() && !mayBeDuplicated && isWritten
                     && (sent.isEmpty() || !sent.peekFirst().execution.hasEnded());
         }
 
-        /** Guards the next query against what came behind the last answer, or an end nobody has read yet. */
-        boolean isClean() {
+        /** Whether an idle connection can be reused; closes it if input or a close has arrived since the last reply. */
+        boolean isReusable() {
             if (load() > 0 || link == null) {
                 return true;
             }
             double idle = loop.nowMs() - idleSince;
-            if (!link.hasNoInput() || !limits.reuseStats().mayReuse(idle)) {
+            if (!link.hasNoInput() || !policy.reuseStats().mayReuse(idle)) {
                 close();
                 return false;
             }
-            idleMs = idle;
+            idleBeforeReuseMs = idle;
             return true;
         }
 
-        void dial() {
-            loop.connect(endpoint, limits.connectTimeoutMs(), this::up, this::failed);
+        void connect() {
+            loop.connect(endpoint, policy.connectTimeoutMs(), this::connected, this::connectFailed);
         }
 
-        private void up(StreamConnection connection) {
+        private void connected(StreamConnection connection) {
             link = loop.createLink(connection, this);
-            connectMs = loop.nowMs() - dialledAt;
+            connectMs = loop.nowMs() - connectStartedAt;
             link.resume();
             while (!waiting.isEmpty() && !link.isClosed()) {
-                Execution next = waiting.peek(); // keeps its place meanwhile: the look at its client may read the next query
-                boolean mayBegin = next.mayBegin(); // its client may have left while the connection came up
+                Execution next = waiting.peek(); // stays queued meanwhile: checking its client may read the next query
+                boolean mayBegin = next.mayBegin(); // its client may have disconnected while the connection was opening
                 if (waiting.remove(next) && mayBegin) {
                     send(next);
                 }
             }
             if (!link.isClosed()) {
-                settled();
+                scheduleIdleClose();
             }
         }
 
-        private void failed(String cause) {
-            open.free(slot);
-            endWaiting(cause);
+        private void connectFailed(String cause) {
+            connections.free(slot);
+            failWaiting(cause);
         }
 
         void send(Execution e) {
-            closing.cancelTask();
+            closeTimer.cancelTask();
             if (link == null) {
                 waiting.add(e);
                 return;
             }
-            long beginsAt = link.bytesQueued();
+            long startOffset = link.bytesQueued();
             try {
                 write(e.command, Math.max(1, Math.round(e.deadlineMs - loop.nowMs())), link.out());
-            } catch (RuntimeException fault) { // half a command must not be followed by another
-                sent.add(new Sent(e, beginsAt, Long.MAX_VALUE, loop.nowMs()));
-                disconnected("fault: " + fault);
+            } catch (RuntimeException fault) { // a partly written command must not be followed by another
+                sent.add(new SentCommand(e, startOffset, Long.MAX_VALUE, loop.nowMs()));
+                disconnected("internal error: " + fault);
                 return;
             }
-            Sent one = new Sent(e, beginsAt, link.bytesQueued(), loop.nowMs());
-            sent.add(one);
-            unwritten.add(one);
+            SentCommand entry = new SentCommand(e, startOffset, link.bytesQueued(), loop.nowMs());
+            sent.add(entry);
+            unwritten.add(entry);
             link.flush();
         }
 
         @Override
         public void flushed() {
-            tellWritten();
+            reportWritten();
         }
 
-        private void tellWritten() {
-            while (!unwritten.isEmpty() && unwritten.peek().endsAt <= link.bytesWritten()) {
+        private void reportWritten() {
+            while (!unwritten.isEmpty() && unwritten.peek().endOffset <= link.bytesWritten()) {
                 unwritten.poll().execution.written();
             }
         }
 
-        private static void write(Command command, long waitMs, BufferChain to) {
+        private static void write(Command command, long timeoutMs, BufferChain to) {
             RespWriter.array(to, command.isWrite() ? 5 : 4);
             RespWriter.bulk(to, command.isWrite() ? "C.SET" : "C.GET");
             RespWriter.bulk(to, command.key());
             RespWriter.bulk(to, command.id());
-            RespWriter.bulk(to, command.factsWithTimeout(waitMs));
+            RespWriter.bulk(to, command.factsWithTimeout(timeoutMs));
             if (command.isWrite()) {
                 RespWriter.bulk(to, command.value());
             }
         }
 
-        /** Whether an execution had not gone out whole, and does no more; it may only be the last one on the connection. */
-        boolean takeBack(Execution execution) {
+        /** Withdraws an execution whose command is not completely written; only the last one can be. Returns whether it was withdrawn. */
+        boolean cancelUnsent(Execution execution) {
             if (waiting.remove(execution)) {
                 return true;
             }
-            Sent newest = sent.peekLast();
-            if (newest == null || newest.execution != execution || link.bytesWritten() >= newest.endsAt) {
+            SentCommand newest = sent.peekLast();
+            if (newest == null || newest.execution != execution || link.bytesWritten() >= newest.endOffset) {
                 return false;
             }
             sent.removeLast();
             unwritten.remove(newest);
-            if (link.bytesWritten() == newest.beginsAt) { // all that is unwritten is its own
+            if (link.bytesWritten() == newest.startOffset) { // all unwritten bytes belong to it
                 link.dropUnwritten();
-                settled();
+                scheduleIdleClose();
             } else {
-                disconnected("a command was taken back half-written"); // the rest would go out still
+                disconnected("a partly written command was cancelled"); // otherwise the rest would still be written
             }
             return true;
         }
 
-        /** The neighbours keep the connection; alone on it, the execution is ended with it where asked. */
-        WriteProgress giveUp(Sent given) {
-            if (limits.closeToCancel() && sent.size() == 1) {
-                WriteProgress reached = link.bytesWritten() >= given.endsAt ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
+        /**
+         * Abandons a command. Other commands on the connection are not affected; if the policy asks for it, a connection that carries only
+         * this command is closed.
+         */
+        WriteProgress stopWaiting(SentCommand target) {
+            if (policy.closeToCancel() && sent.size() == 1) {
+                WriteProgress writeProgress = link.bytesWritten() >= target.endOffset ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE;
                 sent.clear();
                 close();
-                return reached;
+                return writeProgress;
             }
-            if (sent.peek() == given && answeredAt <= given.at) {
-                // Guards the next ones against an answer that never comes: all behind it on the connection are lost.
-                limits.reuseStats().recordFailure(loop.nowMs());
+            if (sent.peek() == target && lastReplyAt <= target.sentAtMs) {
+                // Stops later commands from sharing connections: if this reply never comes, all commands behind it are lost.
+                policy.reuseStats().recordFailure(loop.nowMs());
             }
-            closing.cancelTask();
-            closing = loop.scheduleAt(loop.nowMs() + STUCK_MS, this::closeIfForgotten);
-            return WriteProgress.COMPLETE; // what is not written yet goes out still
+            closeTimer.cancelTask();
+            closeTimer = loop.scheduleAt(loop.nowMs() + ABANDONED_TIMEOUT_MS, this::closeIfAbandoned);
+            return WriteProgress.COMPLETE; // bytes not written yet are still sent
         }
 
-        private void closeIfForgotten() {
-            if (!inflow.isReceiving() && sent.stream().allMatch(s -> s.execution.hasEnded())) {
+        private void closeIfAbandoned() {
+            if (!largeValues.isReceiving() && sent.stream().allMatch(s -> s.execution.hasEnded())) {
                 close();
             }
         }
@@ -294,28 +298,28 @@
         @Override
         public void received(ByteBuffer bytes) {
             while (bytes.hasRemaining() && !link.isClosed()) {
-                ParseStatus progress = reader.read(bytes);
-                if (progress == ParseStatus.MALFORMED) {
-                    spoilt("not RESP");
-                } else if (progress == ParseStatus.DONE) {
-                    answered(reader.takeMessage());
+                ParseStatus parsed = reader.read(bytes);
+                if (parsed == ParseStatus.MALFORMED) {
+                    replyInvalid("malformed RESP");
+                } else if (parsed == ParseStatus.DONE) {
+                    handleReply(reader.takeMessage());
                 }
             }
             if (!link.isClosed()) {
-                settled();
+                scheduleIdleClose();
             }
         }
 
-        private boolean isOwed() {
-            return !sent.isEmpty() && !isTooSoon(sent.peek().at, answeredAt, connectMs, loop.nowMs());
+        private boolean isReplyExpected() {
+            return !sent.isEmpty() && !isTooEarly(sent.peek().sentAtMs, lastReplyAt, connectMs, loop.nowMs());
         }
 
         @Override
         public Execution answeringExecution() {
-            // Guards the next commands against a client that reads slowly: they would wait behind this value.
-            limits.reuseStats().recordFailure(loop.nowMs());
-            beginsAnswer = isOwed();
-            return beginsAnswer ? sent.peek().execution : null;
+            // Stops later commands from sharing connections: if the client reads slowly, all commands behind this value wait.
+            policy.reuseStats().recordFailure(loop.nowMs());
+            isLargeReplyExpected = isReplyExpected();
+            return isLargeReplyExpected ? sent.peek().execution : null;
         }
 
         @Override
@@ -323,40 +327,40 @@
             return link;
         }
 
-        /** Reads the rest for those that wait behind it, and for nobody else. */
+        /** Reads on only if other commands wait behind the abandoned value. */
         @Override
         public void abandoned() {
             if (sent.size() > 1) {
-                inflow.resume();
+                largeValues.resume();
             } else if (!link.isClosed()) {
                 sent.clear();
                 close();
             }
         }
 
-        private void answered(RespMessage message) {
-            ExecutionResult ending = beginsAnswer || isOwed() ? ending(message) : null;
-            if (ending == null) { // more than was asked for, or no answer a node gives: what follows is as doubtful
+        private void handleReply(RespMessage message) {
+            ExecutionResult result = isLargeReplyExpected || isReplyExpected() ? resultOf(message) : null;
+            if (result == null) { // an unexpected or invalid reply: what follows cannot be trusted either
                 message.release();
-                spoilt("not an answer");
+                replyInvalid("invalid or unexpected reply");
                 return;
             }
-            toldOfReuse(false);
-            answeredAt = loop.nowMs();
-            beginsAnswer = false;
+            reportReuse(false);
+            lastReplyAt = loop.nowMs();
+            isLargeReplyExpected = false;
             Execution done = sent.poll().execution;
-            inflow.complete();
-            if (message.firstWasLong()) {
-                ending.release();
+            largeValues.complete();
+            if (message.isFirstBulkLarge()) {
+                result.release();
             } else {
-                done.end(ending);
+                done.end(result);
             }
             message.release();
         }
 
-        /** Null for what is RESP and yet no answer to a command. */
-        private static ExecutionResult ending(RespMessage message) {
-            if (message.type == '*' && message.bulks.size() == PARTS) {
+        /** The result that a reply stands for; null if it is well-formed RESP but not a valid reply to a command. */
+        private static ExecutionResult resultOf(RespMessage message) {
+            if (message.type == '*' && message.bulks.size() == REPLY_PARTS) {
                 return message.bulk(0) == null ? ExecutionResult.of(Outcome.MISS) : ExecutionResult.completed(message.takeBulk(0));
             }
             if (!message.isError()) {
@@ -366,72 +370,72 @@
                     : message.line.startsWith("ERR ") ? ExecutionResult.erred(message.line) : null;
         }
 
-        /** Retires a connection that carries nothing, now or before the node would close it. */
-        private void settled() {
+        /** If the connection is idle, closes it now or, before the node would, by a timer. */
+        private void scheduleIdleClose() {
             if (load() > 0) {
                 return;
             }
-            closing.cancelTask();
+            closeTimer.cancelTask();
             idleSince = loop.nowMs();
             if (retired) {
                 close();
             } else {
-                closing = loop.scheduleAt(loop.nowMs() + limits.idleTimeoutMs(), this::closeIfForgotten);
+                closeTimer = loop.scheduleAt(loop.nowMs() + policy.idleTimeoutMs(), this::closeIfAbandoned);
             }
         }
 
-        private void toldOfReuse(boolean broke) {
-            if (idleMs >= 0) {
-                limits.reuseStats().recordReuse(idleMs, broke);
-                idleMs = -1;
+        private void reportReuse(boolean hasFailed) {
+            if (idleBeforeReuseMs >= 0) {
+                policy.reuseStats().recordReuse(idleBeforeReuseMs, hasFailed);
+                idleBeforeReuseMs = -1;
             }
         }
 
         @Override
         public void disconnected(String cause) {
             if (!sent.isEmpty()) {
-                limits.reuseStats().recordFailure(loop.nowMs());
-                toldOfReuse(true);
+                policy.reuseStats().recordFailure(loop.nowMs());
+                reportReuse(true);
             }
             close();
-            broken(whole -> ExecutionResult.connectionFailed(whole ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE, cause));
-            endWaiting(cause);
+            failSent(complete -> ExecutionResult.connectionFailed(complete ? WriteProgress.COMPLETE : WriteProgress.INCOMPLETE, cause));
+            failWaiting(cause);
         }
 
-        /** The node lives, and what was written whole may have run; what follows on the connection is as doubtful. */
-        private void spoilt(String cause) {
-            limits.reuseStats().recordFailure(loop.nowMs());
+        /** An invalid reply: the node is alive and completely written commands may have run, but the connection cannot be trusted any more. */
+        private void replyInvalid(String cause) {
+            policy.reuseStats().recordFailure(loop.nowMs());
             close();
-            broken(whole -> whole ? ExecutionResult.erred(cause) : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
-            endWaiting(cause);
+            failSent(complete -> complete ? ExecutionResult.erred(cause) : ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
+            failWaiting(cause);
         }
 
         void close() {
-            tellWritten();
-            closing.cancelTask();
+            reportWritten();
+            closeTimer.cancelTask();
             reader.release();
-            open.free(slot);
+            connections.free(slot);
             link.close();
-            inflow.fail();
+            largeValues.fail();
         }
 
-        /** Ends what is out, by whether it was written whole. */
-        private void broken(Function<Boolean, ExecutionResult> ending) {
+        /** Ends all unanswered commands; the result depends on whether the command was completely written. */
+        private void failSent(Function<Boolean, ExecutionResult> toResult) {
             while (!sent.isEmpty()) {
-                Sent s = sent.poll();
-                s.execution.end(ending.apply(link.bytesWritten() >= s.endsAt));
+                SentCommand s = sent.poll();
+                s.execution.end(toResult.apply(link.bytesWritten() >= s.endOffset));
             }
         }
 
-        /** Ends the command of which no byte has gone out yet: only the last one can be such. */
-        void endUnbegun(String cause) {
-            Sent newest = sent.peekLast();
-            if (newest != null && link.bytesWritten() <= newest.beginsAt && takeBack(newest.execution)) {
+        /** Ends the last command if no byte of it has been written; only the last one can be in that state. */
+        void failUnwritten(String cause) {
+            SentCommand newest = sent.peekLast();
+            if (newest != null && link.bytesWritten() <= newest.startOffset && cancelUnsent(newest.execution)) {
                 newest.execution.end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
             }
         }
 
-        void endWaiting(String cause) {
+        void failWaiting(String cause) {
             while (!waiting.isEmpty()) {
                 waiting.poll().end(ExecutionResult.connectionFailed(WriteProgress.INCOMPLETE, cause));
             }
--- a/src/main/java/dappleseam/wire/BufferPool.java
+++ b/src/main/java/dappleseam/wire/BufferPool.java
@@ -3,51 +3,52 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 
-/** Buffers of one size, used again. Bounded; for the I/O thread alone. */
+/** A bounded pool of direct buffers of one size. Not thread-safe: for the I/O thread only. */
 public final class BufferPool {
-    /** Bytes of a buffer: most messages fit into one, the longest value into nine. */
+    /** Bytes of a buffer: most messages fit into one buffer, a value below the large-value threshold into nine. */
     public static final int SIZE = 8 << 10;
-    /** Share of the buffers kept for answers: below it, nothing more is read from clients. */
-    private static final double KEPT_FOR_ANSWERS = 0.5;
+    /** Share of the buffers reserved for replies: when less is available, clients are not read. */
+    private static final double RESERVED_FOR_REPLIES = 0.5;
 
     private final ArrayDeque<ByteBuffer> free = new ArrayDeque<>();
-    private final int most;
-    private int out;
+    private final int maxBuffers;
+    private int inUseCount;
 
-    public BufferPool(int most) {
-        this.most = most;
+    public BufferPool(int maxBuffers) {
+        this.maxBuffers = maxBuffers;
     }
 
-    ByteBuffer take() {
-        if (out >= most) {
-            throw new IllegalStateException("all " + most + " buffers are in use");
+    ByteBuffer acquire() {
+        if (inUseCount >= maxBuffers) {
+            throw new IllegalStateException("all " + maxBuffers + " buffers are in use");
         }
-        out++;
+        inUseCount++;
         ByteBuffer buffer = free.pollLast();
         return buffer != null ? buffer : ByteBuffer.allocateDirect(SIZE);
     }
 
-    void giveBack(ByteBuffer buffer) {
-        out--;
+    void recycle(ByteBuffer buffer) {
+        inUseCount--;
         free.addLast(buffer.clear());
     }
 
-    /** So many are in use that what is left is needed for what has been taken already. */
+    /** Whether the available buffers are needed for the queries already accepted. */
     public boolean isScarce() {
-        return most - out < KEPT_FOR_ANSWERS * most;
+        return maxBuffers - inUseCount < RESERVED_FOR_REPLIES * maxBuffers;
     }
 
-    /** Bytes that may still be taken. */
-    public long free() {
-        return (long) (most - out) * SIZE;
+    /** Bytes still available. */
+    public long availableBytes() {
+        return (long) (maxBuffers - inUseCount) * SIZE;
     }
 
-    /** Bytes in all. */
+    /** Capacity in bytes. */
     public long totalBytes() {
-        return (long) most * SIZE;
+        return (long) maxBuffers * SIZE;
     }
 
+    /** Number of buffers in use. */
     public int inUse() {
-        return out;
+        return inUseCount;
     }
 }
--- a/src/main/java/dappleseam/wire/HttpResponseReader.java
+++ b/src/main/java/dappleseam/wire/HttpResponseReader.java
@@ -5,33 +5,34 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Reads HTTP/1.1 answers as their bytes come; head and body are bounded. */
+/** Incremental parser of HTTP/1.1 responses, with bounds on head and body. */
 public final class HttpResponseReader {
-    private static final int LONGEST_HEAD = 8 << 10;
+    private static final int MAX_HEAD_BYTES = 8 << 10;
 
-    private enum Part { STATUS, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, TO_THE_END }
+    /** What is parsed next. */
+    private enum State { STATUS, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, UNTIL_CLOSE }
 
     private final BufferPool pool;
-    private final long longestBody;
-    /** Takes the body of a long good answer that tells its length; null where all are held. */
-    private final LargeValueHandler large;
-    private boolean toLarge;
+    private final long maxBodyBytes;
+    /** Receives the body of a large 200 response that has a Content-Length; null if all bodies are buffered. */
+    private final LargeValueHandler largeValues;
+    private boolean streamsBody;
     private final StringBuilder line = new StringBuilder();
     private final Map<String, String> headers = new HashMap<>();
-    private Part part = Part.STATUS;
+    private State state = State.STATUS;
     private int headBytes;
     private int status;
     private BufferChain body;
-    private long left;
+    private long bytesLeft;
 
-    public HttpResponseReader(BufferPool pool, long longestBody) {
-        this(pool, longestBody, null);
+    public HttpResponseReader(BufferPool pool, long maxBodyBytes) {
+        this(pool, maxBodyBytes, null);
     }
 
-    public HttpResponseReader(BufferPool pool, long longestBody, LargeValueHandler large) {
+    public HttpResponseReader(BufferPool pool, long maxBodyBytes, LargeValueHandler largeValues) {
         this.pool = pool;
-        this.longestBody = longestBody;
-        this.large = large;
+        this.maxBodyBytes = maxBodyBytes;
+        this.largeValues = largeValues;
         body = new BufferChain(pool);
     }
 
@@ -39,71 +40,72 @@
         return status;
     }
 
-    /** The header's value, by its name in small letters; empty where it is missing. */
+    /** The value of a header, by its lower-case name; empty if it is missing. */
     public String header(String name) {
         return headers.getOrDefault(name, "");
     }
 
-    /** Whether the connection can carry another exchange after this one. */
+    /** Whether the connection can be reused after this response. */
     public boolean staysOpen() {
-        return part != Part.TO_THE_END && !header("connection").equalsIgnoreCase("close");
+        return state != State.UNTIL_CLOSE && !header("connection").equalsIgnoreCase("close");
     }
 
-    /** The body of the answer that is done; the caller releases it. The next answer may then be read. */
+    /** The body of the completed response, which the caller has to release. Also resets the parser for the next response. */
     public BufferChain takeBody() {
         BufferChain done = body;
         body = new BufferChain(pool);
         headers.clear();
         headBytes = 0;
-        toLarge = false;
-        part = Part.STATUS;
+        streamsBody = false;
+        state = State.STATUS;
         return done;
     }
 
-    /** Bytes held of the body. */
-    public long held() {
+    /** Bytes buffered of the body. */
+    public long bodyBytes() {
         return body.size();
     }
 
+    /** Parses bytes of {@code in} until the response is complete or malformed, or no bytes are left. */
     public ParseStatus read(ByteBuffer in) {
         while (in.hasRemaining()) {
-            ParseStatus progress = switch (part) {
-                case BODY, CHUNK, TO_THE_END -> bodyPart(in);
-                default -> linePart(in);
+            ParseStatus parsed = switch (state) {
+                case BODY, CHUNK, UNTIL_CLOSE -> readBody(in);
+                default -> readLine(in);
             };
-            if (progress != ParseStatus.NEED_MORE) {
-                return progress;
+            if (parsed != ParseStatus.NEED_MORE) {
+                return parsed;
             }
         }
         return ParseStatus.NEED_MORE;
     }
 
-    /** The connection has ended: whether that is also the end of the body. */
-    public boolean endsBody() {
-        return part == Part.TO_THE_END;
+    /** Whether a close of the connection at this point is the regular end of the body. */
+    public boolean isCompleteAtClose() {
+        return state == State.UNTIL_CLOSE;
     }
 
-    private ParseStatus bodyPart(ByteBuffer in) {
-        int count = (int) Math.min(left, in.remaining());
-        if (toLarge) {
-            large.valueBytes(in, count);
+    private ParseStatus readBody(ByteBuffer in) {
+        int count = (int) Math.min(bytesLeft, in.remaining());
+        if (streamsBody) {
+            largeValues.valueBytes(in, count);
         } else {
             body.put(in, count);
         }
-        left -= count;
-        if (left > 0) {
+        bytesLeft -= count;
+        if (bytesLeft > 0) {
             return ParseStatus.NEED_MORE;
         }
-        if (part == Part.CHUNK) {
-            part = Part.CHUNK_END;
+        if (state == State.CHUNK) {
+            state = State.CHUNK_END;
             return ParseStatus.NEED_MORE;
         }
-        return part == Part.BODY ? ParseStatus.DONE : ParseStatus.MALFORMED;
+        return state == State.BODY ? ParseStatus.DONE : ParseStatus.MALFORMED;
     }
 
-    private ParseStatus linePart(ByteBuffer in) {
+    private ParseStatus readLine(ByteBuffer in) {
         char c = (char) (in.get() & 0xFF);
-        if (++headBytes > LONGEST_HEAD) {
+        if (++headBytes > MAX_HEAD_BYTES) {
             return ParseStatus.MALFORMED;
         }
         if (c != '\n') {
@@ -113,25 +115,25 @@
         int end = line.length() > 0 && line.charAt(line.length() - 1) == '\r' ? line.length() - 1 : line.length();
         String text = line.substring(0, end);
         line.setLength(0);
-        return switch (part) {
-            case STATUS -> statusLine(text);
-            case HEADERS -> text.isEmpty() ? headDone() : addHeader(text) ? ParseStatus.NEED_MORE : ParseStatus.MALFORMED;
-            case CHUNK_SIZE -> chunkSize(text);
+        return switch (state) {
+            case STATUS -> parseStatusLine(text);
+            case HEADERS -> text.isEmpty() ? headComplete() : addHeader(text) ? ParseStatus.NEED_MORE : ParseStatus.MALFORMED;
+            case CHUNK_SIZE -> parseChunkSize(text);
             case CHUNK_END -> {
                 headBytes = 0;
-                part = Part.CHUNK_SIZE;
+                state = State.CHUNK_SIZE;
                 yield text.isEmpty() ? ParseStatus.NEED_MORE : ParseStatus.MALFORMED;
             }
             default -> text.isEmpty() ? ParseStatus.DONE : ParseStatus.NEED_MORE;
         };
     }
 
-    private ParseStatus statusLine(String text) {
+    private ParseStatus parseStatusLine(String text) {
         if (!text.startsWith("HTTP/1.") || text.length() < 12) {
             return ParseStatus.MALFORMED;
         }
-        status = (int) Digits.read(text.substring(9, 12), 10, 999);
-        part = Part.HEADERS;
+        status = (int) Digits.parse(text.substring(9, 12), 10, 999);
+        state = State.HEADERS;
         return status < 100 ? ParseStatus.MALFORMED : ParseStatus.NEED_MORE;
     }
 
@@ -143,49 +145,50 @@
         String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).strip();
         String before = headers.put(name, value);
-        return before == null || before.equals(value) || !name.equals("content-length"); // two lengths: neither holds
+        return before == null || before.equals(value) || !name.equals("content-length"); // with two different lengths, neither can be trusted
     }
 
-    private ParseStatus headDone() {
-        if (status < 200) { // an interim answer: the real one follows
+    private ParseStatus headComplete() {
+        if (status < 200) { // an interim response: the final one follows
             headers.clear();
-            part = Part.STATUS;
+            state = State.STATUS;
             return ParseStatus.NEED_MORE;
         }
         if (status == 204 || status == 304) {
             return ParseStatus.DONE;
         }
         if (header("transfer-encoding").equalsIgnoreCase("chunked")) {
-            part = Part.CHUNK_SIZE;
+            state = State.CHUNK_SIZE;
             headBytes = 0;
             return ParseStatus.NEED_MORE;
         }
         String length = header("content-length");
         if (length.isEmpty() && !header("connection").equalsIgnoreCase("close")) {
-            return ParseStatus.MALFORMED; // without a length or an announced end, part of a value would pass for the whole
+            return ParseStatus.MALFORMED; // without a length or an announced close, a truncated value would be taken for the whole
         }
         if (length.isEmpty()) {
-            part = Part.TO_THE_END;
-            left = longestBody + 1;
+            state = State.UNTIL_CLOSE;
+            bytesLeft = maxBodyBytes + 1;
             return ParseStatus.NEED_MORE;
         }
-        left = Digits.read(length, 10, longestBody);
-        part = Part.BODY;
-        toLarge = large != null && status == 200 && left >= LargeValueHandler.MIN_BYTES;
-        if (toLarge) {
-            large.valueStarted(left);
+        bytesLeft = Digits.parse(length, 10, maxBodyBytes);
+        state = State.BODY;
+        streamsBody = largeValues != null && status == 200 && bytesLeft >= LargeValueHandler.MIN_BYTES;
+        if (streamsBody) {
+            largeValues.valueStarted(bytesLeft);
         }
-        return left < 0 ? ParseStatus.MALFORMED : left == 0 ? ParseStatus.DONE : ParseStatus.NEED_MORE;
+        return bytesLeft < 0 ? ParseStatus.MALFORMED : bytesLeft == 0 ? ParseStatus.DONE : ParseStatus.NEED_MORE;
     }
 
-    private ParseStatus chunkSize(String text) {
+    private ParseStatus parseChunkSize(String text) {
         int semicolon = text.indexOf(';');
         String digits = semicolon < 0 ? text : text.substring(0, semicolon);
-        left = Digits.read(digits.strip(), 16, longestBody - body.size());
-        part = left == 0 ? Part.TRAILERS : Part.CHUNK;
-        return left < 0 ? ParseStatus.MALFORMED : ParseStatus.NEED_MORE;
+        bytesLeft = Digits.parse(digits.strip(), 16, maxBodyBytes - body.size());
+        state = bytesLeft == 0 ? State.TRAILERS : State.CHUNK;
+        return bytesLeft < 0 ? ParseStatus.MALFORMED : ParseStatus.NEED_MORE;
     }
 
+    /** Releases the buffered body. */
     public void release() {
         body.release();
     }
--- a/src/main/java/dappleseam/wire/IoLoop.java
+++ b/src/main/java/dappleseam/wire/IoLoop.java
@@ -4,31 +4,37 @@
 import java.util.function.Consumer;
 import org.xnio.StreamConnection;
 
-/** What the one I/O thread offers to those who speak to a peer. */
+/** The I/O thread as protocol code sees it: its clock, timers, connections and buffers. */
 public interface IoLoop {
-    /** The machine's monotonic clock in ms with fractions, the same in all its processes and well over 0; wall clocks are stepped. */
+    /**
+     * The machine's monotonic clock in ms with fractions, the same in all its processes and well above 0. Wall clocks are not used as they may
+     * be stepped.
+     */
     double nowMs();
 
-    /** Calls {@code due} at that time, or soon after. */
-    PendingTask scheduleAt(double whenMs, Runnable due);
+    /** Runs {@code task} at that time or soon after. */
+    PendingTask scheduleAt(double whenMs, Runnable task);
 
-    /** Opens a connection; exactly one of the two is called, unless the deadline is called off before. */
-    PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up, Consumer<String> failed);
+    /** Opens a connection. Calls exactly one of {@code onConnected} and {@code onFailure}, unless the returned task is cancelled before. */
+    PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected, Consumer<String> onFailure);
 
-    /** The same for the one connection that has a descriptor kept for it: nodes and clients may hold all others. */
-    default PendingTask connectReserved(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up, Consumer<String> failed) {
-        return connect(to, timeoutMs, up, failed);
+    /** As {@link #connect}, for the one connection with a reserved descriptor: connections to nodes and clients may use up all others. */
+    default PendingTask connectReserved(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected, Consumer<String> onFailure) {
+        return connect(to, timeoutMs, onConnected, onFailure);
     }
 
-    /** Whether there is a descriptor left for another connection to a peer. */
+    /** Whether a descriptor is available for another connection to a peer. */
     boolean mayConnect();
 
-    Link createLink(StreamConnection connection, Link.Listener events);
+    /** Wraps an open connection. */
+    Link createLink(StreamConnection connection, Link.Listener listener);
 
+    /** The buffers of this thread. */
     BufferPool pool();
 
-    /** Something to come that can be called off. */
+    /** A scheduled call or a connection attempt. */
     interface PendingTask {
+        /** Cancels the task if it is still pending. */
         void cancelTask();
     }
 }
--- a/src/main/java/dappleseam/wire/LargeValueHandler.java
+++ b/src/main/java/dappleseam/wire/LargeValueHandler.java
@@ -2,16 +2,16 @@
 
 import java.nio.ByteBuffer;
 
-/** Takes the bytes of a long value as they come, in place of a buffer that holds all of them. */
+/** Receives a large value part by part as it arrives, so that it need not be buffered as a whole. */
 public interface LargeValueHandler {
-    /** Bytes from which a value is long. */
+    /** Minimum bytes of a large value. */
     int MIN_BYTES = (64 << 10) + 1;
-    /** Bytes of the longest value. */
+    /** Maximum bytes of any value. */
     int MAX_BYTES = 4 << 20;
 
-    /** A value of so many bytes begins. */
+    /** Called when a value of {@code length} bytes begins. */
     void valueStarted(long length);
 
-    /** The next {@code count} bytes of {@code in} belong to it; moves the position past them. */
+    /** Consumes the next {@code count} bytes of the value from {@code in}. */
     void valueBytes(ByteBuffer in, int count);
 }
--- a/src/main/java/dappleseam/wire/RespWriter.java
+++ b/src/main/java/dappleseam/wire/RespWriter.java
@@ -1,9 +1,10 @@
 package dappleseam.wire;
 
-/** Writes RESP2. */
+/** Encodes RESP2 messages. */
 public final class RespWriter {
     private RespWriter() {}
 
+    /** Writes the header of an array of that many elements. */
     public static void array(BufferChain to, int length) {
         to.put("*" + length + "\r\n");
     }
@@ -16,14 +17,14 @@
         to.put("$" + bytes.size() + "\r\n").copyFrom(bytes).put("\r\n");
     }
 
-    /** Writes the bulk string and leaves {@code bytes} empty. */
+    /** Writes a bulk string by moving its content, which leaves {@code bytes} empty. */
     public static void bulkMoved(BufferChain to, BufferChain bytes) {
         to.put("$" + bytes.size() + "\r\n").moveFrom(bytes);
         to.put("\r\n");
     }
 
-    /** A line with its sign in front. */
-    public static void line(BufferChain to, String signed) {
-        to.put(signed + "\r\n");
+    /** Writes a single-line message, given with its type character. */
+    public static void line(BufferChain to, String typedLine) {
+        to.put(typedLine + "\r\n");
     }
 }
--- a/src/main/java/org/xnio/nio/ReusePortListener.java
+++ b/src/main/java/org/xnio/nio/ReusePortListener.java
@@ -13,43 +13,43 @@
 import org.xnio.XnioWorker;
 
 /**
- * A listener on an address that another process may hold, too (SO_REUSEPORT), with a limit on the connections that are open at once.
- * It accepts on the worker's first I/O thread and reports a failed accept to the caller. XNIO 3.8.16 has no option for the first, and its
- * own listener hides the second behind a back-off of 250 ms.
+ * A listener whose address can be shared with other processes (SO_REUSEPORT), with a limit on the number of open connections.
+ * It accepts on the worker's first I/O thread and reports failed accepts to the caller. XNIO 3.8.16 has no option for SO_REUSEPORT, and its
+ * own listener hides failed accepts behind a back-off of 250 ms.
  */
 public final class ReusePortListener extends NioHandle implements Closeable {
     private final ServerSocketChannel channel;
-    private final Runnable acceptable;
-    private final AtomicInteger open = new AtomicInteger();
-    private volatile int most;
+    private final Runnable onAcceptable;
+    private final AtomicInteger openConnections = new AtomicInteger();
+    private volatile int maxConnections;
     private volatile boolean atLimit;
 
-    private ReusePortListener(WorkerThread thread, SelectionKey key, ServerSocketChannel channel, int most, Runnable acceptable) {
+    private ReusePortListener(WorkerThread thread, SelectionKey key, ServerSocketChannel channel, int maxConnections, Runnable onAcceptable) {
         super(thread, key);
         this.channel = channel;
-        this.most = most;
-        this.acceptable = acceptable;
+        this.maxConnections = maxConnections;
+        this.onAcceptable = onAcceptable;
     }
 
     /**
-     * Listens from now on; to be called on the I/O thread, where {@code acceptable} is run when connections may wait.
+     * Starts listening; must be called on the I/O thread, where {@code onAcceptable} is run when connections may be waiting.
      *
-     * @throws IOException where no socket is to be had, or the address is not free
+     * @throws IOException if no socket is available or the address is in use
      */
-    public static ReusePortListener open(XnioWorker worker, InetSocketAddress address, int backlog, int most, Runnable acceptable) throws IOException {
+    public static ReusePortListener open(XnioWorker worker, InetSocketAddress address, int backlog, int maxConnections, Runnable onAcceptable) throws IOException {
         WorkerThread thread = (WorkerThread) worker.getIoThread(0);
         ServerSocketChannel channel = ServerSocketChannel.open();
         try {
             channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             if (channel.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
                 channel.setOption(StandardSocketOptions.SO_REUSEPORT, true);
-            } // else another process on the address is refused, which is better than none
+            } // otherwise only one process can use the address, which is better than none
             channel.configureBlocking(false);
             channel.bind(address, backlog);
-            ReusePortListener port = new ReusePortListener(thread, thread.registerChannel(channel), channel, most, acceptable);
-            port.getSelectionKey().attach(port);
-            port.resumeAccepts();
-            return port;
+            ReusePortListener listener = new ReusePortListener(thread, thread.registerChannel(channel), channel, maxConnections, onAcceptable);
+            listener.getSelectionKey().attach(listener);
+            listener.resumeAccepts();
+            return listener;
         } catch (IOException | RuntimeException e) {
             IoUtils.safeClose(channel);
             throw e;
@@ -57,10 +57,10 @@
     }
 
     /**
-     * Looks for once and for all whether addresses can be shared: the JDK asks the system with a socket of its own, at the first use of any
-     * option, and takes a failure of that moment for good.
+     * Makes the JDK determine whether SO_REUSEPORT is supported. It does so once, with a socket of its own, when any socket option is first
+     * used, and treats a temporary failure at that moment as permanent; calling this first avoids that.
      *
-     * @throws IOException where no socket is to be had now; nothing is settled then
+     * @throws IOException if no socket is available now; nothing has been determined then
      */
     public static void probeReusePort() throws IOException {
         try (ServerSocketChannel channel = ServerSocketChannel.open()) {
@@ -69,14 +69,14 @@
     }
 
     /**
-     * The next connection that waits; null where none does, or as many are open as may be.
+     * Accepts the next waiting connection; returns null if there is none, or the limit is reached.
      *
-     * @throws IOException where accept failed: connections may wait still, and nothing is told of them before it is called again
+     * @throws IOException if accept failed: connections may still be waiting, and are not signalled again before the next call
      */
     public StreamConnection accept() throws IOException {
         while (channel.isOpen()) {
-            atLimit = open.get() >= most;
-            if (atLimit && open.get() >= most) { // looked at again: one may have closed before the mark was set
+            atLimit = openConnections.get() >= maxConnections;
+            if (atLimit && openConnections.get() >= maxConnections) { // checked again, as a connection may have closed before the flag was set
                 suspendAccepts();
                 return null;
             }
@@ -84,7 +84,7 @@
             if (accepted == null) {
                 return null;
             }
-            StreamConnection connection = connection(accepted);
+            StreamConnection connection = register(accepted);
             if (connection != null) {
                 return connection;
             }
@@ -92,44 +92,44 @@
         return null;
     }
 
-    /** Null where the peer has gone meanwhile. */
-    private StreamConnection connection(SocketChannel accepted) {
+    /** Registers an accepted connection; returns null if the peer has closed it meanwhile. */
+    private StreamConnection register(SocketChannel accepted) {
         try {
             accepted.configureBlocking(false);
             accepted.setOption(StandardSocketOptions.TCP_NODELAY, true);
             SelectionKey key = getWorkerThread().registerChannel(accepted);
-            open.incrementAndGet();
-            return new NioSocketStreamConnection(getWorkerThread(), key, this::closed);
+            openConnections.incrementAndGet();
+            return new NioSocketStreamConnection(getWorkerThread(), key, this::connectionClosed);
         } catch (IOException e) {
             IoUtils.safeClose(accepted);
             return null;
         }
     }
 
-    /** On whichever thread a connection is closed. */
-    private void closed() {
-        open.decrementAndGet();
+    /** Called on any thread when a connection is closed. */
+    private void connectionClosed() {
+        openConnections.decrementAndGet();
         if (atLimit) {
-            getWorkerThread().execute(this::acceptAgain);
+            getWorkerThread().execute(this::resumeAccepting);
         }
     }
 
-    private void acceptAgain() {
+    private void resumeAccepting() {
         if (atLimit && channel.isOpen()) {
             resumeAccepts();
-            acceptable.run();
+            onAcceptable.run();
         }
     }
 
-    /** Whether connections may wait because as many are open as may be. */
+    /** Whether connections may be waiting because the limit is reached. */
     public boolean isAtLimit() {
         return atLimit;
     }
 
-    /** From now on so many may be open; those beyond stay. */
-    public void setMaxConnections(int newMost) {
-        most = newMost;
-        acceptAgain();
+    /** Changes the limit; open connections beyond it stay open. */
+    public void setMaxConnections(int newMaximum) {
+        maxConnections = newMaximum;
+        resumeAccepting();
     }
 
     public void suspendAccepts() {
@@ -150,7 +150,7 @@
 
     @Override
     void handleReady(int ops) {
-        acceptable.run();
+        onAcceptable.run();
     }
 
     @Override
@@ -160,10 +160,10 @@
 
     @Override
     void terminated() {
-        // nothing more is told of it
+        // nothing to release or report
     }
 
-    /** Connections that have not been accepted are reset. */
+    /** Stops listening; connections that have not been accepted are reset. */
     @Override
     public void close() {
         cancelKey(false);
--- a/src/test/java/dappleseam/clients/ClientFrontendTest.java
+++ b/src/test/java/dappleseam/clients/ClientFrontendTest.java
@@ -19,30 +19,30 @@
 import org.xnio.XnioWorker;
 
 class ClientFrontendTest {
-    private static final String ASKED = "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n1\r\n$3\r\nc=r\r\n";
+    private static final String QUERY = "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n1\r\n$3\r\nc=r\r\n";
 
-    private interface Part {
-        Object play(ManualIoLoop loop, ClientFrontend front, StreamConnection client) throws IOException;
+    private interface Scenario {
+        Object run(ManualIoLoop loop, ClientFrontend frontend, StreamConnection client) throws IOException;
     }
 
-    /** With one client, which has written that, on the thread that reads it. */
-    private static Object played(String written, int mostAsking, Part part) throws Exception {
+    /** Runs the scenario on the I/O thread, with one client that has already written {@code written}. */
+    private static Object runScenario(String written, int queryConnections, Scenario scenario) throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        CompletableFuture<Object> found = new CompletableFuture<>();
+        CompletableFuture<Object> result = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
             try {
                 ManualIoLoop loop = new ManualIoLoop();
-                ClientFrontend front = new ClientFrontend(loop, loop, 100, mostAsking);
+                ClientFrontend frontend = new ClientFrontend(loop, loop, 100, queryConnections);
                 ChannelPipe<StreamConnection, StreamConnection> pipe = worker.getIoThread().createFullDuplexPipeConnection();
                 write(pipe.getRightSide(), written);
-                front.addClient(pipe.getLeftSide());
-                found.complete(part.play(loop, front, pipe.getRightSide()));
+                frontend.addClient(pipe.getLeftSide());
+                result.complete(scenario.run(loop, frontend, pipe.getRightSide()));
             } catch (IOException | RuntimeException e) {
-                found.completeExceptionally(e);
+                result.completeExceptionally(e);
             }
         });
         try {
-            return found.get();
+            return result.get();
         } finally {
             worker.shutdownNow();
         }
@@ -52,102 +52,102 @@
         client.getSinkChannel().write(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
     }
 
-    /** Guards the queries of the last moments: what is read after the last abort has nobody to answer it. */
+    /** On shutdown, queries read after the last abort would never be answered, so they must not be read. */
     @Test
-    void afterTheLastLookNothingIsTaken() throws Exception {
-        String half = ASKED.substring(0, 10);
-        assertThat(played(ASKED + half, 10, (loop, front, client) -> {
-            front.stopReading();
-            write(client, ASKED.substring(10) + ASKED);
-            front.closeIdle();
+    void noQueryIsSubmittedOnceReadingHasStopped() throws Exception {
+        String half = QUERY.substring(0, 10);
+        assertThat(runScenario(QUERY + half, 10, (loop, frontend, client) -> {
+            frontend.stopReading();
+            write(client, QUERY.substring(10) + QUERY);
+            frontend.closeIdle();
             loop.replies.get(0).replyLine("-ERR");
-            front.closeIdle();
-            return List.of(loop.replies.size(), front.hasClients());
+            frontend.closeIdle();
+            return List.of(loop.replies.size(), frontend.hasClients());
         })).isEqualTo(List.of(1, false));
-        assertThat(played(half, 10, (loop, front, client) -> {
-            front.stopReading();
-            return List.of(loop.replies.size(), front.hasClients());
+        assertThat(runScenario(half, 10, (loop, frontend, client) -> {
+            frontend.stopReading();
+            return List.of(loop.replies.size(), frontend.hasClients());
         })).isEqualTo(List.of(0, false));
-        assertThat(played("", 10, (loop, front, client) -> {
-            write(client, ASKED);
-            front.stopReading(); // what has come until now is
-            return List.of(loop.replies.size(), front.hasClients());
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
+            write(client, QUERY);
+            frontend.stopReading(); // still reads what has arrived until now
+            return List.of(loop.replies.size(), frontend.hasClients());
         })).isEqualTo(List.of(1, true));
     }
 
-    /** Guards a busy proxy against closing what it has to accept again at once. */
+    /** A busy proxy must not close connections of active clients, which it would have to accept again at once. */
     @Test
-    void aClientThatHasJustBeenAnsweredDoesNotMakeWay() throws Exception {
+    void aClientThatWasJustAnsweredIsNotEvicted() throws Exception {
         List<Object> kept = new ArrayList<>();
         for (double until : new double[] {1200, 1800}) {
-            kept.add(played(ASKED, 1, (loop, front, client) -> { // no room for any that is idle
+            kept.add(runScenario(QUERY, 1, (loop, frontend, client) -> { // the limit leaves no room for idle clients
                 loop.replies.get(0).replyLine("+OK");
                 loop.advanceTo(until);
-                return front.hasClients();
+                return frontend.hasClients();
             }));
         }
         assertThat(kept).containsExactly(true, false);
     }
 
-    /** Guards nodes against clients that send and go: an end right behind a query is seen before it is handed on. */
+    /** A client that sends a query and closes must not cause an execution: a close directly behind a query is seen before it is submitted. */
     @Test
-    void aQueryIsNotTakenWhereTheClientsEndIsRightBehindIt() throws Exception {
-        assertThat(played("", 10, (loop, front, client) -> {
-            write(client, ASKED);
+    void aQueryDirectlyFollowedByACloseIsNotSubmitted() throws Exception {
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
+            write(client, QUERY);
             IoUtils.safeClose(client);
-            front.closeIdle(); // it reads what has come
-            return List.of(loop.replies.size(), front.hasClients());
+            frontend.closeIdle(); // reads what has arrived
+            return List.of(loop.replies.size(), frontend.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
-    /** The same where more has come than is read in one go: nothing is taken before the end could be seen. */
+    /** The same if more input has arrived than one read pass handles: nothing is submitted before the close could be seen. */
     @Test
-    void aQueryIsNotTakenWhereTheClientsEndIsBehindMoreThanIsReadAtOnce() throws Exception {
-        String longNames = ASKED.replace("$1\r\na\r\n", "$120\r\n" + "a".repeat(120) + "\r\n");
-        assertThat(played("", 10, (loop, front, client) -> {
-            write(client, longNames.repeat(100)); // under the number from which it is held
+    void aQueryIsNotSubmittedIfTheCloseFollowsMoreThanOneReadPass() throws Exception {
+        String longNames = QUERY.replace("$1\r\na\r\n", "$120\r\n" + "a".repeat(120) + "\r\n");
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
+            write(client, longNames.repeat(100)); // fewer than pause the connection
             IoUtils.safeClose(client);
             int taken = 0;
             for (int i = 0; i < 10; i++) {
-                front.closeIdle(); // reads what has come
+                frontend.closeIdle(); // reads what has arrived
                 taken = Math.max(taken, loop.replies.size());
             }
-            return List.of(taken, front.hasClients());
+            return List.of(taken, frontend.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
-    /** The same behind more than is read ahead of a client that is held: what cannot be known to have a client is turned away. */
+    /** The same behind more input than is read ahead of a paused client: queries whose client may have closed are rejected. */
     @Test
-    void noQueryIsTakenOfAClientThatHasClosedBehindMoreThanIsReadAhead() throws Exception {
-        assertThat(played("", 10, (loop, front, client) -> {
-            write(client, ASKED.repeat(900));
+    void noQueryIsSubmittedIfTheCloseFollowsMoreThanTheReadAheadBuffer() throws Exception {
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
+            write(client, QUERY.repeat(900));
             IoUtils.safeClose(client);
             for (int i = 0; i < 100; i++) {
-                front.closeIdle();
+                frontend.closeIdle();
                 loop.advanceTo(loop.now + 25);
             }
-            return List.of(loop.replies.size(), front.hasClients());
+            return List.of(loop.replies.size(), frontend.hasClients());
         })).isEqualTo(List.of(0, false));
     }
 
-    /** A client that sends a query, what cannot be read, and more without end: both answers are owed in time. */
+    /** A client that sends a query, then a malformed command, then endless input must still get both replies in time. */
     @Test
-    void anErrorIsNotHeldUpByWhatComesBehindItWithoutEnd() throws Exception {
-        assertThat(played("", 10, (loop, front, client) -> {
-            write(client, ASKED + "noise\r\n");
-            for (int i = 0; i < 40 && front.hasClients(); i++) {
-                write(client, "x".repeat(20_000)); // more than is read in one go
-                front.closeIdle();
+    void anErrorReplyIsNotDelayedByEndlessInput() throws Exception {
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
+            write(client, QUERY + "noise\r\n");
+            for (int i = 0; i < 40 && frontend.hasClients(); i++) {
+                write(client, "x".repeat(20_000)); // more than one read pass handles
+                frontend.closeIdle();
                 loop.advanceTo(loop.now + 10);
             }
-            return List.of(loop.replies.size() + loop.rejected, front.hasClients());
+            return List.of(loop.replies.size() + loop.rejected, frontend.hasClients());
         })).isEqualTo(List.of(1, false));
     }
 
-    /** Guards nodes: a client that sent more than is taken at once, and closed, has gone, though not all of it is read. */
+    /** A client that sent more than is accepted at once and then closed is known to be gone, although not all of its input is read. */
     @Test
     void backpressureDoesNotHideAClose() throws Exception {
-        assertThat(played(ASKED.repeat(200), 10, (loop, front, client) -> {
+        assertThat(runScenario(QUERY.repeat(200), 10, (loop, frontend, client) -> {
             int taken = loop.replies.size();
             boolean before = loop.replies.get(0).isClientConnected();
             IoUtils.safeClose(client);
@@ -157,65 +157,65 @@
     }
 
     /**
-     * Where more waits than is read ahead, whether the client is there is not known: nothing is taken meanwhile. All that was sent gets one
-     * answer, and what comes once all is read is taken as ever.
+     * While more input waits than is read ahead, the client may have closed: nothing is submitted meanwhile. Each query sent still gets one
+     * reply, and queries that arrive once everything is read are submitted as usual.
      */
     @Test
-    void aClientBehindMoreThanIsReadAheadIsNotKnownToBeThere() throws Exception {
-        assertThat(played(ASKED.repeat(10), 10, (loop, front, client) -> {
-            write(client, ASKED.repeat(900));
-            front.closeIdle(); // reads what there is room for
+    void aClientWithUnreadInputIsNotAssumedConnected() throws Exception {
+        assertThat(runScenario(QUERY.repeat(10), 10, (loop, frontend, client) -> {
+            write(client, QUERY.repeat(900));
+            frontend.closeIdle(); // reads as much as fits
             boolean here = loop.replies.get(0).isClientConnected();
             int taken = loop.replies.size();
-            int all = answered(loop, front, 910);
-            write(client, ASKED);
-            int more = answered(loop, front, 911);
+            int all = replyUntil(loop, frontend, 910);
+            write(client, QUERY);
+            int more = replyUntil(loop, frontend, 911);
             return List.of(here, taken, all, more, loop.replies.get(loop.replies.size() - 1).isClientConnected());
         })).isEqualTo(List.of(false, 10, 910, 911, true));
     }
 
-    /** Answers what is taken and lets more be read until so many queries have come, the last of them not answered yet. */
-    private static int answered(ManualIoLoop loop, ClientFrontend front, int count) {
+    /** Replies to submitted queries and lets more be read, until {@code count} queries were submitted or rejected; the last ones stay unanswered. */
+    private static int replyUntil(ManualIoLoop loop, ClientFrontend frontend, int count) {
         for (int i = 0; i < 1000 && loop.replies.size() + loop.rejected < count; i++) {
             List.copyOf(loop.replies).forEach(owed -> owed.replyLine("+OK"));
             loop.advanceTo(loop.now + 25);
             if (loop.replies.size() + loop.rejected < count) {
-                front.closeIdle(); // reads what there is room for; the client has commands on their way, and stays
+                frontend.closeIdle(); // reads as much as fits; the client has commands on their way, so it is not closed
             }
         }
         return loop.replies.size() + loop.rejected;
     }
 
-    /** Guards the loop against a client that is full again and again: each time left one more look behind, for good. */
+    /** Guards against a timer leak: each pause of a client used to leave one more periodic check behind for good. */
     @Test
-    void aClientThatIsFullAgainAndAgainIsLookedAtByOneDeadline() throws Exception {
-        assertThat(played(ASKED.repeat(128), 10, (loop, front, client) -> {
+    void repeatedPausesScheduleOneTimer() throws Exception {
+        assertThat(runScenario(QUERY.repeat(128), 10, (loop, frontend, client) -> {
             int before = loop.scheduled.size();
             for (int i = 0; i < 100; i++) {
                 loop.replies.get(i).replyLine("+OK");
-                write(client, ASKED);
-                front.closeIdle(); // reads it
+                write(client, QUERY);
+                frontend.closeIdle(); // reads it
             }
             return List.of(loop.replies.size(), loop.scheduled.size() - before);
         })).isEqualTo(List.of(228, 0));
     }
 
-    /** What is read ahead of a client that owes nothing else is owed an answer: such a connection is not idle. */
+    /** Commands that were read ahead are due a reply, so a connection with nothing else pending is not idle. */
     @Test
-    void aConnectionWithCommandsReadAheadIsNotClosedAsIdle() throws Exception {
-        assertThat(played("", 10, (loop, front, client) -> {
+    void aConnectionWithUndeliveredCommandsIsNotClosedAsIdle() throws Exception {
+        assertThat(runScenario("", 10, (loop, frontend, client) -> {
             List<BufferChain> taken = new ArrayList<>();
             for (int i = 0; i < 40; i++) { // most buffers are in use elsewhere
                 taken.add(new BufferChain(loop.pool));
                 taken.get(i).put("x");
             }
-            write(client, ASKED);
-            front.closeIdle(); // reads the first, is held
-            write(client, ASKED);
+            write(client, QUERY);
+            frontend.closeIdle(); // reads the first, then pauses
+            write(client, QUERY);
             loop.replies.get(0).replyLine("+OK");
-            front.closeIdle(); // reads the second ahead
-            front.closeIdle();
-            boolean open = front.hasClients();
+            frontend.closeIdle(); // reads the second ahead
+            frontend.closeIdle();
+            boolean open = frontend.hasClients();
             taken.forEach(BufferChain::release);
             loop.advanceTo(1100);
             return List.of(open, loop.replies.size());
--- a/src/test/java/dappleseam/clients/ManualIoLoop.java
+++ b/src/test/java/dappleseam/clients/ManualIoLoop.java
@@ -3,8 +3,8 @@
 import dappleseam.query.Command;
 import dappleseam.router.QueryId;
 import dappleseam.wire.BufferPool;
-import dappleseam.wire.Link;
 import dappleseam.wire.IoLoop;
+import dappleseam.wire.Link;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import org.xnio.StreamConnection;
 
-/** A loop whose time passes when the test says so; it stands in for the queries' side, too. */
+/** An I/O loop whose clock is advanced by the test. Also a query handler that records the queries and leaves the replies to the test. */
 public final class ManualIoLoop implements IoLoop, QueryHandler {
     public final List<Map.Entry<Double, Runnable>> scheduled = new ArrayList<>();
     public final List<PendingReply> replies = new ArrayList<>();
@@ -28,13 +28,13 @@
     }
 
     @Override
-    public PendingTask scheduleAt(double whenMs, Runnable then) {
-        Map.Entry<Double, Runnable> one = Map.entry(whenMs, then);
-        scheduled.add(one);
-        return () -> scheduled.remove(one);
+    public PendingTask scheduleAt(double whenMs, Runnable task) {
+        Map.Entry<Double, Runnable> pendingEntry = Map.entry(whenMs, task);
+        scheduled.add(pendingEntry);
+        return () -> scheduled.remove(pendingEntry);
     }
 
-    /** Lets time pass, and does what falls due meanwhile in its order. */
+    /** Advances the clock to {@code untilMs} in steps of 1 ms, and runs the tasks that fall due. */
     public void advanceTo(double untilMs) {
         for (; now < untilMs; now++) {
             List.copyOf(scheduled).stream().filter(d -> d.getKey() <= now && scheduled.remove(d)).forEach(d -> d.getValue().run());
@@ -42,8 +42,8 @@
     }
 
     @Override
-    public PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
-                         Consumer<String> failed) {
+    public PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected,
+                         Consumer<String> onFailure) {
         throw new UnsupportedOperationException();
     }
 
@@ -53,8 +53,8 @@
     }
 
     @Override
-    public Link createLink(StreamConnection connection, Link.Listener events) {
-        return new Link(connection, pool, ByteBuffer.allocate(1024), events);
+    public Link createLink(StreamConnection connection, Link.Listener listener) {
+        return new Link(connection, pool, ByteBuffer.allocate(1024), listener);
     }
 
     @Override
@@ -63,15 +63,15 @@
     }
 
     @Override
-    public QueryId submit(Command command, PendingReply one, double waitedMs) {
-        replies.add(one);
+    public QueryId submit(Command command, PendingReply reply, double waitedMs) {
+        replies.add(reply);
         return new QueryId(replies.size());
     }
 
     @Override
-    public void reject(Command command, PendingReply one) {
+    public void reject(Command command, PendingReply reply) {
         rejected++;
-        one.replyBusy(0);
+        reply.replyBusy(0);
     }
 
     @Override
--- a/src/test/java/dappleseam/list/ListFileTest.java
+++ b/src/test/java/dappleseam/list/ListFileTest.java
@@ -30,13 +30,13 @@
     }
 
     @Test
-    void whatIsReadIsWhatWasWritten() throws IOException {
+    void readReturnsWhatWasWritten() throws IOException {
         assertThat(reader.read(ListFile.read(file))).isEqualTo(list);
     }
 
-    /** Guards a new process against what an old one was killed over, and against what another version wrote. */
+    /** A process may be killed while writing the file, or another version may have written it; a new process must not use either. */
     @Test
-    void whatIsDamagedOrOfAnotherVersionIsPassedOver() throws IOException {
+    void aDamagedFileOrAnotherVersionIsRejected() throws IOException {
         byte[] whole = Files.readAllBytes(file);
         for (int cut : new int[] {0, 5, 40, whole.length - 1}) {
             Files.write(file, java.util.Arrays.copyOf(whole, cut));
--- a/src/test/java/dappleseam/list/ListReaderTest.java
+++ b/src/test/java/dappleseam/list/ListReaderTest.java
@@ -22,9 +22,9 @@
                 + "\"boot_ms\":77}]}";
     }
 
-    /** Guards the ring, which must be the same at every proxy: the address is not. */
+    /** The ring must be the same at all proxies, so nodes are identified by uid and not by address, which may differ between proxies. */
     @Test
-    void aNodeIsKnownByItsUidAndReachedAtItsEndpoint() throws IOException {
+    void aNodeIsIdentifiedByUidAndReachedAtItsEndpoint() throws IOException {
         ListEntry here = read(list("s-1", "127.0.0.1:6379")).entries().get(0);
         ListEntry there = read(list("s-1", "127.0.0.2:6379")).entries().get(0);
         assertThat(here.member()).isEqualTo(there.member())
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void whatIsNoListIsToldApart() {
+    void malformedListsAreRejected() {
         assertThatThrownBy(() -> read("{\"rev\":1}")).isInstanceOf(IOException.class);
         assertThatThrownBy(() -> read(list("s-1", "nowhere"))).isInstanceOf(IOException.class)
                 .hasMessageContaining("nowhere");
@@ -47,9 +47,9 @@
         }
     }
 
-    /** Cut at any byte it is no list; what is not known in it is passed over. */
+    /** A list truncated at any byte is rejected; unknown keys are ignored. */
     @Test
-    void partOfAListIsNone() throws IOException {
+    void aTruncatedListIsRejectedAndUnknownKeysAreIgnored() throws IOException {
         String whole = list("s-1", "127.0.0.1:6379").replace("\"rev\"", "\"new\":{\"a\":[1,{}]},\n  \"rev\"").replace("\"az\"", "\"tags\":[{\"uid\":\"no\"}], \"az\"");
         assertThat(read(whole).entries()).isEqualTo(read(list("s-1", "127.0.0.1:6379")).entries());
         for (int i = 0; i < whole.length(); i++) {
--- a/src/test/java/dappleseam/list/StartTimesTest.java
+++ b/src/test/java/dappleseam/list/StartTimesTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void whatComesLaterStartsThenAndStaysSo() {
+    void aNodeThatAppearsLaterStartsThenAndKeepsItsStartTime() {
         StartTimes times = new StartTimes();
         times.adjustFirstList(list(), NOW, WALL);
         for (double boot : new double[] {WALL - HOUR, WALL, WALL + HOUR}) {
@@ -32,9 +32,9 @@
         }
     }
 
-    /** Whatever the proxy's clock says: by the list alone each is at least so old. */
+    /** Regardless of the proxy's wall clock, each node is at least as old as the list alone shows. */
     @Test
-    void inTheFirstListANodeIsAsOldAsTheNewestShowsIt() {
+    void inTheFirstListAgesAreRelativeToTheNewestNode() {
         for (double step : new double[] {0, HOUR, 7000}) {
             assertThat(ages(new StartTimes().adjustFirstList(list(WALL - 60_000, WALL - 2000, 0), NOW, WALL + step), NOW))
                     .containsExactly(58_000.0, 0.0, Double.POSITIVE_INFINITY);
@@ -42,14 +42,14 @@
         assertThat(ages(new StartTimes().adjustFirstList(list(WALL - 60_000, WALL - 2000), NOW, WALL - HOUR), NOW)).containsExactly(58_000.0, 0.0);
     }
 
-    /** All clocks went back an hour, then the second one started: the others' times show it older than it is. */
+    /** All clocks were stepped back by an hour before the second node started, so the list alone makes it look older than it is. */
     @Test
-    void aNodeThatStartedAfterAStepBackIsNoOlderThanTheClockShows() {
+    void afterABackwardClockStepANodeIsNoOlderThanTheWallClockShows() {
         assertThat(ages(new StartTimes().adjustFirstList(list(WALL, WALL - HOUR - 1000), NOW, WALL - HOUR), NOW).get(1)).isEqualTo(1000.0);
     }
 
     @Test
-    void theNameOfAProcessIsWhatTheListSays() {
+    void aProcessIsIdentifiedByTheBootTimeInTheList() {
         StartTimes times = new StartTimes();
         times.adjustFirstList(list(WALL - 60_000, WALL), NOW, WALL);
         assertThat(times.bootMs(new NodeId(1))).isEqualTo(WALL - 60_000);
--- a/src/test/java/dappleseam/wire/LinkTest.java
+++ b/src/test/java/dappleseam/wire/LinkTest.java
@@ -19,11 +19,11 @@
 import org.xnio.conduits.NullStreamSinkConduit;
 
 class LinkTest {
-    /** A connection that tells which thread closed it. */
-    private static final class Closing extends StreamConnection {
+    /** A connection that records which thread closed it. */
+    private static final class CloseRecordingConnection extends StreamConnection {
         final BlockingQueue<Thread> closedBy = new LinkedBlockingQueue<>();
 
-        Closing(XnioIoThread thread) {
+        CloseRecordingConnection(XnioIoThread thread) {
             super(thread);
             setSourceConduit(new EmptyStreamSourceConduit(thread));
             setSinkConduit(new NullStreamSinkConduit(thread));
@@ -60,11 +60,11 @@
         }
     }
 
-    /** Guards the queries that are served meanwhile: each close on the I/O thread is a select over all that is ready. */
+    /** Closing on the I/O thread costs a select over all ready connections each time, which delays other queries. */
     @Test
     void theIoThreadDoesNotCloseConnections() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        Closing connection = new Closing(worker.getIoThread());
+        CloseRecordingConnection connection = new CloseRecordingConnection(worker.getIoThread());
         Link link = new Link(connection, new BufferPool(1), ByteBuffer.allocate(1), new Link.Listener() {
             @Override
             public void received(ByteBuffer bytes) {}
--- a/src/test/java/dappleseam/wire/ReadersTest.java
+++ b/src/test/java/dappleseam/wire/ReadersTest.java
@@ -16,9 +16,9 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Guards against a peer whose bytes come one at a time. */
+    /** The bytes of a peer may arrive one at a time. */
     @Test
-    void anArrayInSingleBytesIsReadWhole() {
+    void anArrayIsReadByteByByte() {
         RespReader reader = new RespReader(pool, 100);
         ByteBuffer in = bytes("*3\r\n$3\r\na\r\n\r\n$0\r\n\r\n$-1\r\n");
         ParseStatus progress = ParseStatus.NEED_MORE;
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void whatFollowsAMessageIsLeft() {
+    void bytesAfterAMessageAreNotConsumed() {
         ByteBuffer in = bytes("-BUSY\r\n+OK\r\n");
         RespReader reader = new RespReader(pool, 100);
         assertThat(reader.read(in)).isEqualTo(ParseStatus.DONE);
@@ -45,18 +45,18 @@
     @ParameterizedTest
     @ValueSource(strings = {"GET / HTTP/1.1\r\n", "*17\r\n", "*-2\r\n", "$101\r\n", "*1\r\n+OK\r\n", "$1\r\nab\r\n",
         "*1\n", "$99999999999\r\n", "*1\r\n*1\r\n", "$+1\r\n"})
-    void whatIsNoMessageIsBad(String text) {
+    void malformedRespIsRejected(String text) {
         assertThat(new RespReader(pool, 100).read(bytes(text))).isEqualTo(ParseStatus.MALFORMED);
     }
 
-    /** Guards the memory against a line without end. */
+    /** An endless line must not use up memory. */
     @Test
-    void aLineWithoutEndIsBad() {
+    void anEndlessLineIsRejected() {
         assertThat(new RespReader(pool, 100).read(bytes("+".repeat(1000)))).isEqualTo(ParseStatus.MALFORMED);
     }
 
     @Test
-    void aMessageCutShortGivesItsBuffersBack() {
+    void anIncompleteMessageReleasesItsBuffers() {
         RespReader reader = new RespReader(pool, 1 << 16);
         reader.read(bytes("*2\r\n$1\r\na\r\n$20000\r\n" + "x".repeat(9000)));
         assertThat(pool.inUse()).isEqualTo(3);
@@ -64,9 +64,9 @@
         assertThat(pool.inUse()).isZero();
     }
 
-    /** Guards the buffers against one command of many long strings: refused at the length that is too much. */
+    /** A command of many long strings must not use up the buffers: it is rejected at the length header that exceeds the total. */
     @Test
-    void aMessageIsBoundedAsAWhole() {
+    void theTotalSizeOfAMessageIsBounded() {
         RespReader reader = new RespReader(pool, 1 << 14);
         String long1 = "$16000\r\n" + "x".repeat(16000) + "\r\n";
         assertThat(reader.read(bytes("*3\r\n" + long1 + "$16000\r\n"))).isEqualTo(ParseStatus.MALFORMED);
@@ -86,7 +86,7 @@
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-A: 1\r\n\r\nvalue",
         "HTTP/1.1 200 OK\r\nX-A: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nva\r\n3;x=y\r\nlue\r\n0\r\n\r\n",
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nx-a: 1\r\nContent-Length: 5\r\n\r\nvalue"})
-    void anAnswerInSingleBytesIsReadWhole(String text) {
+    void aResponseIsReadByteByByte(String text) {
         HttpResponseReader reader = new HttpResponseReader(pool, 100);
         ByteBuffer in = bytes(text);
         ParseStatus progress = ParseStatus.NEED_MORE;
@@ -102,10 +102,10 @@
     }
 
     @Test
-    void aBodyMayEndWithItsConnection() {
+    void aBodyMayEndWhenTheConnectionCloses() {
         HttpResponseReader reader = new HttpResponseReader(pool, 100);
         assertThat(reader.read(bytes("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue"))).isEqualTo(ParseStatus.NEED_MORE);
-        assertThat(reader.endsBody()).isTrue();
+        assertThat(reader.isCompleteAtClose()).isTrue();
         assertThat(reader.staysOpen()).isFalse();
     }
 
@@ -114,7 +114,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 101\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"})
-    void whatIsNoAnswerIsBad(String text) {
+    void malformedHttpIsRejected(String text) {
         assertThat(new HttpResponseReader(pool, 100).read(bytes(text))).isEqualTo(ParseStatus.MALFORMED);
     }
 }
