--- a/src/main/java/dappleseam/fleet/lastlist/FolderStore.java
+++ b/src/main/java/dappleseam/fleet/lastlist/FolderStore.java
@@ -12,7 +12,10 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** A folder that all proxies reach, whose file system has locks: looking at the token and replacing the file are one step under one. */
+/**
+ * A store in a folder that all proxies can access. Its file system must support locks: a write compares the token and replaces the
+ * file under one lock.
+ */
 public final class FolderStore implements ListStore {
     private static final String VERSION = "dappleseam-last-list-2";
 
@@ -38,7 +41,7 @@
         }
     }
 
-    /** Null for nothing; damage is nothing, or a folder once spoilt would take nothing ever again. */
+    /** Null if there is no file. A damaged file counts as none, since otherwise no write would ever succeed again. */
     private Stored seen() throws IOException {
         try {
             return read();
--- a/src/main/java/dappleseam/fleet/lastlist/HttpStore.java
+++ b/src/main/java/dappleseam/fleet/lastlist/HttpStore.java
@@ -12,15 +12,16 @@
 import java.net.URI;
 
 /**
- * A resource behind HTTP (RFC 9110) that keeps one object: PUT replaces it where its headers {@code Fencing-Token} and {@code Write-Number} come after
- * those of the object that is there, looking and replacing in one step, and is answered 409 with the token that is there where they do not; GET gives it. Any thread
- * may wait here for as long as {@link #LONGEST_MS}.
+ * A store behind an HTTP (RFC 9110) resource that holds one object. PUT atomically replaces the object if the request's headers
+ * {@code Fencing-Token} and {@code Write-Number} come after those of the stored one, and is answered 409 with the stored token
+ * otherwise; GET returns it. Calls may block for {@link #MAX_READ_MS} and a time-out.
  */
 public final class HttpStore implements ListStore {
     static final String TOKEN = "Fencing-Token";
     static final String NUMBER = "Write-Number";
-    /** Time in ms for one step of a call, and for reading one answer: a start may wait for it. */
+    /** Time-out in ms of connecting and of each read. Both limits are short because the start of a proxy may wait for them. */
     private static final int STEP_MS = 300;
+    /** Maximum time in ms for reading one answer. */
     private static final double LONGEST_MS = 1000;
     private static final int LONGEST = 4 << 20;
     private static final int PIECE = 16 << 10;
@@ -28,7 +29,7 @@
 
     private final URI where;
 
-    /** {@code where}: http, with a host. */
+    /** {@code uri}: an http URI with a host. */
     public HttpStore(URI where) {
         this.where = where;
     }
@@ -40,7 +41,7 @@
         call.setReadTimeout(STEP_MS);
         call.setInstanceFollowRedirects(false);
         call.setUseCaches(false);
-        call.setRequestProperty("Connection", "close"); // one kept from before a restart of the store would fail the next call
+        call.setRequestProperty("Connection", "close"); // a kept-alive connection would fail the next call after a restart of the store
         return call;
     }
 
@@ -56,14 +57,14 @@
             call.setRequestProperty(TOKEN, token.text());
             call.setRequestProperty(NUMBER, Long.toString(number));
             call.setDoOutput(true);
-            call.setFixedLengthStreamingMode(body.size()); // nor is it ever sent a second time by itself
+            call.setFixedLengthStreamingMode(body.size()); // also prevents HttpURLConnection from repeating the request
             call.getOutputStream().write(body.toByteArray());
             int status = call.getResponseCode();
             if (status == HttpURLConnection.HTTP_CONFLICT) {
                 throw new FencedException(seen(call));
             }
             if (status / 100 != 2) {
-                throw new IOException("the store answered " + status);
+                throw new IOException("the store answered with status " + status);
             }
         } finally {
             call.disconnect();
@@ -75,7 +76,7 @@
         try {
             return Token.parse(told == null ? "" : told);
         } catch (IllegalArgumentException e) {
-            throw new IOException("the store refused without a token");
+            throw new IOException("the store answered with status 409 without a valid token");
         }
     }
 
@@ -85,17 +86,17 @@
         try {
             int status = call.getResponseCode();
             if (status != HttpURLConnection.HTTP_OK) {
-                throw new IOException("the store answered " + status);
+                throw new IOException("the store answered with status " + status);
             }
             return Stored.of(Json.read(body(call.getInputStream())));
         } catch (IllegalArgumentException e) {
-            throw new IOException("the store holds something else: " + e.getMessage());
+            throw new IOException("the store's content is not a list: " + e.getMessage());
         } finally {
             call.disconnect();
         }
     }
 
-    /** Guards a start against an answer without end, and one that comes by drops. */
+    /** Reads the answer, limited in size and time, so that an endless or very slow answer does not block a start. */
     private static byte[] body(InputStream in) throws IOException {
         double until = System.nanoTime() / NANOS_PER_MS + LONGEST_MS;
         ByteArrayOutputStream body = new ByteArrayOutputStream();
@@ -103,7 +104,7 @@
         for (int read = in.read(piece); read >= 0; read = in.read(piece)) {
             body.write(piece, 0, read);
             if (body.size() > LONGEST || System.nanoTime() / NANOS_PER_MS > until) {
-                throw new IOException("the store's answer is too long, or too slow");
+                throw new IOException("the store's answer is too long or too slow");
             }
         }
         return body.toByteArray();
--- a/src/main/java/dappleseam/fleet/lastlist/KeepList.java
+++ b/src/main/java/dappleseam/fleet/lastlist/KeepList.java
@@ -7,13 +7,13 @@
 import java.io.IOException;
 import java.util.function.Supplier;
 
-/** One proxy writes the list as it last had it, so that one which starts while the list service is down has it. */
+/** The fleet task that stores the last known list, so that a proxy that starts while the list service is down can load it. */
 public final class KeepList implements FleetTask {
     private static final LeaseName LEASE = new LeaseName("last-list");
     private static final double EVERY_MS = 1000;
-    /** Time in ms that a write may take. */
+    /** Maximum time in ms of a write, for which the lease must still be valid. */
     private static final double WRITE_MS = 200;
-    /** Time in ms after which it is written again though it is the same: its age tells that somebody keeps it. */
+    /** Time in ms after which an unchanged list is written again; its age shows that the task is running. */
     private static final double AGAIN_MS = 30_000;
 
     private final Supplier<NodeList> last;
@@ -23,7 +23,7 @@
     private double writtenAt;
     private long writes;
 
-    /** {@code last}: the list as this proxy last had it, or null; for any thread. */
+    /** {@code currentList}: supplies this proxy's last known list or null, on any thread. */
     public KeepList(Supplier<NodeList> last, ListStore store) {
         this.last = last;
         this.store = store;
@@ -49,7 +49,7 @@
             return;
         }
         try {
-            // Whatever stands still between here and there, the store refuses a token that is no longer the last.
+            // If this process stalls before the write, the store refuses the token once a later holder has written.
             store.write(token, ++writes, now, list);
             written = list;
             writtenWith = token;
--- a/src/main/java/dappleseam/fleet/lastlist/ListStore.java
+++ b/src/main/java/dappleseam/fleet/lastlist/ListStore.java
@@ -7,26 +7,32 @@
 import dappleseam.list.NodeList;
 import java.io.IOException;
 
-/** Where the fleet's last known list is kept: a resource that refuses older tokens than it has seen. */
+/** Stores the fleet's last known list and refuses writes with a token older than the stored one. */
 public interface ListStore {
-    /** What is there. {@code number}: of that token's writes; {@code writtenMs}: by the writer's wall clock; {@code list}: in the list service's form. */
+    /**
+     * The stored object. {@code number}: counts the writes with this token; {@code writtenAtMs}: the writer's wall clock;
+     * {@code list}: in the format of the list service.
+     */
     record Stored(Token token, long number, double writtenMs, JsonNode list) {
-        /** Whether a write by that token and number comes after this one: guards against one that was long on its way. */
+        /** Whether a write with that token and number comes after this one. Delayed older writes do not. */
         public boolean isBefore(Token other, long itsNumber) {
             return token.isBelow(other) || token.equals(other) && number < itsNumber;
         }
 
-        /** As {@link ListStore#write(JsonGenerator, Token, long, double, NodeList)} has it; an {@link IllegalArgumentException} where it was never written so. */
+        /**
+         * Parses what {@link ListStore#write(JsonGenerator, Token, long, double, NodeList)} wrote; throws
+         * {@link IllegalArgumentException} for anything else.
+         */
         public static Stored of(JsonNode root) {
             if (!root.path("token").path(1).isIntegralNumber() || !root.path("list").isObject()) {
-                throw new IllegalArgumentException("no list with its token");
+                throw new IllegalArgumentException("token or list is missing");
             }
             return new Stored(new Token(root.path("token").path(0).asLong(), root.path("token").path(1).asLong()), root.path("number").asLong(),
                     root.path("written_ms").asDouble(), root.path("list"));
         }
     }
 
-    /** The form in which it is kept, as one object. */
+    /** Writes the stored form, a JSON object. */
     static void write(JsonGenerator json, Token token, long number, double nowMs, NodeList list) throws IOException {
         json.writeStartObject();
         json.writeArrayFieldStart("token");
@@ -40,13 +46,13 @@
         json.writeEndObject();
     }
 
-    /** A later holder has written, or this one has since. */
+    /** Thrown if a later holder has written, or this holder with a later number. */
     final class FencedException extends IOException {
         private static final long serialVersionUID = 1L;
         private final transient Token seen;
 
         public FencedException(Token seen) {
-            super("a later write is there, its token is " + seen.text());
+            super("the store holds a later write with token " + seen.text());
             this.seen = seen;
         }
 
@@ -55,9 +61,9 @@
         }
     }
 
-    /** Returns once it lasts. {@code number}: one more with each write of a token. */
+    /** Returns once the list is stored durably. {@code number}: incremented with each write with the same token. */
     void write(Token token, long number, double nowMs, NodeList list) throws IOException;
 
-    /** An exception says why there is nothing to be had. */
+    /** Reads the stored list; throws if there is none or it cannot be read. */
     Stored read() throws IOException;
 }
--- a/src/main/java/dappleseam/fleet/membership/Correspondent.java
+++ b/src/main/java/dappleseam/fleet/membership/Correspondent.java
@@ -4,26 +4,26 @@
 import java.util.List;
 
 /**
- * What passes between members, one method per kind of datagram. Sent through {@link FleetHost}, heard by {@link Membership}:
- * {@code peer} is where it goes to there, and where it came from here. {@code self} is the sender's own notice, {@code news} what it has to
- * tell, within {@link Membership#NEWS_BYTES}.
+ * The messages between members, one method per kind of datagram. {@link MembershipHost} sends them and {@link Membership} receives
+ * them: {@code address} is the recipient's there and the sender's here. {@code self}: the sender's own entry; {@code sequence}: ties a
+ * reply to its ping; {@code updates}: gossip, at most {@link Membership#MAX_UPDATE_BYTES}.
  */
 public interface Correspondent {
-    /** Are you there, {@code target}? Null: whoever is there. */
+    /** Asks the member {@code target} for an ack; null addresses any member at that address. */
     void ping(InetSocketAddress peer, Notice self, long number, MemberName target, List<Notice> news);
 
-    /** I am; or {@code about} is, whom you asked me to probe. */
+    /** Answers a ping; if {@code subject} is not null, it answered a ping that was sent on the recipient's request. */
     void ack(InetSocketAddress peer, Notice self, long number, Notice about, List<Notice> news);
 
-    /** The one you asked me to probe has not answered me in time, but I am here. */
+    /** The member that the recipient asked to have pinged has not answered the sender in time; the sender itself is reachable. */
     void nack(InetSocketAddress peer, Notice self, long number);
 
-    /** Probe {@code target} for me. */
+    /** Asks the recipient to ping {@code target} on the sender's behalf (an indirect probe). */
     void ask(InetSocketAddress peer, Notice self, long number, Notice target, List<Notice> news);
 
-    /** Sums over the parts of my view; {@code answer} where they come in return for others. */
+    /** Digests of the buckets of the sender's view; {@code isReply}: whether they answer the recipient's own. */
     void sums(InetSocketAddress peer, Notice self, boolean answer, int[] sums);
 
-    /** News, or parts of my view. */
+    /** Gossip, or the entries of view buckets that differ. */
     void tell(InetSocketAddress peer, Notice self, List<Notice> news);
 }
--- a/src/main/java/dappleseam/fleet/membership/FleetHost.java
+++ b/src/main/java/dappleseam/fleet/membership/FleetHost.java
@@ -4,22 +4,25 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What the membership can do. Every call takes effect at the time of the event being handled, and may come to nothing. */
+/**
+ * The environment of a {@link Membership}: sending, timers and notifications. Every call takes effect at the time of the event being
+ * handled. Sending is best effort.
+ */
 public interface FleetHost extends Correspondent {
-    /** A ping by a way that notices a closed port: {@link Membership#refused} is called then. */
+    /** Sends a ping over a connected socket; if the port is closed, {@link Membership#connectionRefused} is called. */
     void call(InetSocketAddress peer, Notice self, long number, MemberName target, List<Notice> news);
 
-    /** Calls {@link Membership#woken} at that time; an earlier wish for a wake-up is void. */
+    /** Schedules a call of {@link Membership#woken} and replaces the one scheduled before. */
     void wakeAt(double ms);
 
-    /** This view holds something else of that member now; {@code before} is null for one that was not known. */
+    /** The view's entry of a member changed; {@code before} is null for a new member. */
     void seen(Notice before, Notice now);
 
     void stands(Standing standing);
 
-    /** This process was not run for so many ms, up to now; what it heard and did not hear meanwhile tells nothing. */
+    /** This process did not run for the last {@code ms}; missing answers from that time are no evidence against other members. */
     default void stoodStill(double ms) {
-        log(String.format(Locale.ROOT, "fleet: this process stood still for %.0f ms", ms));
+        log(String.format(Locale.ROOT, "fleet: this process was stalled for %.0f ms", ms));
     }
 
     void log(String text);
--- a/src/main/java/dappleseam/fleet/membership/Life.java
+++ b/src/main/java/dappleseam/fleet/membership/Life.java
@@ -1,16 +1,17 @@
 package dappleseam.fleet.membership;
 
 /**
- * One process that goes by a member's name. {@code start} is the wall clock in ms at its start, or one more than that of a life it
- * heard of; from 0 to {@link #LATEST}. {@code nonce} is drawn at its start. Of two lives the greater one is in force.
+ * Identifies one process that runs under a member's name. {@code start}: wall clock in ms at its start, or one more than the start of
+ * an earlier generation that it learnt of, 0 to {@link #MAX_START}; {@code nonce}: random, drawn at its start. The greater of two
+ * generations is the current one.
  */
 public record Life(long start, long nonce) implements Comparable<Life> {
-    /** Latest start: some thousands of years from now. What is beyond is no start. */
+    /** Greatest valid start, some thousands of years from now. */
     public static final long LATEST = 1L << 47;
 
     public Life {
         if (start < 0 || start > LATEST) {
-            throw new IllegalArgumentException("no start of a life");
+            throw new IllegalArgumentException("start out of range");
         }
     }
 
--- a/src/main/java/dappleseam/fleet/membership/MemberName.java
+++ b/src/main/java/dappleseam/fleet/membership/MemberName.java
@@ -2,13 +2,13 @@
 
 import java.util.regex.Pattern;
 
-/** What a member is called: 1 to 48 of the letters, digits, dots, dashes and underscores of ASCII; the same after a restart. */
+/** A member's name, which survives restarts: 1 to 48 ASCII letters, digits, dots, dashes and underscores. */
 public record MemberName(String text) {
     private static final Pattern FORM = Pattern.compile("[A-Za-z0-9._-]{1,48}");
 
     public MemberName {
         if (!FORM.matcher(text).matches()) {
-            throw new IllegalArgumentException("no name of a member");
+            throw new IllegalArgumentException("not a valid member name");
         }
     }
 
--- a/src/main/java/dappleseam/fleet/membership/Membership.java
+++ b/src/main/java/dappleseam/fleet/membership/Membership.java
@@ -19,73 +19,88 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One proxy's view of all proxies: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health (Dadgar, Phillips, Currey 2017), and what
- * docs/fleet-design.md adds to them. Free of I/O, one method per thing that can happen; times are ms of a clock that is never set.
- * Not for several threads.
+ * One proxy's view of all proxies: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health (Dadgar, Phillips, Currey 2017) and
+ * the extensions in docs/fleet-design.md. Performs no I/O and has one method per event; times are ms of a monotonic clock.
+ * Not thread-safe.
  */
 public final class Membership implements Correspondent {
-    /** Bytes of news in one datagram: 1,400 less two notices and the frame. */
+    /** Maximum bytes of gossip in one datagram: 1,400 less two entries and the frame. */
     public static final int NEWS_BYTES = 1100;
-    /** Parts of a view that are compared by their sums. */
+    /** Number of buckets of a view whose digests are compared during anti-entropy. */
     public static final int PARTS = 128;
-    /** Datagrams that answer one comparison at most. */
+    /** Maximum datagrams sent in reply to one comparison of views. */
     private static final int MOST_PARTS_SENT = 8;
-    /** Share of a period after which others are asked to probe, too; after which they say that it was in vain; after which it is judged. */
+    /** Fraction of a period after which an unanswered probe is also sent indirectly. */
     private static final double ASK_SHARE = 0.35;
+    /** Fraction of a period after which a member that probes for another replies with a nack. */
     private static final double NACK_SHARE = 0.3;
+    /** Fraction of a period after which a probe's result is evaluated. */
     private static final double JUDGE_SHARE = 0.95;
-    /** Below this in ms two times are one: sums of times are rounded. */
+    /** Times that differ by less than this, in ms, are treated as equal, because sums of times are rounded. */
     private static final double GRAIN_MS = 0.001;
-    /** Share of a period by which a wake-up that comes late is a stall of this process's own. */
+    /** Delay of a wake-up, as a fraction of a period, from which it counts as a stall of this process. */
     private static final double STALL_SHARE = 0.2;
-    /** Periods after a stall in which a process accuses nobody. */
+    /** Periods after a stall in which a process suspects no other member. */
     public static final double DOUBT_PERIODS = 2;
-    /** Periods after a stall in which it counts as slow. */
+    /** Periods after a stall in which a process reports itself as slow. */
     private static final double SLOW_PERIODS = 5;
-    /** Worst state of one's own health, which multiplies periods and time-outs (Lifeguard); from which one counts as slow. */
+    /** Worst local health score. The probe interval and the probe deadlines are multiplied by one plus the score (Lifeguard). */
     private static final int WORST_HEALTH = 8;
+    /** Local health score from which a process reports itself as slow. */
     private static final int SLOW_HEALTH = 4;
-    /** Periods of suspicion for each tenfold size, at least; the factor up to which it is longer without accusers; accusers that shorten it. */
+    /** Minimum periods that a suspicion lasts, for each factor of ten of the number of live members. */
     private static final double SUSPICION_PERIODS = 4;
+    /** Factor by which a suspicion with a single accuser lasts longer than the minimum. */
     private static final double SUSPICION_LONGEST = 6;
+    /** Number of further accusers that shorten a suspicion to the minimum. */
     private static final int ACCUSERS = 3;
-    /** Rumours are told to so many at once, every share of a period while there is one. */
+    /** Members that gossip is sent to at once. */
     private static final int TOLD_AT_ONCE = 2;
+    /** Interval between gossip rounds, as a fraction of a period, while there is anything to send. */
     private static final double TELL_SHARE = 0.25;
-    /** Periods between tries of a seed once somebody is known; between comparisons of views that agree; between tries of one failed member; tries in a row that it is kept for. */
+    /** Periods between pings of a seed once any member is known. */
     private static final int SEED_PERIODS = 5;
+    /** Average periods between comparisons of views once a process has caught up. */
     private static final int COMPARE_PERIODS = 10;
+    /** Periods between retries of a failed member. */
     private static final int RETRY_PERIODS = 3;
+    /** Consecutive retries of the same failed member. */
     private static final int RETRIES = 4;
-    /** Refusals in a row that prove an end, and the periods that they span at least: a restart takes less. */
+    /** Consecutive refused connections that prove that a member has ended. */
     private static final int REFUSALS = 3;
+    /** Minimum periods that those refusals must span; a restart takes less time. */
     private static final double REFUSED_PERIODS = 9;
-    /** Members asked out of turn in a period. */
+    /** Maximum members pinged out of turn in a period. */
     private static final int MOST_LOOKS = 4;
-    /** Periods without a word from anybody after which one is alone. */
+    /** Periods without any message after which a process is alone. */
     private static final double ALONE_PERIODS = 10;
-    /** Share by which the counted fleet falls in a period, one at least; periods from an end on in which it does not fall: a living process of that name is heard by then. */
+    /** Fraction by which the fleet size shrinks in a period, at least by one member. */
     private static final double FALL_SHARE = 0.02;
+    /** Periods after a member's end in which the fleet size does not shrink: a running process of that name is heard from by then. */
     private static final double FALL_AFTER_PERIODS = 6;
-    /** Comparisons after which a process that came has caught up as well as it can; those that found no difference after which it has: the first may be with another that just came. */
+    /** Comparisons of views after which a new process counts as caught up in any case. */
     private static final int CAUGHT_UP = 15;
+    /** Comparisons without a difference after which it counts as caught up. A single one may be with another new process. */
     private static final int AGREED = 3;
-    /** Number of an ack that says that sums agree; probes have others. */
+    /** Sequence number of an ack that reports matching digests; no ping uses it. */
     private static final long AGREES = 0;
-    /** Periods between comparisons until then, at most. */
+    /** Maximum periods between comparisons of views until a process has caught up. */
     private static final int CATCH_UP_PERIODS = 3;
-    /** Members drawn for each helper that is wanted. */
+    /** Random candidates drawn for each indirect prober. */
     private static final int HELPER_DRAWS = 4;
-    /** Probes in a row that only others got through. */
+    /** Consecutive probes that only indirect probers got through, from which a member is reported as missing. */
     private static final int VIA_OTHERS = 2;
-    /** Probes carried out for others at once; lives of one's own name that are answered; names told of as missing. */
+    /** Maximum concurrent probes on behalf of other members. */
     private static final int MOST_ERRANDS = 64;
+    /** Maximum other generations under this process's own name that it outranks. */
     private static final int MOST_LIVES = 16;
+    /** Maximum members reported as missing. */
     private static final int MOST_MISSING = 32;
-    /** Periods between two questions to a process of one's own name; for which its answer counts. */
+    /** Minimum periods between two pings of another process under the same name. */
     private static final double TWIN_PERIODS = 5;
+    /** Periods for which an answer of such a process counts. */
     private static final double TWIN_LASTS_PERIODS = 20;
-    /** Members told directly that one leaves. */
+    /** Members that are notified directly when this process leaves. */
     private static final int FAREWELLS = 8;
 
     private final FleetHost host;
@@ -103,7 +118,7 @@
     private boolean telling;
     private final PriorityQueue<Due> dues = new PriorityQueue<>();
     private long duesMade;
-    /** This process's own time: the host's without what it did not run for. */
+    /** This process's own time: the host's clock minus all stalls. */
     private double now;
     private double lost;
     private double wokenAt = Double.NaN;
@@ -123,7 +138,10 @@
     private double heardAt;
     private boolean heardAny;
     private double counted;
-    /** The most members that were counted at once, this one among them: those of the file's number beyond it were never heard of, and may come at any time. */
+    /**
+     * Most members known at once, including this one. Members that the configured fleet size has beyond this number were never heard
+     * of and may still start at any time.
+     */
     private int mostKnown = 1;
     private double fallsFrom;
     private Standing standing;
@@ -138,7 +156,7 @@
     /** Another member. */
     private static final class Peer {
         Notice notice;
-        /** Place in {@link #present} or {@link #failed}; -1 for neither. */
+        /** Index in {@link #liveMembers} or {@link #failed}; -1 if in neither. */
         int place = -1;
         Suspicion suspicion;
         double sinceMs;
@@ -155,9 +173,9 @@
     private static final class Suspicion {
         final double beganAt;
         final Set<Integer> accusers = new HashSet<>();
-        /** This process has doubted its own ear because of it. */
+        /** Whether this process raised its own health score when it began to suspect the member. */
         boolean blamedSelf;
-        /** Somebody holds it for failed already. */
+        /** Whether another member already considers it failed. */
         boolean foundFailed;
 
         Suspicion(double beganAt) {
@@ -165,6 +183,7 @@
         }
     }
 
+    /** The probe of this period, direct and indirect. */
     private static final class Probe {
         final long number;
         final Peer peer;
@@ -180,8 +199,10 @@
         }
     }
 
+    /** A probe on behalf of another member. */
     private record Errand(InetSocketAddress from, long number, MemberName target) {}
 
+    /** The failed member that is currently being retried. */
     private static final class Retry {
         final Peer peer;
         long number;
@@ -192,6 +213,7 @@
         }
     }
 
+    /** A scheduled action; {@code label} identifies it in {@link #fingerprint}. */
     private record Due(double at, long order, String what, Runnable run) implements Comparable<Due> {
         @Override
         public int compareTo(Due other) {
@@ -200,7 +222,7 @@
         }
     }
 
-    /** {@code self}: a life just begun, incarnation 0, alive. {@link #begin} starts it. */
+    /** {@code self}: a new generation, incarnation 0, alive. Nothing is sent before {@link #begin}. */
     public Membership(Terms terms, Notice self, FleetHost host, RandomGenerator random, double nowMs) {
         this.terms = terms;
         this.self = self;
@@ -213,7 +235,7 @@
         sums[part(self.name())] ^= self.sum();
     }
 
-    /** Addresses that are tried while nobody is known. */
+    /** Starts probing and gossiping. {@code seedAddresses}: addresses to ping in order to find the fleet. */
     public void begin(double nowMs, List<InetSocketAddress> known) {
         enter(nowMs);
         seeds = List.copyOf(known);
@@ -222,7 +244,7 @@
         leave();
     }
 
-    /** For a simulation that begins in the middle of a fleet's life: all of these are known, and nothing of it is news. */
+    /** For simulations that start with an established fleet: adds all entries without gossiping them. */
     public void remember(double nowMs, List<Notice> known) {
         enter(nowMs);
         for (Notice notice : known) {
@@ -235,7 +257,7 @@
         leave();
     }
 
-    /** Terms as they are now, for periods to come. */
+    /** Applies a changed configuration from the next period on. */
     public void termsChanged(double nowMs, Terms other, List<InetSocketAddress> known) {
         enter(nowMs);
         terms = other;
@@ -244,6 +266,7 @@
         leave();
     }
 
+    /** Runs all timers that are due. */
     public void woken(double nowMs) {
         wokenAt = Double.NaN;
         enter(nowMs);
@@ -253,7 +276,7 @@
         leave();
     }
 
-    /** Nobody listens where {@link FleetHost#call} went. */
+    /** The port that {@link MembershipHost#pingConnected} sent to is closed. */
     public void refused(double nowMs, InetSocketAddress peer) {
         enter(nowMs);
         if (retry != null && retry.peer.notice.address().equals(peer)) {
@@ -262,7 +285,7 @@
         leave();
     }
 
-    /** An operator knows that it has ended for good. False where no such member is counted. */
+    /** An operator confirms that a failed member has ended for good. Returns false if no failed member has that name. */
     public boolean endedByWord(double nowMs, MemberName name) {
         enter(nowMs);
         Peer peer = peers.get(name);
@@ -274,7 +297,7 @@
         return known;
     }
 
-    /** This process is about to end, and its place with it. Nothing is sent after this. */
+    /** Announces that this process is about to end. Nothing is sent after this. */
     public void leaving(double nowMs) {
         enter(nowMs);
         if (!hasLeft) {
@@ -287,9 +310,9 @@
         }
     }
 
-    // What other members send.
+    // Messages from other members.
 
-    /** Takes what came from another member just now. */
+    /** Returns the receiver of a message that has arrived at {@code nowMs}. */
     public Correspondent heard(double nowMs) {
         enter(nowMs);
         return this;
@@ -300,7 +323,7 @@
         if (!hear(from, sender, news)) {
             return;
         }
-        if (target != null && !target.equals(self.name())) { // another's address once: that it is not here is worth knowing
+        if (target != null && !target.equals(self.name())) { // the target had this address before; the reply shows that it is not here
             host.tell(from, self, List.of());
         } else {
             host.ack(from, self, number, null, news(sender));
@@ -397,15 +420,15 @@
     public void tell(InetSocketAddress from, Notice sender, List<Notice> news) {
         if (hear(from, sender, news)) {
             if (retry != null && retry.peer.notice.address().equals(from) && !sender.name().equals(retry.peer.notice.name())) {
-                refusedBy(retry.peer); // another member has its address now
+                refusedBy(retry.peer); // another member has its address now, which proves as much as a refused connection
             }
             leave();
         }
     }
 
-    /** What is in any datagram. False where it is to be passed over. */
+    /** Processes what every datagram contains. Returns false if the datagram is to be ignored. */
     private boolean hear(InetSocketAddress from, Notice sender, List<Notice> news) {
-        if (hasLeft || sender.life().equals(self.life())) { // guards against datagrams that come back to their sender
+        if (hasLeft || sender.life().equals(self.life())) { // a datagram that was looped back to its sender
             return false;
         }
         if (isTwin(sender)) {
@@ -419,14 +442,14 @@
         Peer peer = peers.get(sender.name());
         if (peer != null && !peer.notice.state().isPresent() && peer.notice.life().equals(sender.life())
                 && sender.state().isPresent()) {
-            look(peer); // it lives, and hears that it has to say so
+            look(peer); // it is running; the ping carries the entry that it has to refute
         }
         return true;
     }
 
-    // Time.
+    // Timers.
 
-    /** Guards the others against this process's own stalls: what it did not run for does not count as their silence. */
+    /** Sets the current time. Detects stalls of this process, whose duration must not count as silence of the other members. */
     private void enter(double nowMs) {
         double late = dues.isEmpty() ? 0 : nowMs - lost - dues.peek().at;
         if (late > STALL_SHARE * terms.periodMs() && terms.localHealth()) {
@@ -547,7 +570,7 @@
         boolean unheard = over.asked.isEmpty() || over.asked.stream().anyMatch(helper -> !missedByOthers(helper) && !over.nacks.contains(helper.notice.name()));
         boolean doubtful = unheard && !missedByOthers(over.peer);
         if (doubtful) {
-            worse(); // those that were asked did not even say no: it may be this one's own ear
+            worse(); // even the indirect probers sent no nack, so the fault may be this process's own link
         }
         if (over.peer.notice.state().isPresent() && !(terms.localHealth() && now < doubtUntil)) {
             suspect(over.peer, self.name().hashCode());
@@ -570,7 +593,7 @@
             return;
         } else {
             spread(peer.notice.with(State.SUSPECT, accuser));
-            if (peer.suspicion.blamedSelf) { // another found the same: it was not this one's ear
+            if (peer.suspicion.blamedSelf) { // another member agrees, so the fault was not this process's own link
                 peer.suspicion.blamedSelf = false;
                 better();
             }
@@ -586,7 +609,7 @@
         });
     }
 
-    /** Lifeguard's: the longer, the fewer have accused it. */
+    /** Duration of a suspicion, which is the longer the fewer members have accused the member (Lifeguard). */
     private double suspicionMs(Suspicion suspicion) {
         double least = SUSPICION_PERIODS * Math.log10(Math.max(10, present.size() + 1)) * terms.periodMs();
         int wanted = Math.min(ACCUSERS, present.size() - 2);
@@ -597,7 +620,7 @@
         return Math.max(least, least * (SUSPICION_LONGEST - (SUSPICION_LONGEST - 1) * share));
     }
 
-    /** One that no member is known at: guards against islands, each around a seed of its own. */
+    /** Pings a seed address at which no member is known, so that groups that formed around different seeds find each other. */
     private void trySeed() {
         List<InetSocketAddress> unknown = new ArrayList<>(seeds);
         unknown.remove(self.address());
@@ -634,11 +657,11 @@
         if (++peer.refusals >= REFUSALS && now >= peer.refusedAt + REFUSED_PERIODS * terms.periodMs()) {
             change(peer, peer.notice.with(State.ENDED, 0));
         } else if (retry != null) {
-            retry.left = Math.max(retry.left, 1); // it is worth asking on
+            retry.left = Math.max(retry.left, 1); // continue with this member until the refusals suffice
         }
     }
 
-    /** Asks one out of turn, so that it hears of what is said of it; a few in a period. */
+    /** Pings a member outside the probe order, so that it learns what others report about it; limited per period. */
     private void look(Peer peer) {
         if (looks < MOST_LOOKS && now >= peer.lookedAt + terms.periodMs()) {
             looks++;
@@ -647,19 +670,22 @@
         }
     }
 
-    /** Whether somebody else found it silent, too. */
+    /** Whether another member found it silent as well. */
     private boolean missedByOthers(Peer peer) {
         return !peer.notice.state().isPresent() || peer.suspicion != null && peer.suspicion.accusers.stream().anyMatch(a -> a != 0 && a != self.name().hashCode());
     }
 
-    /** Whom to ask to probe in one's stead: by chance, of those that nobody suspects as long as there are. Guards against the silence of many that died at once, which is taken for one's own. */
+    /**
+     * Random indirect probers, preferably members that nobody suspects. After many members died at once, the silence of dead probers
+     * would otherwise be taken for a fault of this process's own link.
+     */
     private List<Peer> helpers(Peer but) {
         List<Peer> drawn = some(HELPER_DRAWS * terms.helpers(), but);
         drawn.sort(Comparator.comparing(peer -> peer.suspicion != null));
         return drawn.subList(0, Math.min(terms.helpers(), drawn.size()));
     }
 
-    /** So many present members by chance, without that one. */
+    /** Up to {@code count} random live members other than {@code excluded}. */
     private List<Peer> some(int count, Peer but) {
         List<Peer> chosen = new ArrayList<>(count);
         for (int tries = 0; tries < 3 * count && chosen.size() < count && !present.isEmpty(); tries++) {
@@ -671,7 +697,7 @@
         return chosen;
     }
 
-    // What is known of others.
+    // The view of other members.
 
     private void learn(Notice n) {
         if (n.name().equals(self.name())) {
@@ -681,7 +707,7 @@
         Peer peer = peers.get(n.name());
         if (peer == null) {
             if (!n.state().isCounted()) {
-                return; // nothing to guard against: it is not known here
+                return; // the member is not known here, so there is no older entry to override
             }
             if (peers.size() >= terms.most()) {
                 turnedAway++;
@@ -698,7 +724,7 @@
         int order = n.compareTo(peer.notice);
         if (order < 0) {
             if (n.state().isPresent() && !peer.notice.state().isPresent()) {
-                spread(peer.notice); // guards against old news that would raise the dead
+                spread(peer.notice); // spread the newer entry, so that the stale one does not revive the member elsewhere
             }
         } else if (order == 0) {
             if (n.state() == State.SUSPECT) {
@@ -723,7 +749,7 @@
                     change(peer, n);
                     return;
                 }
-                // Not believed at a stroke: guards good neighbours in a split that heals.
+                // Only suspected at first: when a partition heals, the other side still holds running members as failed.
                 if (!sameProcess || n.incarnation() > peer.notice.incarnation()) {
                     change(peer, n.with(State.ALIVE, 0));
                 }
@@ -740,7 +766,7 @@
         }
     }
 
-    /** Every change of a peer's notice passes here. */
+    /** Applies a new entry of a member. Every change of an entry is made here. */
     private void change(Peer peer, Notice to) {
         Notice before = peer.notice;
         int part = part(to.name());
@@ -772,7 +798,7 @@
         }
         if (!to.state().isCounted()) {
             gone.add(peer);
-            if (counted <= actual() + 1) { // guards the count against the end of a twin, which is not the member's
+            if (counted <= actual() + 1) { // it may be the end of a duplicate, after which the member itself still has to be counted
                 fallsFrom = now + FALL_AFTER_PERIODS * terms.periodMs();
             }
         }
@@ -802,7 +828,7 @@
         present.get(other).place = other;
     }
 
-    // Rumours and views.
+    // Gossip and anti-entropy.
 
     private void spread(Notice notice) {
         rumours.put(notice.name(), notice);
@@ -822,7 +848,7 @@
         }
     }
 
-    /** What has been told least, and before it what the one who gets it has to know of itself. */
+    /** The next updates for a datagram. The recipient's own entry comes first if the recipient may have to react to it. */
     private List<Notice> news(Notice to) {
         List<Notice> news = new ArrayList<>();
         int room = NEWS_BYTES;
@@ -840,7 +866,10 @@
         host.sums(with, self, answer, sums.clone());
     }
 
-    /** From a part by chance on, so that views too different for one exchange agree after a few. */
+    /**
+     * Sends the entries of all buckets that differ, starting from a random bucket, so that views that differ too much for one exchange
+     * converge after several.
+     */
     private void sendParts(InetSocketAddress to, int[] theirs) {
         List<List<Notice>> parts = new ArrayList<>(Collections.nCopies(PARTS, null));
         peers.values().forEach(peer -> {
@@ -879,7 +908,7 @@
         return (hash ^ (hash >>> 15)) & (PARTS - 1);
     }
 
-    // Who this process is.
+    // This process's own entry.
 
     private void say(Notice now) {
         sums[part(self.name())] ^= self.sum() ^ now.sum();
@@ -899,27 +928,27 @@
             }
         } else if (n.life().nonce() == self.life().nonce()) {
             if (n.life().compareTo(self.life()) < 0) {
-                spread(self); // a life of this process's own that it has left behind
+                spread(self); // an earlier generation of this same process
             } else {
                 begin(n);
             }
         } else if (n.life().compareTo(self.life()) < 0) {
             if (n.state().isCounted()) {
-                spread(self); // old news of the process before this one
+                spread(self); // stale news of the process that ran before this one
             }
         } else if (!n.state().isCounted() || !n.state().isPresent() && twin() == null) {
-            begin(n); // whoever that was is over
+            begin(n); // that process has ended
         } else if (outranked.size() < MOST_LIVES && outranked.add(n.life().nonce())) {
-            begin(n); // the process before this one had a clock that was ahead
+            begin(n); // the process that ran before this one had a clock that was ahead
             if (n.state().isPresent()) {
                 askTwin(n.address());
             }
         } else if (n.state().isPresent()) {
-            askTwin(n.address()); // it went above this one again, so it lives
+            askTwin(n.address()); // it has outranked this process again, so it is running
         }
     }
 
-    /** A life above that one's. */
+    /** Starts a generation greater than that of {@code above}. */
     private void begin(Notice above) {
         if (above.life().start() < Life.LATEST) {
             say(new Notice(self.name(), self.address(), new Life(above.life().start() + 1, self.life().nonce()), 0, State.ALIVE, 0));
@@ -940,15 +969,18 @@
 
     private void twinProved(Notice other) {
         if (twin() == null) {
-            host.log("fleet: another process goes by this one's name " + self.name() + ", at " + other.address());
+            host.log("fleet: another process uses this process's name " + self.name() + ", at " + other.address());
         }
         twin = other;
         twinSeenAt = now;
     }
 
-    // How it stands.
+    // Status.
 
-    /** What the counted fleet may fall to: silence lowers it for nobody, neither of those that failed nor of those that were never heard of. */
+    /**
+     * The size to which the fleet may shrink. Silence alone never lowers it: members that failed still count, and so do configured
+     * members that were never heard of.
+     */
     private int actual() {
         return known() + Math.max(0, terms.counted() - mostKnown);
     }
@@ -979,13 +1011,13 @@
             standing = new Standing(kind, same ? standing.sinceMs() : now + lost, List.copyOf(missing));
             host.stands(standing);
             if (!same) {
-                host.log(String.format(Locale.ROOT, "fleet: stands %s, %d alive, counted %d, missing %s", kind, present.size() + 1,
+                host.log(String.format(Locale.ROOT, "fleet: status %s, %d alive, fleet size %d, missing %s", kind, present.size() + 1,
                         counted(), missing));
             }
         }
     }
 
-    // What can be read of it.
+    // Accessors.
 
     public Notice self() {
         return self;
@@ -995,37 +1027,38 @@
         return standing;
     }
 
-    /** What limits may be divided by: at least 1. */
+    /** Number of members to divide limits by, at least 1. */
     public int counted() {
         return (int) Math.ceil(counted);
     }
 
-    /** Own health: 0 is good, 8 the worst. */
+    /** Lifeguard's local health score, from 0 (healthy) to 8. */
     public int health() {
         return health;
     }
 
-    /** Another process that goes by this one's name; null for none lately. */
+    /** Another process that recently answered under this process's name, or null. */
     public Notice twin() {
         return now < twinSeenAt + TWIN_LASTS_PERIODS * terms.periodMs() ? twin : null;
     }
 
-    /** News of members for whom there was no room. */
+    /** Number of received entries of new members that were dropped because the view was full. */
     public long turnedAway() {
         return turnedAway;
     }
 
-    /** What is known of that member, or null. */
+    /** The entry of that member, or null. */
     public Notice of(MemberName name) {
         Peer peer = peers.get(name);
         return name.equals(self.name()) ? self : peer == null ? null : peer.notice;
     }
 
+    /** Number of live members, including this process. */
     public int alive() {
         return present.size() + 1;
     }
 
-    /** The whole view, this process first. */
+    /** All entries of the view, this process's own first. */
     public List<Notice> view() {
         List<Notice> view = new ArrayList<>(peers.size() + 1);
         view.add(self);
@@ -1033,12 +1066,15 @@
         return view;
     }
 
-    /** Of the view, those that are alive as far as anyone could prove, this process among them unless it has left. */
+    /** The live members of the view, including this process unless it has left. */
     public List<Notice> present() {
         return view().stream().filter(notice -> notice.state().isPresent()).toList();
     }
 
-    /** All that decides what it does next but chance, times from now on: for a checker that has to tell states apart. */
+    /**
+     * Everything that determines the further behaviour apart from chance, with times relative to now. Model checkers use it to
+     * recognize states that they have already explored.
+     */
     public String state() {
         StringBuilder text = new StringBuilder(256);
         text.append(self).append(health).append(' ').append(caughtUp ? -1 : agreed).append(heardAny).append(' ').append(compareIn).append(' ')
--- a/src/main/java/dappleseam/fleet/membership/Notice.java
+++ b/src/main/java/dappleseam/fleet/membership/Notice.java
@@ -3,36 +3,37 @@
 import java.net.InetSocketAddress;
 
 /**
- * What is said of a member. Notices of one name are ordered by life, incarnation and state, and each view keeps the greatest, so that
- * views which heard the same agree, in whatever order it came. {@code incarnation}: 0 to {@link #LAST}; only the process itself
- * raises it. {@code accuser}: who suspects it, as a hash; 0 otherwise. Sources: SWIM (Das, Gupta, Motivala 2002).
+ * The state of one member, as held in a view and carried by gossip (SWIM: Das, Gupta, Motivala 2002). Entries of one name are ordered
+ * by generation, incarnation and state, and each view keeps the greatest, so that views converge whatever order the entries arrive in.
+ * {@code incarnation}: 0 to {@link #MAX_INCARNATION}, raised only by the process itself; {@code accuser}: a hash of the member that
+ * suspects it, 0 if there is none.
  */
 public record Notice(MemberName name, InetSocketAddress address, Life life, int incarnation, State state, int accuser)
         implements Comparable<Notice> {
-    /** Last incarnation of a life; a process that has to go beyond begins another. */
+    /** Last incarnation of a generation; a process that would exceed it starts a new generation. */
     public static final int LAST = 1 << 30;
-    /** Bytes that a notice takes beside its name, at most: address 7 and 3, life 9 and 9, incarnation 5, state 1, accuser 5, frame 3. */
+    /** Maximum encoded bytes apart from the name: address 7 and 3, generation 9 and 9, incarnation 5, state 1, accuser 5, frame 3. */
     private static final int FRAME_BYTES = 42;
     private static final int CHECK_PRIME = 0x9E3779B1;
 
-    /** In the order in which one overrides the other within an incarnation. */
+    /** In order of precedence: within an incarnation a later state overrides an earlier one. */
     public enum State {
         ALIVE,
-        /** Gave no answer; failed unless it refutes that in time. */
+        /** Did not answer a probe; becomes {@link #FAILED} unless it refutes the suspicion in time. */
         SUSPECT,
-        /** Silent: dead, or cut off. Still counted. */
+        /** Unreachable: either dead or partitioned away, so it still counts towards the fleet size. */
         FAILED,
-        /** Proved to have ended: its host, another process at its address, or an operator said so. */
+        /** Known to have ended: its host refused connections, another process has its address, or an operator confirmed it. */
         ENDED,
-        /** Said itself that it goes. */
+        /** Announced its own departure. */
         LEFT;
 
-        /** Alive as far as anyone could prove. */
+        /** Whether the member is presumed to be running. */
         public boolean isPresent() {
             return this == ALIVE || this == SUSPECT;
         }
 
-        /** May take part of what is divided. */
+        /** Whether the member counts towards the fleet size, since it may still be using its share of the limits. */
         public boolean isCounted() {
             return this == ALIVE || this == SUSPECT || this == FAILED;
         }
@@ -40,10 +41,10 @@
 
     public Notice {
         if (incarnation < 0 || incarnation > LAST) {
-            throw new IllegalArgumentException("no incarnation");
+            throw new IllegalArgumentException("incarnation out of range");
         }
         if (address.getPort() == 0 || address.isUnresolved() || address.getAddress().getAddress().length != 4) {
-            throw new IllegalArgumentException("no address of a member");
+            throw new IllegalArgumentException("not a resolved IPv4 address with a port");
         }
     }
 
@@ -61,12 +62,15 @@
         return byIncarnation != 0 ? byIncarnation : state.compareTo(other.state);
     }
 
-    /** At most so many bytes in a datagram. */
+    /** Upper bound of this entry's encoded size in a datagram. */
     public int bytes() {
         return FRAME_BYTES + name.text().length();
     }
 
-    /** Of what has to be equal in views that agree: suspicion comes and goes, and what has ended is forgotten. */
+    /**
+     * Hash of what has to be equal in views that agree. Suspicion is left out because it is transient, and members that ended or left
+     * because they are forgotten at different times.
+     */
     int sum() {
         if (!state.isCounted()) {
             return 0;
--- a/src/main/java/dappleseam/fleet/membership/Rumours.java
+++ b/src/main/java/dappleseam/fleet/membership/Rumours.java
@@ -10,11 +10,11 @@
 import java.util.function.ToIntFunction;
 
 /**
- * News that is still to be passed on, one item a key, each told a number of times that grows with the logarithm of the fleet (rumour spreading, Demers and others 1987): what was told
- * least goes first, and the newest of that. Not for several threads.
+ * Updates that still have to be gossiped, at most one per key. Each is sent a number of times that grows with the logarithm of the
+ * fleet size (rumor mongering, Demers et al. 1987). Those sent least often go first, and the newest among them. Not thread-safe.
  */
 public final class Rumours<K, T> {
-    /** A rumour is told so many times for each doubling of the fleet. */
+    /** An update is sent this many times for each doubling of the fleet size. */
     private static final int TELLINGS = 3;
 
     private final ToIntFunction<T> bytes;
@@ -46,13 +46,16 @@
         }
     }
 
-    /** {@code bytes}: that an item takes in a datagram at most; {@code urgent}: whether it goes before all that are not. */
+    /**
+     * {@code maxBytes}: an upper bound of an item's size in a datagram; {@code urgent}: whether an item is sent before all items
+     * that are not urgent.
+     */
     public Rumours(ToIntFunction<T> bytes, Predicate<T> urgent) {
         this.bytes = bytes;
         this.urgent = urgent;
     }
 
-    /** From now on this is the news of that key. */
+    /** Queues an item and replaces an earlier one of the same key. */
     public void put(K key, T item) {
         remove(key);
         Rumour<K, T> rumour = new Rumour<>(key, item, urgent.test(item), begun++);
@@ -76,7 +79,10 @@
         return byKey.isEmpty();
     }
 
-    /** What goes into so many bytes; it counts as told. {@code members}: to whom it may have to go. */
+    /**
+     * Takes the next items that fit into {@code limitBytes} and counts them as sent once. {@code members}: the number of possible
+     * recipients, which determines how often an item is sent in all.
+     */
     public List<T> tell(int roomBytes, int members) {
         List<Rumour<K, T>> told = new ArrayList<>();
         int room = roomBytes;
@@ -98,7 +104,7 @@
         return items;
     }
 
-    /** Each with how often it was told, the next to be told first. */
+    /** Passes each item and how often it was sent, in sending order. */
     public void forEach(ObjIntConsumer<T> each) {
         leastTold.forEach(rumour -> each.accept(rumour.item, rumour.told));
     }
--- a/src/main/java/dappleseam/fleet/membership/Standing.java
+++ b/src/main/java/dappleseam/fleet/membership/Standing.java
@@ -2,8 +2,11 @@
 
 import java.util.List;
 
-/** How a proxy stands with the others, since when in ms of the host's clock, and whom it misses, by name, at most 32 of them. */
+/**
+ * A member's own view of its connection to the fleet. {@code sinceMs}: when {@code kind} last changed, on the host's clock;
+ * {@code missing}: members it cannot reach directly, at most 32 of them.
+ */
 public record Standing(Kind kind, double sinceMs, List<MemberName> missing) {
-    /** What each means for those who divide or agree: docs/fleet-design.md. */
+    /** docs/fleet-design.md says what each kind means for shares and leases. */
     public enum Kind { STARTING, WITH_ALL, CUT_OFF, ALONE, SLOW }
 }
--- a/src/main/java/dappleseam/fleet/membership/Terms.java
+++ b/src/main/java/dappleseam/fleet/membership/Terms.java
@@ -1,10 +1,10 @@
 package dappleseam.fleet.membership;
 
 /**
- * What an operator sets of the membership. {@code periodMs}: time between two probes of a healthy member, 20 to 60,000.
- * {@code counted}: members to count until somebody was heard, at least 1. {@code most}: members kept, 2 to 20,000.
- * {@code forgetMs}: time for which one that has ended or left is remembered. {@code localHealth}: whether a slow member doubts itself
- * (off only to measure what it gains). {@code helpers}: how many are asked to probe in one's stead, 0 to 8.
+ * Configuration of the membership. {@code periodMs}: time between two probes by a healthy member, 20 to 60,000.
+ * {@code initialFleetSize}: the fleet size to assume before all members are known, at least 1. {@code maxMembers}: members kept, 2 to
+ * 20,000. {@code forgetAfterMs}: how long members that ended or left are remembered. {@code localHealth}: whether Lifeguard's local
+ * health is used (off only to measure what it gains). {@code indirectProbes}: members asked for an indirect probe, 0 to 8.
  */
 public record Terms(double periodMs, int counted, int most, double forgetMs, boolean localHealth, int helpers) {
     public static final double PERIOD_MS = 1000;
--- a/src/main/java/dappleseam/fleet/share/Board.java
+++ b/src/main/java/dappleseam/fleet/share/Board.java
@@ -11,17 +11,18 @@
 import java.util.Map;
 
 /**
- * The bulletins of all members as this one has them, and which of them it still has to pass on, as {@link Rumours}. Free of I/O; times are ms of one process's clock. Not for several threads.
+ * The latest announcement of every member, and the queue of those that this member still has to gossip. Performs no I/O; times are ms
+ * of this process's clock. Not thread-safe.
  */
 public final class Board {
-    /** Age in ms from which a bulletin says nothing; own ones are told anew well before. */
+    /** Age in ms above which an announcement is discarded. Members repeat theirs well before that. */
     public static final double OLDEST_MS = 60_000;
     private static final double REFRESH_MS = 20_000;
-    /** Least time in ms between two own bulletins: what flaps faster than rumours travel must not fill them. */
+    /** Minimum time in ms between two own announcements, so that a flapping state does not flood the gossip. */
     private static final double LEAST_MS = 250;
-    /** Time in ms by which a sight has to be younger than what was told of it before it is told anew: well under its life. */
+    /** Time in ms by which an observation must be newer than the announced one to be announced again; well below its lifetime. */
     private static final double ANEW_MS = 3000;
-    /** Bytes of bulletins in one datagram: 1,400 less the frame and a notice. */
+    /** Maximum bytes of announcements in one datagram: 1,400 less the frame and a member entry. */
     public static final int NEWS_BYTES = 1100;
 
     private final MemberName self;
@@ -29,7 +30,10 @@
     private final double knownMs;
     private final int location;
     private final Map<MemberName, Entry> entries = new LinkedHashMap<>();
-    /** Those that say something of a cache first: else a start of many proxies, who all tell their rates, would hold up the word on a dead cache. */
+    /**
+     * Announcements with observations go first. Otherwise the rates announced when many proxies start would delay the report of a
+     * failed cache.
+     */
     private final Rumours<MemberName, Entry> rumours = new Rumours<>(entry -> entry.bulletin.bytes(), entry -> !entry.bulletin.sights().isEmpty());
     private long number;
     private double saidAt = Double.NEGATIVE_INFINITY;
@@ -37,7 +41,10 @@
 
     private record Entry(Bulletin bulletin, double heardAt) {}
 
-    /** {@code most}: bulletins kept; {@code knownMs}: time in which a word is known to all; {@code location}: this member's. */
+    /**
+     * {@code maxEntries}: announcements kept; {@code propagationMs}: time until an announcement has reached all members;
+     * {@code location}: of this member.
+     */
     public Board(MemberName self, int most, double knownMs, int location) {
         this.location = location;
         this.self = self;
@@ -45,12 +52,15 @@
         this.most = most;
     }
 
-    /** What this member has to tell of itself now; becomes a bulletin where that is news. {@code life}: of this process. */
+    /** Updates this member's own state and announces it if it has changed. {@code generation}: of this process. */
     public void say(double nowMs, Life life, double ratePerS, List<Sight> sights) {
         say(nowMs, life, ratePerS, ratePerS, sights, false);
     }
 
-    /** {@code usualPerS}: what this process counts for until it has told; {@code anew}: whether it is news though it is the same, as to members that were cut off. */
+    /**
+     * As above. {@code presumedPerS}: the rate that others presume until they have the first announcement; {@code force}: whether to
+     * announce an unchanged state as well, for members that were unreachable before.
+     */
     public void say(double nowMs, Life life, double ratePerS, double usualPerS, List<Sight> sights, boolean anew) {
         Traffic before = own == null ? null : own.traffic().olderBy(nowMs - saidAt);
         Traffic traffic = own == null ? Traffic.first(ratePerS, usualPerS) : before.next(ratePerS, knownMs);
@@ -63,7 +73,10 @@
         }
     }
 
-    /** What was said so long ago, and what would be said now: a sight that was seen anew is news after a while. */
+    /**
+     * Whether the observations announced {@code elapsedMs} ago still match the current ones. A repeated observation counts as a
+     * change once it is newer by {@link #OBSERVATION_REFRESH_MS}.
+     */
     private static boolean meansTheSame(double sinceMs, List<Sight> before, List<Sight> now) {
         return before.size() == Math.min(Bulletin.MOST_SIGHTS, now.size()) && before.stream().allMatch(b -> now.stream().anyMatch(n ->
                 n.node().equals(b.node()) && n.startedAtMs() == b.startedAtMs() && n.fails() == b.fails() && b.ageMs() + sinceMs - n.ageMs() < ANEW_MS));
@@ -75,7 +88,7 @@
         rumours.put(bulletin.who(), entry);
     }
 
-    /** What came from another member, its own and others'. */
+    /** Takes announcements that another member sent, its own and those it passes on. */
     public void heard(double nowMs, List<Bulletin> bulletins) {
         for (Bulletin bulletin : bulletins) {
             Entry before = entries.get(bulletin.who());
@@ -86,12 +99,12 @@
         }
     }
 
-    /** One datagram's worth of what has been told least, with its age; empty where there is nothing to tell. */
+    /** The next announcements to gossip, at most one datagram's worth, with their current ages; may be empty. */
     public List<Bulletin> toTell(double nowMs, int members) {
         return rumours.tell(NEWS_BYTES, members).stream().map(entry -> entry.bulletin.olderBy(nowMs - entry.heardAt)).toList();
     }
 
-    /** All that says anything yet, with its age, this member's own among them; what is too old is forgotten. */
+    /** All announcements that have not expired, this member's own included, with their current ages. Removes expired ones. */
     public Collection<Bulletin> now(double nowMs) {
         List<Bulletin> now = new ArrayList<>();
         for (Iterator<Entry> all = entries.values().iterator(); all.hasNext();) {
--- a/src/main/java/dappleseam/fleet/share/Choices.java
+++ b/src/main/java/dappleseam/fleet/share/Choices.java
@@ -1,8 +1,9 @@
 package dappleseam.fleet.share;
 
 /**
- * Which choices of many proxies add up by what they tell each other; each off unless the operator's file turns it on. {@code signals}: of caches that fail; {@code shares}: of what the whole
- * fleet may take; {@code turns}: of calls for the list after its service was out; {@code subsets}: of connections that are kept.
+ * The decisions that proxies coordinate by exchanging announcements; each is off unless the fleet's configuration file enables it.
+ * {@code signals}: ejection of failing caches; {@code shares}: division of fleet-wide limits; {@code turns}: the order of calls to the
+ * list service after an outage; {@code subsets}: which connections are kept open.
  */
 public record Choices(boolean signals, boolean shares, boolean turns, boolean subsets) {
     public static final Choices NONE = new Choices(false, false, false, false);
--- a/src/main/java/dappleseam/fleet/share/ListTurns.java
+++ b/src/main/java/dappleseam/fleet/share/ListTurns.java
@@ -3,22 +3,28 @@
 import dappleseam.router.NodeId;
 
 /**
- * When to call a list service that has failed: by turns where others say that it fails, too, and by oneself where nobody does. Free of I/O; times are ms of one clock, that of whoever calls.
+ * Schedules calls to a list service that has failed: in turns if other members report the failure too, otherwise independently.
+ * Performs no I/O; times are ms of the caller's clock.
  */
 public final class ListTurns {
-    /** The service, where members tell each other of it as of a cache: no list has a node of that id, and it has no start. */
+    /** Stands for the list service in observations and verdicts. No list has a node of this id, and the service has no start time. */
     public static final NodeId SERVICE = new NodeId(0);
-    /** Members that call at once, and the time in ms until the next do; the longest wait for a turn: what an outage adds to the age of a list. */
+    /** Members that call in the same turn. */
     private static final int AT_ONCE = 2;
+    /** Time in ms from one turn to the next. */
     private static final double STEP_MS = 200;
+    /** Maximum wait in ms for a turn, which an outage adds to the age of a list. */
     private static final double LONGEST_MS = 4000;
-    /** Time in ms for which others' word counts after it was last said: it is said again every second. */
+    /** Time in ms for which a verdict of other members is valid; it is repeated every second. */
     private static final double WORD_MS = 5000;
 
     private double saidAt = Double.NEGATIVE_INFINITY;
     private int turn;
 
-    /** Others' word on the service. The time in ms until this member's call, where that is due because it works again; NaN where it is not. */
+    /**
+     * Takes other members' verdict on the service. Returns the time in ms until this member should call it, if it works again, or
+     * NaN.
+     */
     public double said(double nowMs, Said said) {
         turn = Math.max(0, said.turn());
         if (said.word() == Word.WORKS) {
@@ -29,7 +35,7 @@
         return Double.NaN;
     }
 
-    /** The time in ms until the next call after one that failed; {@code ownMs}: without others. */
+    /** The time in ms until the next call after a failed one. {@code ownDelayMs}: that time if no other member reports a failure. */
     public double again(double nowMs, double ownMs) {
         return nowMs > saidAt + WORD_MS ? ownMs : ownMs + waits();
     }
--- a/src/main/java/dappleseam/fleet/share/Places.java
+++ b/src/main/java/dappleseam/fleet/share/Places.java
@@ -6,15 +6,16 @@
 import java.util.Map;
 
 /**
- * Where a member stands among all on a line from 0 to 1: in the order of their hashed names, each at the middle of its part of all traffic. Whoever divides the line into parts has each part
- * served by as much traffic, and a member more or less shifts no border by more than its own part.
+ * A member's position on a line from 0 to 1. Members are ordered by their hashed names, and each takes a segment in proportion to its
+ * traffic, with its position in the middle. Equal parts of the line therefore carry equal traffic, and adding or removing a member
+ * moves no border by more than the member's own segment.
  */
 public final class Places {
     private static final Comparator<MemberName> ORDER = Comparator.comparingLong((MemberName name) -> Hash.mix(name.text().hashCode())).thenComparing(MemberName::text);
 
     private Places() {}
 
-    /** {@code traffic}: of each member in any one unit, over 0; {@code self} is among them. */
+    /** {@code traffic}: of each member, {@code self} included, in any common unit, greater than 0. */
     public static double of(MemberName self, Map<MemberName, Double> traffic) {
         double before = 0;
         double all = 0;
--- a/src/main/java/dappleseam/fleet/share/Portion.java
+++ b/src/main/java/dappleseam/fleet/share/Portion.java
@@ -1,17 +1,21 @@
 package dappleseam.fleet.share;
 
 /**
- * The share that a proxy goes by: less within a second, as others take it up; more by steps, so that no limit jumps; and back to the one in its settings by steps where nothing was told for a while. Free
- * of I/O; times are ms of one clock.
+ * The share of fleet-wide limits that a proxy applies. It falls within a second, since other members take up the difference, and rises
+ * gradually, so that no limit jumps. Without recent announcements it returns gradually to the configured share. Performs no I/O; times
+ * are ms of one clock.
  */
 public final class Portion {
-    /** Factor by which it grows in a second at most, and falls where it is only that nothing was told. */
+    /** Maximum factor of growth per second, and of decline while there is no recent announcement. */
     public static final double GROWTH_A_SECOND = 1.2;
-    /** Age in ms from which what was told counts no more: a dozen times that it is told anew. */
+    /** Age in ms above which an announced share is stale: a dozen announcement intervals. */
     public static final double OLD_MS = 5000;
-    /** Time in ms for which it has to be lower before it falls: where the traffic of all rises together, others' counts a moment before one's own. */
+    /**
+     * Time in ms for which the announced share must be lower before the applied one falls. When the traffic of all members rises
+     * together, that of the others takes effect a moment before this member's own.
+     */
     private static final double LOWER_MS = 600;
-    /** Share by which it has to be another for the limits to go along. */
+    /** Minimum relative change at which the limits are adjusted. */
     private static final double NEWS = 0.02;
     private static final double MS_PER_S = 1000;
 
@@ -20,13 +24,16 @@
     private double applied;
     private double lookedAt = Double.NaN;
 
-    /** {@code usual}: the share by the settings alone, over 0 to 1. */
+    /** {@code configured}: the share according to the settings alone, greater than 0, at most 1. */
     public Portion(double usual) {
         current = usual;
         applied = usual;
     }
 
-    /** {@code told}: NaN where nothing ever was; {@code usual}: by the settings as they are now. Whether {@link #share} has become another. */
+    /**
+     * Moves the share towards its target and returns whether {@link #share} has changed. {@code announced}: the calculated share, NaN
+     * if there never was one; {@code ageMs}: its age; {@code configured}: the share according to the current settings.
+     */
     public boolean look(double nowMs, double told, double ageMs, double usual) {
         boolean isOld = Double.isNaN(told) || !(ageMs <= OLD_MS);
         double goal = isOld ? usual : told;
--- a/src/main/java/dappleseam/fleet/share/Seen.java
+++ b/src/main/java/dappleseam/fleet/share/Seen.java
@@ -3,7 +3,8 @@
 import dappleseam.router.NodeId;
 
 /**
- * What a proxy's own executions show of one process of a cache: whether it is set aside by them or left one without an answer and gave none since, when that was found last, and when it last answered; ms of any one clock,
- * {@link Double#NEGATIVE_INFINITY} for never.
+ * What a proxy's own executions show about one process of a cache. {@code failing}: whether it is ejected because of them, or left an
+ * execution unanswered and has not answered since; {@code failedAtMs}: when that was last found; {@code lastAnswerAtMs}: when it last
+ * answered. Times are ms of one clock, {@link Double#NEGATIVE_INFINITY} for never.
  */
 public record Seen(NodeId node, double startedAtMs, boolean fails, double failedAtMs, double heardAtMs) {}
--- a/src/main/java/dappleseam/fleet/share/Shares.java
+++ b/src/main/java/dappleseam/fleet/share/Shares.java
@@ -9,35 +9,42 @@
 import java.util.Set;
 
 /**
- * What share of the whole this process may take: half of an even one, and half by its traffic. The shares of all that run add up to one, but for the margins that docs/fleet-design.md names.
- * Free of I/O; times are ms of one process's clock. Not for several threads.
+ * Calculates this process's share of fleet-wide limits: half is divided evenly, half in proportion to traffic. The shares of all
+ * running members add up to one, within the margins given in docs/fleet-design.md. Performs no I/O; times are ms of this process's
+ * clock. Not thread-safe.
  */
 public final class Shares {
-    /** Part of the whole that is dealt evenly: what one has whose traffic is least, over the counted fleet. */
+    /** Part of the limits that is divided evenly. Divided by the fleet size, it is the share of a member with the least traffic. */
     public static final double EVEN = 0.5;
-    /** Periods in which what one tells of its traffic is known to all: until then its own word counts for the least of it. */
+    /** Periods until all members have an announcement; until then an increase of traffic is not in effect. */
     public static final double KNOWN_PERIODS = 3;
-    /** Periods by which that is later for itself than for the others: two of their looks, which come at times of their own. */
+    /** Periods by which an increase takes effect later for the member itself than for the others: two of their update intervals. */
     private static final double OWN_LATER_PERIODS = 0.5;
-    /** Periods for each member after a split has healed, in which all have told theirs anew. */
+    /** Periods per member, after a partition has healed, until all members have repeated their announcements. */
     public static final double TOLD_ANEW_PERIODS = 0.25;
-    /** Multiple of what its word counted for before members went missing that it counts for at most until they are back: they cannot know of more. */
+    /**
+     * Maximum factor by which a member's weight may grow while members are missing, relative to its weight before. The missing members
+     * cannot learn of an increase.
+     */
     public static final double MISSING_GROWTH = 1.25;
-    /** Share of the members whose absence makes no difference that matters: somebody is nearly always suspected in a large fleet. */
+    /** Fraction of the members whose absence is negligible: in a large fleet some member is nearly always suspected. */
     private static final double FEW = 0.05;
-    /** What comes on top of each rate, in queries a second: rates are told in whole ones, and none and one must not be worlds apart. */
+    /** Added to each rate, in queries per second. Rates are whole numbers, and the weights of 0 and 1 must not differ too much. */
     private static final int LEAST_RATE = 1;
-    /** Multiple of the mean of the lesser half of all rates that one counts for at most: guards against one that tells of absurd traffic. */
+    /** Maximum weight as a multiple of the mean of the lower half of all weights, which bounds a member that announces absurd traffic. */
     private static final double MOST_TIMES = 64;
 
     private final MemberName self;
     private final double periodMs;
-    /** Of members that are counted and have told, this one among them. */
+    /** The latest traffic of each counted member that has announced it, this one included. */
     private final Map<MemberName, Heard> heard = new HashMap<>();
-    /** Members that were missing together, and the fewest that were known meanwhile; what its own word counted for before; until when those that came back are still telling theirs. */
+    /** Members that went missing in the current partition. */
     private final Set<MemberName> missed = new HashSet<>();
+    /** Fewest members known by name during the current partition; {@link Integer#MAX_VALUE} if there is none. */
     private int present = Integer.MAX_VALUE;
+    /** This member's own weight before the partition. */
     private double before = Double.NaN;
+    /** Until when the members that came back are still repeating their announcements. */
     private double anewUntil = Double.NEGATIVE_INFINITY;
 
     private record Heard(Traffic traffic, double atMs, int location) {
@@ -55,17 +62,20 @@
         return KNOWN_PERIODS * periodMs;
     }
 
-    /** Time in ms after which more traffic of its own counts for this process: a little after it does for the others. */
+    /** Time in ms after which an increase of its own traffic takes effect for this process, slightly later than for the others. */
     public double ownMs() {
         return (KNOWN_PERIODS + OWN_LATER_PERIODS) * periodMs;
     }
 
-    /** Bulletins that count, this process's own among them once it has told one. What those told who are silent now goes on to count for as long as they are counted. */
+    /**
+     * Takes the announcements of counted members, this process's own included. The last announcement of a silent member stays in
+     * effect for as long as the member is counted.
+     */
     public void hear(double nowMs, Collection<Bulletin> bulletins) {
         bulletins.forEach(bulletin -> heard.put(bulletin.who(), new Heard(bulletin.traffic(), nowMs, bulletin.location())));
     }
 
-    /** From now on only those are counted: what others told is forgotten. */
+    /** Forgets the announcements of all members other than {@code names}. */
     public void keep(Set<MemberName> names) {
         heard.keySet().retainAll(names);
     }
@@ -77,9 +87,10 @@
     }
 
     /**
-     * What of its own traffic this process may tell, queries a second. Guards the sum in a split: both halves' traffic may grow, and neither can hear of the other's. Told less rather than
-     * counted for less, so that all who hear each other go on counting alike. {@code names}: members that are counted, this one among them; {@code missing}: those of them that cannot be
-     * heard; {@code counted}: the counted fleet, at least as many.
+     * The rate in queries per second that this process may announce. It is bounded during a partition, when the traffic of both sides
+     * may grow and neither learns of the other's, so that the sum of shares stays bounded. The announced rate is limited rather than
+     * its weight, so that members that reach each other keep calculating the same weights. {@code names}: counted members, this one
+     * included; {@code missing}: those of them that cannot be reached; {@code counted}: the fleet size, at least as many.
      */
     public double tellable(double nowMs, double ratePerS, Set<MemberName> names, Set<MemberName> missing, int counted) {
         double few = FEW * counted;
@@ -87,7 +98,7 @@
             missed.addAll(missing);
             present = Math.min(present, names.size());
         } else if (present < Integer.MAX_VALUE) {
-            missed.retainAll(names); // those that are proved ended need not hear of anything
+            missed.retainAll(names); // members that have ended need no announcement
             if (missed.size() + names.size() - present > few) {
                 anewUntil = nowMs + (KNOWN_PERIODS + TOLD_ANEW_PERIODS * counted) * periodMs;
             }
@@ -102,7 +113,7 @@
         return isFree ? ratePerS : Math.min(ratePerS, MISSING_GROWTH * before - LEAST_RATE);
     }
 
-    /** Queries a second that this process counts for until it has told. */
+    /** The rate in queries per second that this process counts with until its first announcement. */
     public double usualPerS(double nowMs) {
         return unknown(nowMs) - LEAST_RATE;
     }
@@ -113,12 +124,15 @@
         return unknown(others.values());
     }
 
-    /** What one counts for of whom nothing is known, by itself: less than others may take it for. */
+    /** The weight that a member without an announcement assumes for itself, at most what other members presume. */
     private static double unknown(Collection<Double> others) {
         return Math.min(lesserMean(others), others.stream().mapToDouble(rate -> rate).average().orElse(LEAST_RATE));
     }
 
-    /** From half of an even share to nearly all. {@code names} and {@code counted} as for {@link #tellable}; {@code hasTwin}: whether another process goes by this one's name. */
+    /**
+     * This process's share, from half of an even share to nearly one. {@code names} and {@code counted}: as for
+     * {@link #announceableRate}; {@code hasDuplicate}: whether another process runs under this member's name.
+     */
     public double share(double nowMs, Set<MemberName> names, int counted, boolean hasTwin) {
         Map<MemberName, Double> rates = weights(nowMs);
         Double told = rates.remove(self);
@@ -130,14 +144,14 @@
         double even = 1.0 / counted;
         double byTraffic = own / (own + others);
         if (counted - 1 - rates.size() > FEW * counted) {
-            byTraffic = Math.min(byTraffic, even); // guards against a new process that has heard of a few idle ones only
+            byTraffic = Math.min(byTraffic, even); // a new process may so far know only a few idle members
         }
         return (EVEN * even + (1 - EVEN) * byTraffic) / (hasTwin ? 2 : 1);
     }
 
     /**
-     * Traffic of the members at this one's location as all others have it, by which they stand in order; null while too few are known. Where each location's members are spread evenly over
-     * a line, so are all together. {@code names}: as for {@link #share}.
+     * The traffic of the members at this member's location, for {@link TrafficPosition}; null while too few are known. If the members
+     * of each location are spread evenly over the line, so are all members together. {@code names}: as for {@link #share}.
      */
     public Map<MemberName, Double> traffic(Set<MemberName> names) {
         if (!heard.containsKey(self) || names.size() - heard.size() > FEW * names.size()) {
@@ -150,19 +164,19 @@
                 traffic.put(name, (double) LEAST_RATE + one.traffic.now());
             }
         });
-        if (here == Bulletin.NOWHERE) { // else those that are not known may be anywhere
+        if (here == Bulletin.NOWHERE) { // with locations, members without an announcement may be anywhere
             double mean = traffic.values().stream().mapToDouble(rate -> rate).average().orElseThrow();
             names.stream().filter(name -> !heard.containsKey(name)).forEach(name -> traffic.put(name, mean));
         }
         return traffic;
     }
 
-    /** Whether those that were missing are back, and all have to hear of each other's traffic anew. */
+    /** Whether members that were missing are back and all members have to repeat their announcements. */
     public boolean tellsAnew(double nowMs) {
         return nowMs < anewUntil;
     }
 
-    /** One absurd word, or many, cannot lift it while they are the fewer. */
+    /** Mean of the lower half, which absurd values cannot raise while they are the minority. */
     private static double lesserMean(Collection<Double> rates) {
         double[] sorted = rates.stream().mapToDouble(rate -> rate).sorted().toArray();
         return Arrays.stream(sorted, 0, (sorted.length + 1) / 2).average().orElse(LEAST_RATE);
--- a/src/main/java/dappleseam/fleet/share/Sight.java
+++ b/src/main/java/dappleseam/fleet/share/Sight.java
@@ -2,16 +2,19 @@
 
 import dappleseam.router.NodeId;
 
-/** What one member's own executions show of one process of a cache. {@code startedAtMs}: as the list has it; {@code ageMs}: how long ago, 0 to {@link #OLDEST_MS}. */
+/**
+ * What a member announces about one process of a cache because of its own executions. {@code startedAtMs}: start of the process
+ * according to the list; {@code ageMs}: time since the observation, 0 to {@link #MAX_AGE_MS}.
+ */
 public record Sight(NodeId node, long startedAtMs, boolean fails, long ageMs) {
-    /** Older than this, it says nothing any more: a thin proxy comes to try a cache again twice a minute. */
+    /** Age in ms above which an observation is ignored. A proxy with little traffic tries a cache again twice a minute. */
     public static final long OLDEST_MS = 30_000;
-    /** Latest start that is one. */
+    /** Greatest valid start. */
     public static final long LATEST = 1L << 47;
 
     public Sight {
         if (startedAtMs < 0 || startedAtMs > LATEST || ageMs < 0) {
-            throw new IllegalArgumentException("no sight");
+            throw new IllegalArgumentException("observation field out of range");
         }
     }
 
--- a/src/main/java/dappleseam/fleet/share/Signals.java
+++ b/src/main/java/dappleseam/fleet/share/Signals.java
@@ -14,30 +14,36 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What this member says of caches by its own sight, and what all others' words come to. Free of I/O; times are ms of one clock, which {@link Seen} goes by, too.
- * docs/fleet-design.md says why. Not for several threads.
+ * Selects the observations of caches that this member announces, and combines those of all other members into verdicts. Performs no
+ * I/O; times are ms of one clock, that of {@link LocalObservation}. docs/fleet-design.md explains the rules. Not thread-safe.
  */
 public final class Signals {
-    /** Share of the caches that fail by own sight from which it is more likely one's own link. */
+    /** Fraction of caches that fail for this member above which its own link is more likely the cause. */
     private static final double OWN_LINK = 1.0 / 3;
-    /** Fewest caches of which that share can be told. */
+    /** Minimum number of failing caches to which that fraction applies. */
     private static final int OWN_LINK_LEAST = 2;
-    /** Time in ms for which an answer shows that a cache works, whatever others saw meanwhile; against what they saw before it, it goes on to show that. */
+    /**
+     * Time in ms for which an answer shows that a cache works, even against later reports of a failure. Against earlier reports it has
+     * no such limit.
+     */
     private static final double WORKS_MS = 2000;
-    /** Members that have to agree. */
+    /** Members that have to agree on a verdict. */
     private static final int AGREE = 2;
-    /** Caches spoken of at once, of any members': what is beyond is dropped, oldest first told. */
+    /** Maximum processes with votes at a time; observations of further ones are dropped, in the order of the announcements given. */
     private static final int MOST = 256;
 
-    /** One process of a cache. */
+    /** One process of a cache, identified by its start. */
     private record Process(NodeId node, long startedAtMs) {}
 
-    /** How long ago, in ms, members saw it fail, and work. */
+    /** The votes on one process: ages in ms of the members' observations that it fails, and that it works. */
     private static final class Votes {
         final List<Long> fails = new ArrayList<>();
         final List<Long> works = new ArrayList<>();
 
-        /** Members that saw it fail after so many had seen it work: guards a cache that is back against all who have not come to try it since. */
+        /**
+         * Number of members that saw it fail after {@code required} members had seen it work. Older reports are void, since those
+         * members may not have tried a recovered cache again.
+         */
         long failsNow(int proof) {
             long since = works.size() < proof ? Long.MAX_VALUE : works.stream().sorted().skip(proof - 1).findFirst().orElseThrow();
             return fails.stream().filter(age -> age < since).count();
@@ -50,21 +56,21 @@
 
     private final MemberName self;
     private Map<Process, Votes> votes = Map.of();
-    /** Of which something was said against when last told. */
+    /** Processes that had a failing verdict at the last call of {@link #verdicts}. */
     private final Set<Process> against = new LinkedHashSet<>();
 
     public Signals(MemberName self) {
         this.self = self;
     }
 
-    /** {@code counts}: whether that member is one whose word counts. */
+    /** Replaces all votes. {@code isEligible}: whether the member that announced may vote. */
     public void hear(Collection<Bulletin> bulletins, Predicate<Bulletin> counts) {
         Map<Process, Votes> now = new LinkedHashMap<>();
         for (Bulletin bulletin : bulletins) {
             if (bulletin.who().equals(self) || !counts.test(bulletin)) {
                 continue;
             }
-            Set<Process> once = new LinkedHashSet<>(); // guards against one that says a thing twice
+            Set<Process> once = new LinkedHashSet<>(); // one vote per member and process
             for (Sight sight : bulletin.sights()) {
                 Process process = new Process(sight.node(), sight.startedAtMs());
                 if (sight.ageMs() <= Sight.OLDEST_MS && once.add(process) && (now.containsKey(process) || now.size() < MOST)) {
@@ -77,8 +83,8 @@
     }
 
     /**
-     * What to say: own findings that a cache fails, and that one works of which others say that it fails. Nothing where this member may be the one that is ill.
-     * {@code seen}: of all caches.
+     * The observations to announce: caches that fail for this member, and caches that work for it although others report a failure.
+     * Empty if the fault may be this member's own. {@code all}: the observations of all caches.
      */
     public List<Sight> own(double nowMs, Collection<Seen> seen, boolean isWell) {
         long failing = seen.stream().filter(Seen::fails).count();
@@ -97,17 +103,20 @@
         return List.copyOf(sights.subList(0, Math.min(Bulletin.MOST_SIGHTS, sights.size())));
     }
 
-    /** Whether others have to hear of an answer so long ago: some say that the cache fails, and it is not older than all that they say. */
+    /** Whether an answer of that age has to be announced: others report a failure, and it is recent or newer than one of the reports. */
     private static boolean isOfUse(Votes of, double ageMs) {
         return of != null && !of.fails.isEmpty() && (ageMs <= WORKS_MS || of.fails.stream().anyMatch(age -> age > ageMs));
     }
 
-    /** What others' words come to now; that nothing is said against a cache any more, once. {@code turns}: this member's place in the order of trying, by what is tried. */
+    /**
+     * The current verdicts of the other members. A verdict that a process works again is returned once. {@code ranks}: this member's
+     * rank in the order of trying, by a key of what is tried.
+     */
     public List<Said> words(ToIntFunction<String> turns) {
         List<Said> words = new ArrayList<>();
         Set<Process> now = new LinkedHashSet<>();
         votes.forEach((process, of) -> {
-            boolean isService = process.node().equals(ListTurns.SERVICE); // of which one answer is proof enough
+            boolean isService = process.node().equals(ListTurns.SERVICE); // a single answer proves that the list service works
             long fails = of.failsNow(isService ? 1 : AGREE);
             if (fails > 0 && (isService || fails > of.worksNow())) {
                 now.add(process);
--- a/src/main/java/dappleseam/fleet/share/Traffic.java
+++ b/src/main/java/dappleseam/fleet/share/Traffic.java
@@ -1,37 +1,44 @@
 package dappleseam.fleet.share;
 
 /**
- * Queries a second that a member takes, as it tells: {@code before}, and {@code now} since {@code ageMs}, 0 to {@link #MOST} each. More of it counts once it is known to all, less at once: whoever has
- * heard of it counts it as the member itself does, and at the same time.
+ * The queries per second that a member announces: {@code current} since {@code ageMs}, {@code previous} before that, 0 to
+ * {@link #MAX_PER_S} each. An increase takes effect once all members know it, a decrease immediately. All members that have the
+ * announcement therefore apply the same rate at the same time as the member itself.
  */
 public record Traffic(int before, int now, long ageMs) {
     public static final int MOST = 10_000_000;
-    /** Share by which traffic has to be another before that is told. */
+    /** Minimum relative change of the rate that is announced. */
     private static final double NEWS = 1.0 / 6;
 
     public Traffic {
         if (before < 0 || now < 0 || before > MOST || now > MOST || ageMs < 0) {
-            throw new IllegalArgumentException("no traffic");
+            throw new IllegalArgumentException("traffic field out of range");
         }
     }
 
-    /** The first that a process tells; {@code usualPerS}: what others that have not heard it may take it for, which holds until they have. */
+    /**
+     * The first announcement of a process. {@code presumedPerS}: the rate that members without an announcement presume, which stays in
+     * effect until they have it.
+     */
     public static Traffic first(double perS, double usualPerS) {
         return new Traffic((int) Math.min(of(perS).now, Math.max(0, usualPerS)), of(perS).now, 0);
     }
 
-    /** The same since ever. */
+    /** A rate that has always been the same. */
     public static Traffic of(double perS) {
         int rate = (int) Math.min(MOST, Math.round(Math.max(0, perS)));
         return new Traffic(rate, rate, 0);
     }
 
-    /** What counts; {@code knownMs}: until it is known to all. */
+    /** The rate in effect. {@code propagationMs}: time until all members have an announcement. */
     public int inForce(double knownMs) {
         return ageMs >= knownMs ? now : Math.min(before, now);
     }
 
-    /** What to tell next, of which this is the last; the same where that is no news, or has to wait for what was told to count. */
+    /**
+     * The announcement to follow this one. Returns this one if the change is too small, or if an increase has to wait until this one
+     * is in effect.
+     */
     public Traffic next(double perS, double knownMs) {
         int rate = of(perS).now;
         if (Math.abs(rate - now) <= Math.max(1, NEWS * now)) {
--- a/src/main/java/dappleseam/fleet/share/Word.java
+++ b/src/main/java/dappleseam/fleet/share/Word.java
@@ -1,11 +1,11 @@
 package dappleseam.fleet.share;
 
-/** What other members say of one process of a cache, all together. */
+/** The other members' combined judgement of one process of a cache. */
 public enum Word {
-    /** One says that it fails: worth a look. */
+    /** One member reports that it fails, which is worth a trial. */
     HINT,
-    /** Two or more say that it fails, and fewer that it works. */
+    /** At least two members report that it fails, and fewer that it works. */
     FAILS,
-    /** They say so no more. */
+    /** The report that it fails has been withdrawn or outvoted. */
     WORKS
 }
--- a/src/test/java/dappleseam/fleet/lastlist/FolderStoreTest.java
+++ b/src/test/java/dappleseam/fleet/lastlist/FolderStoreTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The fleet's last known list in a folder, and the task that keeps it there. */
+/** Storing the fleet's last known list in a folder, and the task that does so. */
 class FolderStoreTest {
     @TempDir
     Path folder;
@@ -42,7 +42,7 @@
     void anOlderTokenIsRefusedAndToldTheLater() throws Exception {
         store.write(new Token(5, 7), 1, 1000, Lists.list(3));
         store.write(new Token(5, 7), 2, 2000, Lists.list(4));
-        assertThatThrownBy(() -> store.write(new Token(5, 7), 1, 2500, Lists.list(8))).as("its own, long on its way").isInstanceOf(ListStore.FencedException.class);
+        assertThatThrownBy(() -> store.write(new Token(5, 7), 1, 2500, Lists.list(8))).as("a delayed write of the same holder").isInstanceOf(ListStore.FencedException.class);
         store.write(new Token(6, 1), 1, 3000, Lists.list(5));
         assertThatThrownBy(() -> store.write(new Token(5, 7), 3, 4000, Lists.list(9))).isInstanceOfSatisfying(ListStore.FencedException.class,
                 e -> assertThat(e.seen()).isEqualTo(new Token(6, 1)));
@@ -61,7 +61,7 @@
         assertThat(store.read().list().path("rev").asLong()).isEqualTo(4);
     }
 
-    /** A holder that stood still between its check and its write does no harm, and hears of it. */
+    /** A holder that stalls between checking its permit and writing does not overwrite a later list, and reports that it was fenced. */
     @Test
     void theTaskWritesOnlyWithItsPermitAndHearsThatItIsFenced() throws Exception {
         List<Token> fenced = new ArrayList<>();
@@ -82,13 +82,13 @@
         task.act(permit);
         last[0] = Lists.list(3);
         task.act(permit);
-        assertThatThrownBy(store::read).as("no permit, no write").isInstanceOf(NoSuchFileException.class);
+        assertThatThrownBy(store::read).as("no write without a permit").isInstanceOf(NoSuchFileException.class);
         token[0] = new Token(2, 2);
         task.act(permit);
         assertThat(store.read().token()).isEqualTo(token[0]);
         store.write(new Token(3, 3), 1, 1, Lists.list(4));
         task.act(permit);
-        assertThat(fenced).as("it is the same list, and not written again").isEmpty();
+        assertThat(fenced).as("an unchanged list is not written again").isEmpty();
         last[0] = Lists.list(5);
         task.act(permit);
         assertThat(fenced).containsExactly(new Token(3, 3));
--- a/src/test/java/dappleseam/fleet/lastlist/HttpStoreTest.java
+++ b/src/test/java/dappleseam/fleet/lastlist/HttpStoreTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The fleet's last known list behind HTTP. */
+/** Storing the fleet's last known list behind HTTP. */
 class HttpStoreTest {
     private static HttpStore at(int port) {
         return new HttpStore(URI.create("http://127.0.0.1:" + port + "/last-list"));
@@ -49,7 +49,7 @@
         assertThatThrownBy(() -> at(port).write(new Token(1, 1), 1, 0, Lists.list(1))).isInstanceOf(IOException.class);
     }
 
-    /** A start may wait for it: an answer that never ends, never comes or is nothing ends within a second and a step. */
+    /** The start of a proxy may wait for a read, so an endless, missing or malformed answer has to fail within seconds. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"HTTP/1.1 200 OK~~Content-Length: 99999999~~~~ | true", "HTTP/1.1 200 OK~~Content-Length: 5~~~~[1,2] | false", "HTTP/1.1 409 Conflict~~Content-Length: 0~~~~ | false",
         "garbage~~~~ | false", "'' | false"})
--- a/src/test/java/dappleseam/fleet/lastlist/Lists.java
+++ b/src/test/java/dappleseam/fleet/lastlist/Lists.java
@@ -7,11 +7,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Lists to keep. */
+/** Lists for tests of the stores. */
 final class Lists {
     private Lists() {}
 
-    /** Of one node, which drains. */
+    /** A list of one draining node. */
     static NodeList list(long version) throws IOException {
         String json = "{\"rev\":" + version + ",\"all\":true,\"targets\":[{\"uid\":\"u1\",\"endpoint\":\"127.0.0.1:7\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":0,"
                 + "\"state\":\"draining\",\"capacity_hint\":1,\"boot_ms\":0}]}";
--- a/src/test/java/dappleseam/fleet/membership/MembershipTest.java
+++ b/src/test/java/dappleseam/fleet/membership/MembershipTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The membership through what a fleet meets, in simulated time. */
+/** {@link Membership} under failures, partitions, stalls and restarts, in simulated time. */
 class MembershipTest {
     private static final double SECOND = 1000;
     private static final double MINUTE = 60 * SECOND;
@@ -32,7 +32,7 @@
         fleet.startAll(2);
         fleet.runFor(2 * SECOND);
         assertThat(fleet.untilAgreed(30 * SECOND)).isNotNaN();
-        fleet.runFor(10 * SECOND); // the news of the start has been told
+        fleet.runFor(10 * SECOND); // until the gossip of the start is over
         sights.clear();
     }
 
@@ -48,7 +48,7 @@
         return fleet.nodes().stream().filter(n -> n.up).mapToDouble(n -> 1.0 / n.membership().counted()).sum();
     }
 
-    /** Time until the sum of shares is as it should be, watched over: it must never be over the whole meanwhile. */
+    /** Runs for {@code ms} and checks throughout that the sum of even shares does not exceed one. */
     private void runWithinTheWhole(double ms) {
         double until = fleet.nowMs() + ms;
         while (fleet.nowMs() < until) {
@@ -68,7 +68,7 @@
         assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL && n.membership().counted() == members);
     }
 
-    /** Two that have just come may know the same few: that they agree does not say that there are no more. */
+    /** Two new members may know the same few members, so matching views do not show that they know all. */
     @ParameterizedTest
     @ValueSource(longs = {143, 144, 145})
     void whoAgreesWithAnotherNewOneHasNotCaughtUp(long seed) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Guards the whole against processes that nobody has heard of yet: that nothing was heard of them raises nobody. */
+    /** Members that were never heard of must not raise the shares of the others, since they may start at any time. */
     @ParameterizedTest
     @ValueSource(ints = {2, 3, 4})
     void whoStartsLateFindsItsPartUntaken(int early) {
@@ -91,7 +91,7 @@
         fleet.nodes().subList(0, early).forEach(node -> node.start(seeds));
         runWithinTheWhole(2 * MINUTE);
         fleet.nodes().subList(early, 5).forEach(node -> node.start(seeds));
-        fleet.node(0).group = 1; // it hears nothing of them
+        fleet.node(0).group = 1; // partitioned away while they start
         runWithinTheWhole(MINUTE);
         fleet.node(0).group = 0;
         runWithinTheWhole(2 * MINUTE);
@@ -108,7 +108,10 @@
         assertThat(holding(dead, s -> s == State.FAILED)).isEqualTo(49);
     }
 
-    /** The dead give no help, and their silence is none of the living's ears: else these doubt themselves and take twice as long. */
+    /**
+     * Dead indirect probers must not lower the local health of the survivors. Otherwise their periods lengthen and detection takes
+     * twice as long.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void sevenInTenThatDieAtOnceAreKnownSoon(long seed) {
@@ -118,7 +121,7 @@
         assertThat(fleet.nodes().subList(35, 50)).allMatch(n -> holding(n, State.FAILED::equals) == 0);
     }
 
-    /** What others find weighs against one's own doubt, but only where they find the same. */
+    /** Other members' accusations restore a member's health only if they accuse the same member. */
     @Test
     void whoseOwnLinkLosesMostDoubtsItselfAndFailsNobody() {
         start(20, 4);
@@ -159,7 +162,7 @@
         start(30, 5);
         fleet.nodes().forEach(n -> n.group = n.number % parts);
         fleet.runFor(MINUTE);
-        for (int number : new int[] {0, 1, 7}) { // the seeds among them
+        for (int number : new int[] {0, 1, 7}) { // including the seeds
             Node node = fleet.node(number);
             node.kill();
             fleet.runFor(3 * SECOND);
@@ -169,7 +172,7 @@
         fleet.nodes().forEach(n -> n.group = 0);
         sights.clear();
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
-        assertThat(sights).as("no good neighbour is brought down by old news").noneMatch(n -> n.state() == State.FAILED);
+        assertThat(sights).as("stale gossip fails no running member").noneMatch(n -> n.state() == State.FAILED);
         fleet.runFor(MINUTE);
         assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL && n.membership().counted() == 30);
     }
@@ -184,7 +187,7 @@
         assertThat(fleet.untilAgreed(5 * MINUTE)).isNaN();
     }
 
-    /** What a cut between two members shows, with and without others that probe in one's stead. */
+    /** A cut between two members, with and without indirect probes. */
     @ParameterizedTest
     @EnumSource(value = Planted.class, names = {"NONE", "NO_INDIRECT_PROBE"})
     void twoWhoDoNotReachEachOtherKnowThatOthersDo(Planted planted) {
@@ -214,7 +217,7 @@
         assertThat(saw(State.FAILED)).isFalse();
     }
 
-    /** Refutation is what keeps a lossy member in: without it, the same minutes bring it down. */
+    /** Without refutation, the same loss makes the member fail within the same time. */
     @ParameterizedTest
     @EnumSource(value = Planted.class, names = {"NONE", "NO_REFUTATION"})
     void aMemberThatLosesThreeInTenIsNotFailed(Planted planted) {
@@ -237,7 +240,7 @@
         assertThat(stalled.standing.kind()).isEqualTo(Kind.SLOW);
         assertThat(fleet.untilAgreed(10 * SECOND)).isNotNaN();
         fleet.runFor(MINUTE);
-        assertThat(sights).as("it accuses nobody").noneMatch(n -> n.state() == State.SUSPECT || n.state() == State.FAILED);
+        assertThat(sights).as("the stalled member accuses nobody").noneMatch(n -> n.state() == State.SUSPECT || n.state() == State.FAILED);
         assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL);
     }
 
@@ -253,7 +256,7 @@
         assertThat(fleet.untilAgreed(10 * SECOND)).isNotNaN();
     }
 
-    /** A whole prober that is slow: its own losses make it doubt itself, and others stay. */
+    /** A member that stalls again and again lowers its own local health, and no other member fails. */
     @Test
     void aSlowProberAccusesNobodyForLong() {
         start(20, 11);
@@ -308,7 +311,7 @@
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
     }
 
-    /** That seven others were never heard of raises nobody: they may start at any time. The operator's file may, read again. */
+    /** Seven configured members that were never heard of keep counting, since they may start at any time; a changed configuration removes them. */
     @Test
     void whoFindsNoSeedCountsAsTheFileSaysAndJoinsOnceThereIsOne() {
         fleet = new SimulatedFleet(Module.SHIPPED, Terms.usual(9), 2, 15);
@@ -376,7 +379,7 @@
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
     }
 
-    /** The twin's end, proved or said by itself, is not the member's: its process that lives is counted throughout. */
+    /** The end of a duplicate, whether detected or announced, is not the end of the member: its running process is counted throughout. */
     @ParameterizedTest
     @CsvSource({"true, 27", "false, 28", "true, 29", "false, 30"})
     void theEndOfATwinTakesNobodyOutOfTheCount(boolean killed, long seed) {
@@ -407,12 +410,12 @@
         cut.group = 1;
         fleet.runFor(2 * MINUTE);
         assertThat(fleet.node(0).membership().counted()).isEqualTo(6);
-        assertThat(fleet.node(0).membership().endedByWord(fleet.nowMs(), fleet.node(1).name)).as("one that is there").isFalse();
+        assertThat(fleet.node(0).membership().endedByWord(fleet.nowMs(), fleet.node(1).name)).as("a live member").isFalse();
         assertThat(fleet.node(0).membership().endedByWord(fleet.nowMs(), cut.name)).isTrue();
         fleet.runFor(MINUTE);
         assertThat(holding(cut, s -> s == State.ENDED)).isEqualTo(5);
         assertThat(fleet.node(3).membership().counted()).isEqualTo(5);
-        cut.group = 0; // it was wrong
+        cut.group = 0; // the operator was wrong: the member is running
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
     }
 
--- a/src/test/java/dappleseam/fleet/share/BoardTest.java
+++ b/src/test/java/dappleseam/fleet/share/BoardTest.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Bulletins spread, die and are never another's. */
+/** Announcements spread and expire, and members announce only themselves. */
 class BoardTest {
     private static final Life LIFE = new Life(5, 5);
 
@@ -35,16 +35,16 @@
             continue;
         }
         board.say(1000, LIFE, 110, List.of());
-        assertThat(board.toTell(1000, 2)).as("a tenth more is no news").isEmpty();
+        assertThat(board.toTell(1000, 2)).as("a change by a tenth is too small").isEmpty();
         board.say(2000, LIFE, 100, List.of(fails(7, 100)));
         assertThat(board.toTell(2500, 2)).singleElement().satisfies(b -> assertThat(b.sights()).containsExactly(fails(7, 600)));
         board.say(2600, LIFE, 100, List.of(fails(7, 700)));
-        assertThat(of(board, 2600, 0).number()).as("only its age is another").isEqualTo(2);
+        assertThat(of(board, 2600, 0).number()).as("only the age differs").isEqualTo(2);
         board.say(2610, LIFE, 100, List.of());
         board.say(2620, LIFE, 100, List.of(fails(8, 0)));
-        assertThat(of(board, 2620, 0).sights()).as("what flaps waits").isEmpty();
+        assertThat(of(board, 2620, 0).sights()).as("a flapping state is delayed").isEmpty();
         board.say(23_000, LIFE, 100, List.of());
-        assertThat(board.toTell(23_000, 2)).as("told anew before it dies").hasSize(1);
+        assertThat(board.toTell(23_000, 2)).as("repeated before it expires").hasSize(1);
     }
 
     @Test
@@ -56,7 +56,7 @@
         Bulletin own = new Bulletin(name(0), LIFE, 99, Bulletin.NOWHERE, Traffic.of(8), List.of());
         board.heard(0, List.of(second, first, older, own));
         assertThat(of(board, 0, 1)).isEqualTo(second);
-        assertThat(of(board, 0, 0)).as("nobody else speaks for it").isNull();
+        assertThat(of(board, 0, 0)).as("no other member announces for this one").isNull();
         assertThat(of(board, Board.OLDEST_MS + 1, 1)).isNull();
         assertThat(board.toTell(Board.OLDEST_MS + 1, 2)).isEmpty();
         for (int i = 10; i < 100; i++) {
@@ -65,7 +65,7 @@
         assertThat(board.now(0)).as("bounded").hasSizeLessThanOrEqualTo(10);
     }
 
-    /** Two hundred members tell two others each, four times a period; a third of it is lost: one's word is with all within a few periods. */
+    /** Two hundred members each gossip to two others, four times a period, and a third is lost: all learn of it within a few periods. */
     @Test
     void oneWordReachesTwoHundredThroughLoss() {
         int members = 200;
@@ -104,7 +104,7 @@
             }
             worst = Math.max(worst, looks);
         }
-        assertThat(worst).as("looks, four a period").isLessThanOrEqualTo(20);
+        assertThat(worst).as("rounds, four per period").isLessThanOrEqualTo(20);
         assertThat(datagrams).isPositive();
     }
 }
--- a/src/test/java/dappleseam/fleet/share/HearsayTest.java
+++ b/src/test/java/dappleseam/fleet/share/HearsayTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What a proxy does by others' words: as far as its own answers, the bound and its turn allow. */
+/** Ejections by verdicts of other members, limited by own answers, the maximum fraction and the retry rank. */
 class HearsayTest {
     private final Hearsay hearsay = new Hearsay(new SplittableRandom(1));
     private final Map<NodeId, Held> caches = new HashMap<>();
@@ -33,11 +33,11 @@
     @Test
     void aHintPutsOnTrialAndAgreementSetsAside() {
         assertThat(decide(10_000, 1, Word.HINT, 0)).containsExactly(new Order(new NodeId(1), 5, 10_000));
-        assertThat(decide(10_200, 1, Word.HINT, 0)).as("it is on trial already").isEmpty();
+        assertThat(decide(10_200, 1, Word.HINT, 0)).as("already on trial").isEmpty();
         assertThat(decide(10_400, 1, Word.FAILS, 0)).singleElement().satisfies(o -> assertThat(o.asideUntilMs()).isBetween(11_900.0, 12_900.0));
-        assertThat(decide(13_000, 1, Word.FAILS, 0)).as("its turn has come: the next query tries it").isEmpty();
+        assertThat(decide(13_000, 1, Word.FAILS, 0)).as("its turn has come, so the next query tries it").isEmpty();
         assertThat(hearsay.isOwn(new NodeId(1), caches.get(new NodeId(1)).asideUntilMs())).isFalse();
-        assertThat(hearsay.isOwn(new NodeId(1), 15_000)).as("set aside anew, by its own trial").isTrue();
+        assertThat(hearsay.isOwn(new NodeId(1), 15_000)).as("ejected again, by its own trial").isTrue();
     }
 
     @Test
@@ -71,7 +71,7 @@
         for (now = 20_000; caches.get(new NodeId(2)).asideUntilMs() > now; now += 500) {
             decide(now, 2, Word.FAILS, 150);
         }
-        assertThat(now).as("bounded, whatever its place").isLessThanOrEqualTo(53_000);
+        assertThat(now).as("bounded for any rank").isLessThanOrEqualTo(53_000);
     }
 
     @Test
--- a/src/test/java/dappleseam/fleet/share/SharesTest.java
+++ b/src/test/java/dappleseam/fleet/share/SharesTest.java
@@ -15,7 +15,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** One member's share, by what it is told; and its place. */
+/** One member's share and position, calculated from announcements. */
 class SharesTest {
     private static final double PERIOD = 1000;
     private static final List<MemberName> NAMES = IntStream.range(0, 10).mapToObj(i -> new MemberName("m" + i)).toList();
@@ -60,7 +60,7 @@
         assertThat(share()).as("nothing known").isCloseTo(0.1, within(1e-9));
         settle(9, 9, 9, 9, 9, 9, 9, 9, 9, 9);
         assertThat(share()).isCloseTo(0.1, within(1e-9));
-        assertThat(shares.share(now, ALL, 10, true)).as("beside a twin").isCloseTo(0.05, within(1e-9));
+        assertThat(shares.share(now, ALL, 10, true)).as("next to a duplicate").isCloseTo(0.05, within(1e-9));
     }
 
     @Test
@@ -83,35 +83,38 @@
         assertThat(share()).isCloseTo(0.1, within(1e-9));
     }
 
-    /** As when most proxies die and the rest take their clients: news comes at various times, some before what it follows, and counts at one. */
+    /**
+     * When most proxies die, the remaining ones take over their clients. Their announcements arrive at different times, and all take
+     * effect at the same time.
+     */
     @Test
     void aRiseThatAllShareMovesNoShareForLong() {
         settle(9, 9, 9, 9, 9, 9, 9, 9, 9, 9);
         for (int step = 0; step < 40; step++) {
             Traffic risen = new Traffic(9, 39, Math.round(step * PERIOD / 4));
-            int heardOf = Math.min(10, 1 + step); // each later than the one before
+            int heardOf = Math.min(10, 1 + step); // one more member in each step
             shares.hear(now, IntStream.range(0, heardOf).mapToObj(i -> tells(i, risen)).toList());
-            boolean isBetween = step * PERIOD / 4 >= Shares.KNOWN_PERIODS * PERIOD && step * PERIOD / 4 < shares.ownMs(); // a moment, which Portion waits for
+            boolean isBetween = step * PERIOD / 4 >= Shares.KNOWN_PERIODS * PERIOD && step * PERIOD / 4 < shares.ownMs(); // a short time, which ShareRamp waits for
             assertThat(share()).as("step " + step).isCloseTo(isBetween ? 0.05 + 0.5 * 10 / 370 : 0.1, within(1e-9));
             now += PERIOD / 4;
         }
     }
 
-    /** What is told next: more waits for what was told last to count, less does not. */
+    /** An increase waits until the last announcement is in effect, a decrease does not. */
     @Test
     void moreIsToldOnlyOnceTheLastCounts() {
         Traffic first = Traffic.of(12);
-        assertThat(first.next(13, 3000)).as("no news").isSameAs(first);
-        assertThat(first.next(40, 3000)).as("it may be new").isSameAs(first);
+        assertThat(first.next(13, 3000)).as("too small a change").isSameAs(first);
+        assertThat(first.next(40, 3000)).as("the last announcement is not in effect yet").isSameAs(first);
         Traffic risen = first.olderBy(3000).next(40, 3000);
         assertThat(risen).isEqualTo(new Traffic(12, 40, 0));
         assertThat(risen.olderBy(2999).inForce(3000)).isEqualTo(12);
-        assertThat(risen.olderBy(1000).next(30, 3000)).as("less than was told, more than counts").isEqualTo(new Traffic(12, 30, 1000));
+        assertThat(risen.olderBy(1000).next(30, 3000)).as("below the announced rate, above the effective one").isEqualTo(new Traffic(12, 30, 1000));
         assertThat(risen.olderBy(1000).next(5, 3000)).isEqualTo(Traffic.of(5));
         assertThat(risen.olderBy(3000).next(80, 3000)).isEqualTo(new Traffic(40, 80, 0));
     }
 
-    /** What the other half cannot hear of is bounded, and for a while after, until they have been told. */
+    /** Growth that the other side cannot learn of is bounded, also after the partition until all members have been informed. */
     @Test
     void inASplitAQuarterMoreTrafficIsTold() {
         settle(9, 9, 9, 9, 9, 9, 9, 9, 9, 9);
@@ -128,7 +131,7 @@
         assertThat(shares.tellsAnew(now)).isFalse();
     }
 
-    /** Those that are proved ended need not hear of anything: the rest take up their part at once. */
+    /** Members that have ended need no announcement, so the others take over their part immediately. */
     @Test
     void onceTheMissingHaveEndedAllIsTold() {
         settle(9, 9, 9, 9, 9, 9, 9, 9, 9, 9);
@@ -143,7 +146,7 @@
         assertThat(share()).isCloseTo(0.05 + 0.5 * 10 / (90 + 640), within(1e-9));
     }
 
-    /** A new process that has heard of one idle member only does not take the whole. */
+    /** A new process that knows a single idle member does not take everything. */
     @Test
     void whoHasHeardOfFewTakesAnEvenShareAtMost() {
         hear(500, 0);
@@ -152,14 +155,14 @@
         assertThat(share()).isLessThanOrEqualTo(0.1 + 1e-9);
     }
 
-    /** Members that are known for nothing but a number count as missing. */
+    /** Members of which only the number is known count as missing. */
     @Test
     void whoKnowsNobodyTellsNextToNothing() {
         assertThat(shares.tellable(now, 500, Set.of(NAMES.get(0)), Set.of(), 10)).isLessThan(1);
         assertThat(shares.share(now, Set.of(NAMES.get(0)), 10, false)).isLessThanOrEqualTo(0.1 + 1e-9);
     }
 
-    /** A proxy goes by the copies of its own location first: there it stands in order, and others' order is theirs. */
+    /** A proxy prefers the copies of its own location, so its position is among the members of that location only. */
     @Test
     void placesAreThoseOfOnesOwnLocation() {
         shares.hear(now, IntStream.range(0, 10).mapToObj(i -> tells(i, i % 3, Traffic.of(9))).toList());
@@ -167,7 +170,7 @@
         assertThat(shares.traffic(ALL).values()).containsOnly(10.0);
     }
 
-    /** Copies of a hot key, each served by those whose place lies in its part: even by traffic, and one more moves few. */
+    /** Each copy of a hot key is used by the members positioned in its part: the traffic is balanced, and one more member moves few others. */
     @Test
     void placesAreEvenByTrafficAndOneMoreMovesFew() {
         SplittableRandom random = new SplittableRandom(1);
--- a/src/test/java/dappleseam/fleet/share/SignalsTest.java
+++ b/src/test/java/dappleseam/fleet/share/SignalsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What others' words come to, and what is said oneself: hints, agreement, liars, one's own bad link, age and new starts. */
+/** Verdicts and announced observations: hints, agreement, repeated votes, a bad own link, age and restarted processes. */
 class SignalsTest {
     private static final Life LIFE = new Life(5, 5);
     private static final MemberName SELF = new MemberName("self");
@@ -36,20 +36,20 @@
     void oneIsAHintTwoAgreeAndAnEchoIsNoWitness() {
         says("a", 5, true, 0);
         assertThat(words()).containsExactly(new Said(CACHE, 5, Word.HINT, 1, 0, 0));
-        bulletins.add(bulletins.get(0)); // the same, told on by another
+        bulletins.add(bulletins.get(0)); // the same announcement, passed on by another member
         assertThat(words()).hasSize(1).allMatch(s -> s.fails() == 2 == (s.word() == Word.FAILS));
         bulletins.remove(1);
         says("self", 5, true, 0);
         says("gone-1", 5, true, 0);
         says("b", 6, true, 0);
         says("c", 5, true, Sight.OLDEST_MS + 1);
-        assertThat(words()).as("not its own word, not of one that has gone, of another process, or too old")
+        assertThat(words()).as("ignores own votes, votes of members that have gone, about another process, or too old")
                 .containsExactlyInAnyOrder(new Said(CACHE, 5, Word.HINT, 1, 0, 0), new Said(CACHE, 6, Word.HINT, 1, 0, 0));
         says("d", 5, true, 0);
         assertThat(words()).contains(new Said(CACHE, 5, Word.FAILS, 2, 0, 3));
     }
 
-    /** Of the list service one answer is proof, however many have failed; the turn comes with the word. */
+    /** A single answer of the list service outvotes any number of failures; the verdict contains the retry rank. */
     @Test
     void oneAnswerOfTheListServiceIsEnough() {
         for (String who : List.of("a", "b", "c")) {
@@ -73,7 +73,7 @@
         assertThat(words()).isEmpty();
     }
 
-    /** A cache that is back: most that found it silent have not come to try it since. One that says it works acquits nothing. */
+    /** After a cache recovers, most members that found it silent have not tried it again. A single working vote does not clear it. */
     @Test
     void whatTwoSawToWorkVoidsWhatOthersSawBefore() {
         for (String who : List.of("a", "b", "c", "d", "e")) {
@@ -84,9 +84,9 @@
         says("g", 5, false, 4000);
         assertThat(words()).containsExactly(new Said(CACHE, 5, Word.WORKS, 5, 2, 3));
         says("h", 5, true, 3000);
-        assertThat(words()).as("one of later, and one that works of later still").isEmpty();
+        assertThat(words()).as("one newer failing vote, and one working vote newer still").isEmpty();
         says("i", 5, true, 300);
-        assertThat(words()).extracting(Said::word).as("it flaps").containsExactly(Word.FAILS);
+        assertThat(words()).extracting(Said::word).as("flapping").containsExactly(Word.FAILS);
     }
 
     @Test
@@ -104,15 +104,15 @@
         says("a", 5, true, 0);
         signals.hear(bulletins, b -> true);
         assertThat(signals.own(1000, mine, true)).containsExactlyInAnyOrder(new Sight(new NodeId(8), 5, true, 100), new Sight(CACHE, 5, false, 100));
-        assertThat(signals.own(4000, mine, true)).as("an answer of three seconds ago").containsExactly(new Sight(new NodeId(8), 5, true, 3100));
+        assertThat(signals.own(4000, mine, true)).as("the answer is three seconds old").containsExactly(new Sight(new NodeId(8), 5, true, 3100));
         assertThat(signals.own(40_000, mine, true)).isEmpty();
     }
 
     @Test
     void whoMayBeIllItselfConvictsNobody() {
         List<Seen> mine = List.of(seen(7, true, 100), seen(8, true, 100), seen(9, false, 900), seen(10, false, 900));
-        assertThat(signals.own(1000, mine, true)).as("half of all: its own link").isEmpty();
-        assertThat(signals.own(1000, mine.subList(1, 4), false)).as("it stands slow").isEmpty();
+        assertThat(signals.own(1000, mine, true)).as("half of all caches, so its own link is suspected").isEmpty();
+        assertThat(signals.own(1000, mine.subList(1, 4), false)).as("its status is slow").isEmpty();
         assertThat(signals.own(1000, mine.subList(1, 4), true)).hasSize(1);
     }
 }
