--- a/src/main/java/dappleseam/fleet/lastlist/FolderStore.java
+++ b/src/main/java/dappleseam/fleet/lastlist/FolderStore.java
@@ -3,7 +3,7 @@
 import dappleseam.fleet.lease.Token;
 import dappleseam.list.ListFile;
 import dappleseam.list.NodeList;
-import dappleseam.list.SealedFile;
+import dappleseam.list.ChecksummedFile;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -32,22 +32,22 @@
     @Override
     public void write(Token token, long number, double nowMs, NodeList list) throws IOException {
         Files.createDirectories(folder);
-        try (FileChannel locks = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE); FileLock lock = locks.lock()) {
-            Stored seen = lock.isValid() ? seen() : null;
-            if (seen != null && !seen.isBefore(token, number)) {
-                throw new FencedException(seen.token());
+        try (FileChannel lockFile = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE); FileLock lock = lockFile.lock()) {
+            Stored existing = lock.isValid() ? readIfPresent() : null;
+            if (existing != null && !existing.isBefore(token, number)) {
+                throw new FencedException(existing.token());
             }
-            SealedFile.writeForced(file(), VERSION, json -> ListStore.write(json, token, number, nowMs, list));
+            ChecksummedFile.writeDurably(file(), VERSION, json -> ListStore.write(json, token, number, nowMs, list));
         }
     }
 
     /** Null if there is no file. A damaged file counts as none, since otherwise no write would ever succeed again. */
-    private Stored seen() throws IOException {
+    private Stored readIfPresent() throws IOException {
         try {
             return read();
         } catch (NoSuchFileException e) {
             return null;
-        } catch (SealedFile.DamagedException e) {
+        } catch (ChecksummedFile.DamagedException e) {
             return null;
         }
     }
@@ -55,9 +55,9 @@
     @Override
     public Stored read() throws IOException {
         try {
-            return Stored.of(SealedFile.read(file(), VERSION));
+            return Stored.of(ChecksummedFile.read(file(), VERSION));
         } catch (IllegalArgumentException e) {
-            throw new SealedFile.DamagedException(e.getMessage());
+            throw new ChecksummedFile.DamagedException(e.getMessage());
         }
     }
 }
--- a/src/main/java/dappleseam/fleet/lastlist/ListStore.java
+++ b/src/main/java/dappleseam/fleet/lastlist/ListStore.java
@@ -13,10 +13,10 @@
      * The stored object. {@code number}: counts the writes with this token; {@code writtenAtMs}: the writer's wall clock;
      * {@code list}: in the format of the list service.
      */
-    record Stored(Token token, long number, double writtenMs, JsonNode list) {
+    record Stored(Token token, long number, double writtenAtMs, JsonNode list) {
         /** Whether a write with that token and number comes after this one. Delayed older writes do not. */
-        public boolean isBefore(Token other, long itsNumber) {
-            return token.isBelow(other) || token.equals(other) && number < itsNumber;
+        public boolean isBefore(Token other, long otherNumber) {
+            return token.isBelow(other) || token.equals(other) && number < otherNumber;
         }
 
         /**
@@ -49,15 +49,15 @@
     /** Thrown if a later holder has written, or this holder with a later number. */
     final class FencedException extends IOException {
         private static final long serialVersionUID = 1L;
-        private final transient Token seen;
+        private final transient Token latestToken;
 
         public FencedException(Token seen) {
             super("the store holds a later write with token " + seen.text());
-            this.seen = seen;
+            this.latestToken = seen;
         }
 
-        public Token seen() {
-            return seen;
+        public Token latestToken() {
+            return latestToken;
         }
     }
 
--- a/src/main/java/dappleseam/fleet/membership/Life.java
+++ b/src/main/java/dappleseam/fleet/membership/Generation.java
@@ -5,25 +5,25 @@
  * an earlier generation that it learnt of, 0 to {@link #MAX_START}; {@code nonce}: random, drawn at its start. The greater of two
  * generations is the current one.
  */
-public record Life(long start, long nonce) implements Comparable<Life> {
+public record Generation(long start, long nonce) implements Comparable<Generation> {
     /** Greatest valid start, some thousands of years from now. */
-    public static final long LATEST = 1L << 47;
+    public static final long MAX_START = 1L << 47;
 
-    public Life {
-        if (start < 0 || start > LATEST) {
+    public Generation {
+        if (start < 0 || start > MAX_START) {
             throw new IllegalArgumentException("start out of range");
         }
     }
 
     @Override
-    public int compareTo(Life other) {
+    public int compareTo(Generation other) {
         int byStart = Long.compare(start, other.start);
         return byStart != 0 ? byStart : Long.compare(nonce, other.nonce);
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Life that && that.start == start && that.nonce == nonce;
+        return other instanceof Generation that && that.start == start && that.nonce == nonce;
     }
 
     @Override
--- a/src/main/java/dappleseam/fleet/membership/Notice.java
+++ b/src/main/java/dappleseam/fleet/membership/MemberEntry.java
@@ -8,13 +8,13 @@
  * {@code incarnation}: 0 to {@link #MAX_INCARNATION}, raised only by the process itself; {@code accuser}: a hash of the member that
  * suspects it, 0 if there is none.
  */
-public record Notice(MemberName name, InetSocketAddress address, Life life, int incarnation, State state, int accuser)
-        implements Comparable<Notice> {
+public record MemberEntry(MemberName name, InetSocketAddress address, Generation generation, int incarnation, State state, int accuser)
+        implements Comparable<MemberEntry> {
     /** Last incarnation of a generation; a process that would exceed it starts a new generation. */
-    public static final int LAST = 1 << 30;
+    public static final int MAX_INCARNATION = 1 << 30;
     /** Maximum encoded bytes apart from the name: address 7 and 3, generation 9 and 9, incarnation 5, state 1, accuser 5, frame 3. */
-    private static final int FRAME_BYTES = 42;
-    private static final int CHECK_PRIME = 0x9E3779B1;
+    private static final int OVERHEAD_BYTES = 42;
+    private static final int HASH_MULTIPLIER = 0x9E3779B1;
 
     /** In order of precedence: within an incarnation a later state overrides an earlier one. */
     public enum State {
@@ -29,7 +29,7 @@
         LEFT;
 
         /** Whether the member is presumed to be running. */
-        public boolean isPresent() {
+        public boolean isLive() {
             return this == ALIVE || this == SUSPECT;
         }
 
@@ -39,8 +39,8 @@
         }
     }
 
-    public Notice {
-        if (incarnation < 0 || incarnation > LAST) {
+    public MemberEntry {
+        if (incarnation < 0 || incarnation > MAX_INCARNATION) {
             throw new IllegalArgumentException("incarnation out of range");
         }
         if (address.getPort() == 0 || address.isUnresolved() || address.getAddress().getAddress().length != 4) {
@@ -48,42 +48,42 @@
         }
     }
 
-    public Notice with(State now, int by) {
-        return new Notice(name, address, life, incarnation, now, by);
+    public MemberEntry withState(State newState, int newAccuser) {
+        return new MemberEntry(name, address, generation, incarnation, newState, newAccuser);
     }
 
     @Override
-    public int compareTo(Notice other) {
-        int byLife = life.compareTo(other.life);
-        if (byLife != 0) {
-            return byLife;
+    public int compareTo(MemberEntry other) {
+        int byGeneration = generation.compareTo(other.generation);
+        if (byGeneration != 0) {
+            return byGeneration;
         }
         int byIncarnation = Integer.compare(incarnation, other.incarnation);
         return byIncarnation != 0 ? byIncarnation : state.compareTo(other.state);
     }
 
     /** Upper bound of this entry's encoded size in a datagram. */
-    public int bytes() {
-        return FRAME_BYTES + name.text().length();
+    public int maxEncodedBytes() {
+        return OVERHEAD_BYTES + name.text().length();
     }
 
     /**
      * Hash of what has to be equal in views that agree. Suspicion is left out because it is transient, and members that ended or left
      * because they are forgotten at different times.
      */
-    int sum() {
+    int digest() {
         if (!state.isCounted()) {
             return 0;
         }
-        int sum = name.hashCode();
-        sum = mix(sum, Long.hashCode(life.start()));
-        sum = mix(sum, Long.hashCode(life.nonce()));
-        sum = mix(sum, incarnation);
-        return mix(sum, state == State.FAILED ? 1 : 0);
+        int digest = name.hashCode();
+        digest = mix(digest, Long.hashCode(generation.start()));
+        digest = mix(digest, Long.hashCode(generation.nonce()));
+        digest = mix(digest, incarnation);
+        return mix(digest, state == State.FAILED ? 1 : 0);
     }
 
-    private static int mix(int sum, int more) {
-        int mixed = (sum ^ more) * CHECK_PRIME;
+    private static int mix(int digest, int value) {
+        int mixed = (digest ^ value) * HASH_MULTIPLIER;
         return mixed ^ (mixed >>> 15);
     }
 }
--- a/src/main/java/dappleseam/fleet/membership/MemberName.java
+++ b/src/main/java/dappleseam/fleet/membership/MemberName.java
@@ -4,10 +4,10 @@
 
 /** A member's name, which survives restarts: 1 to 48 ASCII letters, digits, dots, dashes and underscores. */
 public record MemberName(String text) {
-    private static final Pattern FORM = Pattern.compile("[A-Za-z0-9._-]{1,48}");
+    private static final Pattern PATTERN = Pattern.compile("[A-Za-z0-9._-]{1,48}");
 
     public MemberName {
-        if (!FORM.matcher(text).matches()) {
+        if (!PATTERN.matcher(text).matches()) {
             throw new IllegalArgumentException("not a valid member name");
         }
     }
--- a/src/main/java/dappleseam/fleet/membership/Standing.java
+++ b/src/main/java/dappleseam/fleet/membership/MembershipStatus.java
@@ -6,7 +6,7 @@
  * A member's own view of its connection to the fleet. {@code sinceMs}: when {@code kind} last changed, on the host's clock;
  * {@code missing}: members it cannot reach directly, at most 32 of them.
  */
-public record Standing(Kind kind, double sinceMs, List<MemberName> missing) {
+public record MembershipStatus(Kind kind, double sinceMs, List<MemberName> missing) {
     /** docs/fleet-design.md says what each kind means for shares and leases. */
     public enum Kind { STARTING, WITH_ALL, CUT_OFF, ALONE, SLOW }
 }
--- a/src/main/java/dappleseam/fleet/share/Seen.java
+++ b/src/main/java/dappleseam/fleet/share/LocalObservation.java
@@ -7,4 +7,4 @@
  * execution unanswered and has not answered since; {@code failedAtMs}: when that was last found; {@code lastAnswerAtMs}: when it last
  * answered. Times are ms of one clock, {@link Double#NEGATIVE_INFINITY} for never.
  */
-public record Seen(NodeId node, double startedAtMs, boolean fails, double failedAtMs, double heardAtMs) {}
+public record LocalObservation(NodeId node, double startedAtMs, boolean failing, double failedAtMs, double lastAnswerAtMs) {}
--- a/src/main/java/dappleseam/fleet/share/Sight.java
+++ b/src/main/java/dappleseam/fleet/share/NodeObservation.java
@@ -6,19 +6,19 @@
  * What a member announces about one process of a cache because of its own executions. {@code startedAtMs}: start of the process
  * according to the list; {@code ageMs}: time since the observation, 0 to {@link #MAX_AGE_MS}.
  */
-public record Sight(NodeId node, long startedAtMs, boolean fails, long ageMs) {
+public record NodeObservation(NodeId node, long startedAtMs, boolean failing, long ageMs) {
     /** Age in ms above which an observation is ignored. A proxy with little traffic tries a cache again twice a minute. */
-    public static final long OLDEST_MS = 30_000;
+    public static final long MAX_AGE_MS = 30_000;
     /** Greatest valid start. */
-    public static final long LATEST = 1L << 47;
+    public static final long MAX_START = 1L << 47;
 
-    public Sight {
-        if (startedAtMs < 0 || startedAtMs > LATEST || ageMs < 0) {
+    public NodeObservation {
+        if (startedAtMs < 0 || startedAtMs > MAX_START || ageMs < 0) {
             throw new IllegalArgumentException("observation field out of range");
         }
     }
 
-    Sight olderBy(double ms) {
-        return new Sight(node, startedAtMs, fails, ageMs + Math.round(Math.max(0, ms)));
+    NodeObservation agedBy(double ms) {
+        return new NodeObservation(node, startedAtMs, failing, ageMs + Math.round(Math.max(0, ms)));
     }
 }
--- a/src/main/java/dappleseam/fleet/share/Places.java
+++ b/src/main/java/dappleseam/fleet/share/TrafficPosition.java
@@ -10,19 +10,19 @@
  * traffic, with its position in the middle. Equal parts of the line therefore carry equal traffic, and adding or removing a member
  * moves no border by more than the member's own segment.
  */
-public final class Places {
+public final class TrafficPosition {
     private static final Comparator<MemberName> ORDER = Comparator.comparingLong((MemberName name) -> Hash.mix(name.text().hashCode())).thenComparing(MemberName::text);
 
-    private Places() {}
+    private TrafficPosition() {}
 
     /** {@code traffic}: of each member, {@code self} included, in any common unit, greater than 0. */
     public static double of(MemberName self, Map<MemberName, Double> traffic) {
-        double before = 0;
-        double all = 0;
+        double preceding = 0;
+        double total = 0;
         for (Map.Entry<MemberName, Double> entry : traffic.entrySet()) {
-            all += entry.getValue();
-            before += ORDER.compare(entry.getKey(), self) < 0 ? entry.getValue() : 0;
+            total += entry.getValue();
+            preceding += ORDER.compare(entry.getKey(), self) < 0 ? entry.getValue() : 0;
         }
-        return (before + traffic.get(self) / 2) / all;
+        return (preceding + traffic.get(self) / 2) / total;
     }
 }
--- a/src/test/java/dappleseam/fleet/lastlist/FolderStoreTest.java
+++ b/src/test/java/dappleseam/fleet/lastlist/FolderStoreTest.java
@@ -28,42 +28,42 @@
     }
 
     @Test
-    void whatIsWrittenIsReadDrainsIncluded() throws Exception {
+    void aWrittenListIsReadBackWithDrainingNodes() throws Exception {
         assertThatThrownBy(store::read).isInstanceOf(NoSuchFileException.class);
-        store.write(new Token(5, 7), 1, 1000, Lists.list(3));
+        store.write(new Token(5, 7), 1, 1000, TestLists.list(3));
         ListStore.Stored read = store.read();
         assertThat(read.token()).isEqualTo(new Token(5, 7));
-        assertThat(read.writtenMs()).isEqualTo(1000);
+        assertThat(read.writtenAtMs()).isEqualTo(1000);
         assertThat(read.list().path("rev").asLong()).isEqualTo(3);
         assertThat(read.list().path("targets").path(0).path("state").asText()).isEqualTo("draining");
     }
 
     @Test
-    void anOlderTokenIsRefusedAndToldTheLater() throws Exception {
-        store.write(new Token(5, 7), 1, 1000, Lists.list(3));
-        store.write(new Token(5, 7), 2, 2000, Lists.list(4));
-        assertThatThrownBy(() -> store.write(new Token(5, 7), 1, 2500, Lists.list(8))).as("a delayed write of the same holder").isInstanceOf(ListStore.FencedException.class);
-        store.write(new Token(6, 1), 1, 3000, Lists.list(5));
-        assertThatThrownBy(() -> store.write(new Token(5, 7), 3, 4000, Lists.list(9))).isInstanceOfSatisfying(ListStore.FencedException.class,
-                e -> assertThat(e.seen()).isEqualTo(new Token(6, 1)));
+    void anOlderTokenIsRefusedWithTheLaterOne() throws Exception {
+        store.write(new Token(5, 7), 1, 1000, TestLists.list(3));
+        store.write(new Token(5, 7), 2, 2000, TestLists.list(4));
+        assertThatThrownBy(() -> store.write(new Token(5, 7), 1, 2500, TestLists.list(8))).as("a delayed write of the same holder").isInstanceOf(ListStore.FencedException.class);
+        store.write(new Token(6, 1), 1, 3000, TestLists.list(5));
+        assertThatThrownBy(() -> store.write(new Token(5, 7), 3, 4000, TestLists.list(9))).isInstanceOfSatisfying(ListStore.FencedException.class,
+                e -> assertThat(e.latestToken()).isEqualTo(new Token(6, 1)));
         assertThat(store.read().list().path("rev").asLong()).isEqualTo(5);
     }
 
     @Test
-    void damageIsSeenAndWrittenOver() throws Exception {
-        store.write(new Token(5, 7), 1, 1000, Lists.list(3));
+    void damageIsDetectedAndOverwritten() throws Exception {
+        store.write(new Token(5, 7), 1, 1000, TestLists.list(3));
         Path file = folder.resolve("store").resolve("list");
         byte[] bytes = Files.readAllBytes(file);
         bytes[bytes.length - 3] ^= 1;
         Files.write(file, bytes);
         assertThatThrownBy(store::read).isInstanceOf(IOException.class);
-        store.write(new Token(6, 1), 1, 2000, Lists.list(4));
+        store.write(new Token(6, 1), 1, 2000, TestLists.list(4));
         assertThat(store.read().list().path("rev").asLong()).isEqualTo(4);
     }
 
     /** A holder that stalls between checking its permit and writing does not overwrite a later list, and reports that it was fenced. */
     @Test
-    void theTaskWritesOnlyWithItsPermitAndHearsThatItIsFenced() throws Exception {
+    void theTaskWritesOnlyWithAPermitAndReportsFencing() throws Exception {
         List<Token> fenced = new ArrayList<>();
         Token[] token = {null};
         Permit permit = new Permit() {
@@ -78,19 +78,19 @@
             }
         };
         NodeList[] last = {null};
-        KeepList task = new KeepList(() -> last[0], store);
-        task.act(permit);
-        last[0] = Lists.list(3);
-        task.act(permit);
+        LastListTask task = new LastListTask(() -> last[0], store);
+        task.run(permit);
+        last[0] = TestLists.list(3);
+        task.run(permit);
         assertThatThrownBy(store::read).as("no write without a permit").isInstanceOf(NoSuchFileException.class);
         token[0] = new Token(2, 2);
-        task.act(permit);
+        task.run(permit);
         assertThat(store.read().token()).isEqualTo(token[0]);
-        store.write(new Token(3, 3), 1, 1, Lists.list(4));
-        task.act(permit);
+        store.write(new Token(3, 3), 1, 1, TestLists.list(4));
+        task.run(permit);
         assertThat(fenced).as("an unchanged list is not written again").isEmpty();
-        last[0] = Lists.list(5);
-        task.act(permit);
+        last[0] = TestLists.list(5);
+        task.run(permit);
         assertThat(fenced).containsExactly(new Token(3, 3));
         assertThat(store.read().list().path("rev").asLong()).isEqualTo(4);
     }
--- a/src/test/java/dappleseam/fleet/lastlist/HttpStoreTest.java
+++ b/src/test/java/dappleseam/fleet/lastlist/HttpStoreTest.java
@@ -17,22 +17,22 @@
 
 /** Storing the fleet's last known list behind HTTP. */
 class HttpStoreTest {
-    private static HttpStore at(int port) {
+    private static HttpStore store(int port) {
         return new HttpStore(URI.create("http://127.0.0.1:" + port + "/last-list"));
     }
 
     @Test
-    void whatIsWrittenIsReadAndWhatIsOlderIsRefused() throws Exception {
+    void aWrittenListIsReadBackAndOlderWritesAreRefused() throws Exception {
         try (StoreEmulator emulator = new StoreEmulator(0, true)) {
             emulator.open();
-            HttpStore store = at(emulator.port());
+            HttpStore store = store(emulator.port());
             assertThatThrownBy(store::read).isInstanceOf(IOException.class).hasMessageContaining("404");
-            store.write(new Token(5, -7), 1, 1000, Lists.list(3));
-            store.write(new Token(5, -7), 2, 2000, Lists.list(4));
-            assertThatThrownBy(() -> store.write(new Token(5, -7), 1, 1000, Lists.list(3))).isInstanceOf(ListStore.FencedException.class);
-            store.write(new Token(6, 1), 1, 3000, Lists.list(5));
-            assertThatThrownBy(() -> store.write(new Token(5, -7), 3, 4000, Lists.list(9))).isInstanceOfSatisfying(ListStore.FencedException.class,
-                    e -> assertThat(e.seen()).isEqualTo(new Token(6, 1)));
+            store.write(new Token(5, -7), 1, 1000, TestLists.list(3));
+            store.write(new Token(5, -7), 2, 2000, TestLists.list(4));
+            assertThatThrownBy(() -> store.write(new Token(5, -7), 1, 1000, TestLists.list(3))).isInstanceOf(ListStore.FencedException.class);
+            store.write(new Token(6, 1), 1, 3000, TestLists.list(5));
+            assertThatThrownBy(() -> store.write(new Token(5, -7), 3, 4000, TestLists.list(9))).isInstanceOfSatisfying(ListStore.FencedException.class,
+                    e -> assertThat(e.latestToken()).isEqualTo(new Token(6, 1)));
             assertThat(store.read().token()).isEqualTo(new Token(6, 1));
             assertThat(store.read().list().path("rev").asLong()).isEqualTo(5);
             assertThat(store.read().list().path("targets").path(0).path("state").asText()).isEqualTo("draining");
@@ -40,25 +40,25 @@
     }
 
     @Test
-    void whereNobodyListensItIsSaidAtOnce() throws Exception {
+    void aClosedPortFailsImmediately() throws Exception {
         int port;
         try (ServerSocket free = new ServerSocket(0)) {
             port = free.getLocalPort();
         }
-        assertThatThrownBy(() -> at(port).read()).isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> at(port).write(new Token(1, 1), 1, 0, Lists.list(1))).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> store(port).read()).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> store(port).write(new Token(1, 1), 1, 0, TestLists.list(1))).isInstanceOf(IOException.class);
     }
 
     /** The start of a proxy may wait for a read, so an endless, missing or malformed answer has to fail within seconds. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"HTTP/1.1 200 OK~~Content-Length: 99999999~~~~ | true", "HTTP/1.1 200 OK~~Content-Length: 5~~~~[1,2] | false", "HTTP/1.1 409 Conflict~~Content-Length: 0~~~~ | false",
         "garbage~~~~ | false", "'' | false"})
-    void aStrangeAnswerIsAnErrorSoon(String head, boolean dribbles) throws Exception {
+    void aMalformedOrEndlessAnswerFailsQuickly(String response, boolean endless) throws Exception {
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             Thread peer = new Thread(() -> {
                 try (Socket socket = server.accept()) {
-                    socket.getOutputStream().write(head.replace("~~", "\r\n").getBytes(StandardCharsets.US_ASCII));
-                    while (dribbles) {
+                    socket.getOutputStream().write(response.replace("~~", "\r\n").getBytes(StandardCharsets.US_ASCII));
+                    while (endless) {
                         socket.getOutputStream().write(' ');
                         Thread.sleep(50);
                     }
@@ -69,9 +69,9 @@
             });
             peer.setDaemon(true);
             peer.start();
-            long from = System.nanoTime();
-            assertThatThrownBy(() -> at(server.getLocalPort()).read()).isInstanceOf(IOException.class);
-            assertThat((System.nanoTime() - from) / 1e9).isLessThan(5);
+            long startNanos = System.nanoTime();
+            assertThatThrownBy(() -> store(server.getLocalPort()).read()).isInstanceOf(IOException.class);
+            assertThat((System.nanoTime() - startNanos) / 1e9).isLessThan(5);
         }
     }
 }
--- a/src/test/java/dappleseam/fleet/lastlist/Lists.java
+++ b/src/test/java/dappleseam/fleet/lastlist/TestLists.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /** Lists for tests of the stores. */
-final class Lists {
-    private Lists() {}
+final class TestLists {
+    private TestLists() {}
 
     /** A list of one draining node. */
     static NodeList list(long version) throws IOException {
--- a/src/test/java/dappleseam/proxy/FleetLookoutTest.java
+++ b/src/test/java/dappleseam/proxy/FleetLookoutTest.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import dappleseam.fleet.share.ListTurns;
-import dappleseam.fleet.share.Said;
-import dappleseam.fleet.share.Seen;
-import dappleseam.fleet.share.Word;
-import dappleseam.router.Learnt;
+import dappleseam.fleet.share.ListRetrySchedule;
+import dappleseam.fleet.share.PeerVerdict;
+import dappleseam.fleet.share.LocalObservation;
+import dappleseam.fleet.share.VerdictKind;
+import dappleseam.router.NodeHealth;
 import dappleseam.router.NodeId;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,7 @@
     private static final NodeId ONE = new NodeId(1);
     private static final Map<NodeId, Double> CACHES = Map.of(ONE, 5.0, new NodeId(2), 5.0, new NodeId(3), 5.0);
 
-    private final List<Learnt> orders = new ArrayList<>();
+    private final List<NodeHealth> orders = new ArrayList<>();
     private double now = 10_000;
     private double proxies = 10;
     private double place = Double.NaN;
@@ -43,11 +43,11 @@
     };
     private final FleetLookout lookout = new FleetLookout(1, orders::addAll, whole, Runnable::run, () -> now);
 
-    private Seen one() {
-        return lookout.seen().stream().filter(s -> s.node().equals(ONE)).findFirst().orElseThrow();
+    private LocalObservation one() {
+        return lookout.observations().stream().filter(s -> s.node().equals(ONE)).findFirst().orElseThrow();
     }
 
-    private void look(Map<NodeId, Double> caches, Learnt... learnt) {
+    private void look(Map<NodeId, Double> caches, NodeHealth... learnt) {
         lookout.look(now, List.of(learnt), caches);
     }
 
@@ -55,7 +55,7 @@
     @Test
     void whatIsToldOfItsShareBecomesTheProxysByStepsUpAndSoonDown() {
         look(CACHES);
-        lookout.stands(0.05, 0.3);
+        lookout.onShare(0.05, 0.3);
         look(CACHES);
         now += 500;
         look(CACHES);
@@ -64,7 +64,7 @@
         look(CACHES);
         assertThat(proxies).isCloseTo(20, within(1e-9));
         assertThat(place).isEqualTo(0.3);
-        lookout.stands(0.2, 0.3);
+        lookout.onShare(0.2, 0.3);
         for (int seconds = 1; seconds <= 12; seconds++) {
             now += 1000;
             double before = proxies;
@@ -72,7 +72,7 @@
             assertThat(before / proxies).isBetween(1.0, 1.2 + 1e-9);
         }
         assertThat(proxies).isCloseTo(5, within(0.11));
-        lookout.stands(Double.NaN, Double.NaN); // turned off
+        lookout.onShare(Double.NaN, Double.NaN); // turned off
         for (int seconds = 1; seconds <= 12; seconds++) {
             now += 1000;
             look(CACHES);
@@ -87,16 +87,16 @@
         assertThat(lookout.listAgainMs(now, 300)).isEqualTo(300);
         lookout.listCalled(now, false);
         look(CACHES);
-        assertThat(lookout.seen()).anyMatch(s -> s.node().equals(ListTurns.SERVICE) && s.fails());
-        lookout.say(List.of(new Said(ListTurns.SERVICE, 0, Word.FAILS, 4, 0, 7)));
+        assertThat(lookout.observations()).anyMatch(s -> s.node().equals(ListRetrySchedule.LIST_SERVICE) && s.failing());
+        lookout.onVerdicts(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.FAILS, 4, 0, 7)));
         assertThat(lookout.listAgainMs(now, 300)).isEqualTo(900);
-        lookout.say(List.of(new Said(ListTurns.SERVICE, 0, Word.WORKS, 3, 1, 8)));
+        lookout.onVerdicts(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.WORKS, 3, 1, 8)));
         assertThat(calls).containsExactly(800.0);
         assertThat(lookout.listAgainMs(now, 300)).isEqualTo(300);
         lookout.listCalled(now, true);
-        lookout.say(List.of(new Said(ListTurns.SERVICE, 0, Word.WORKS, 3, 1, 8)));
+        lookout.onVerdicts(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.WORKS, 3, 1, 8)));
         assertThat(calls).as("its own was answered").hasSize(1);
-        lookout.say(List.of(new Said(ListTurns.SERVICE, 0, Word.FAILS, 4, 0, 9000)));
+        lookout.onVerdicts(List.of(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.FAILS, 4, 0, 9000)));
         assertThat(lookout.listAgainMs(now, 300)).as("bounded").isEqualTo(4300);
         assertThat(lookout.listAgainMs(now + 6000, 300)).as("news that has grown old").isEqualTo(300);
     }
@@ -107,38 +107,38 @@
         lookout.heard(ONE, now, 5);
         lookout.unanswered(ONE, now - 500, now, 500);
         look(CACHES);
-        assertThat(one().fails()).as("it answered meanwhile").isFalse();
+        assertThat(one().failing()).as("it answered meanwhile").isFalse();
         lookout.unanswered(ONE, now + 100, now + 150, 50);
         look(CACHES);
-        assertThat(one().fails()).as("not for long").isFalse();
+        assertThat(one().failing()).as("not for long").isFalse();
         lookout.unanswered(ONE, now + 100, now + 400, 300);
         look(CACHES);
-        assertThat(one().fails()).isTrue();
+        assertThat(one().failing()).isTrue();
         look(Map.of(ONE, 6.0));
-        assertThat(one().fails()).as("another process").isFalse();
+        assertThat(one().failing()).as("another process").isFalse();
         lookout.unanswered(ONE, now + 100, now + 400, Double.POSITIVE_INFINITY);
         look(Map.of(ONE, 6.0));
-        assertThat(one().fails()).isTrue();
+        assertThat(one().failing()).isTrue();
         lookout.heard(ONE, now + 500, 5);
         look(Map.of(ONE, 6.0));
-        assertThat(one().fails()).isFalse();
+        assertThat(one().failing()).isFalse();
     }
 
     @Test
     void whatItDoesByHearsayIsNoSightOfItsOwn() {
         look(CACHES);
-        lookout.say(List.of(new Said(ONE, 5, Word.FAILS, 2, 0, 0)));
-        assertThat(orders).hasSize(1).allMatch(o -> o.asideUntilMs() > now);
+        lookout.onVerdicts(List.of(new PeerVerdict(ONE, 5, VerdictKind.FAILS, 2, 0, 0)));
+        assertThat(orders).hasSize(1).allMatch(o -> o.ejectedUntilMs() > now);
         look(CACHES, orders.get(0));
-        assertThat(one().fails()).isFalse();
-        look(CACHES, new Learnt(ONE, 5, 14_321, 0, 0, 0));
-        assertThat(one().fails()).as("its own trial failed").isTrue();
+        assertThat(one().failing()).isFalse();
+        look(CACHES, new NodeHealth(ONE, 5, 14_321, 0, 0, 0));
+        assertThat(one().failing()).as("its own trial failed").isTrue();
     }
 
     @Test
     void aWordOnAnotherProcessOrAnUnknownCacheDoesNothing() {
         look(CACHES);
-        lookout.say(List.of(new Said(ONE, 6, Word.FAILS, 2, 0, 0), new Said(new NodeId(9), 5, Word.FAILS, 2, 0, 0)));
+        lookout.onVerdicts(List.of(new PeerVerdict(ONE, 6, VerdictKind.FAILS, 2, 0, 0), new PeerVerdict(new NodeId(9), 5, VerdictKind.FAILS, 2, 0, 0)));
         assertThat(orders).isEmpty();
     }
 }
