--- a/src/main/java/dappleseam/fleet/membership/Membership.java
+++ b/src/main/java/dappleseam/fleet/membership/Membership.java
@@ -114,7 +114,7 @@
     private final ArrayDeque<Peer> tombstones = new ArrayDeque<>();
     private int nextProbeIndex;
     private final int[] digests = new int[DIGEST_BUCKETS];
-    private final GossipQueue<MemberName, MemberEntry> gossipQueue = new GossipQueue<>(MemberEntry::maxEncodedBytes, notice -> false);
+    private final GossipQueue<MemberName, MemberEntry> gossipQueue = new GossipQueue<>(MemberEntry::maxEncodedBytes, entry -> false);
     private boolean gossipScheduled;
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private long timersCreated;
@@ -798,7 +798,7 @@
         }
         if (!after.state().isCounted()) {
             tombstones.add(peer);
-            if (fleetSize <= minFleetSize() + 1) { // it may be the end of a duplicate, after which the member itself still has to be counted
+            if (fleetSize <= minFleetSize() + 1) { // it may be a duplicate that ended, and the member itself still counts
                 shrinksFrom = now + SHRINK_DELAY_PERIODS * config.periodMs();
             }
         }
@@ -921,7 +921,7 @@
             if (received.compareTo(self) > 0) {
                 raiseHealthScore();
                 if (received.incarnation() == MemberEntry.MAX_INCARNATION) {
-                    begin(received);
+                    supersede(received);
                 } else {
                     setSelf(new MemberEntry(self.name(), self.address(), self.generation(), received.incarnation() + 1, State.ALIVE, 0));
                 }
@@ -930,16 +930,16 @@
             if (received.generation().compareTo(self.generation()) < 0) {
                 enqueueGossip(self); // an earlier generation of this same process
             } else {
-                begin(received);
+                supersede(received);
             }
         } else if (received.generation().compareTo(self.generation()) < 0) {
             if (received.state().isCounted()) {
                 enqueueGossip(self); // stale news of the process that ran before this one
             }
         } else if (!received.state().isCounted() || !received.state().isLive() && duplicate() == null) {
-            begin(received); // that process has ended
+            supersede(received); // that process has ended
         } else if (outrankedNonces.size() < MAX_OUTRANKED_GENERATIONS && outrankedNonces.add(received.generation().nonce())) {
-            begin(received); // the process that ran before this one had a clock that was ahead
+            supersede(received); // the process that ran before this one had a clock that was ahead
             if (received.state().isLive()) {
                 pingDuplicate(received.address());
             }
@@ -949,7 +949,7 @@
     }
 
     /** Starts a generation greater than that of {@code above}. */
-    private void begin(MemberEntry above) {
+    private void supersede(MemberEntry above) {
         if (above.generation().start() < Generation.MAX_START) {
             setSelf(new MemberEntry(self.name(), self.address(), new Generation(above.generation().start() + 1, self.generation().nonce()), 0, State.ALIVE, 0));
         }
--- a/src/main/java/dappleseam/fleet/share/ShareCalculator.java
+++ b/src/main/java/dappleseam/fleet/share/ShareCalculator.java
@@ -90,7 +90,7 @@
      * The rate in queries per second that this process may announce. It is bounded during a partition, when the traffic of both sides
      * may grow and neither learns of the other's, so that the sum of shares stays bounded. The announced rate is limited rather than
      * its weight, so that members that reach each other keep calculating the same weights. {@code names}: counted members, this one
-     * included; {@code missing}: those of them that cannot be reached; {@code counted}: the fleet size, at least as many.
+     * included; {@code missing}: those of them that cannot be reached; {@code fleetSize}: at least as many.
      */
     public double announceableRate(double nowMs, double ratePerS, Set<MemberName> names, Set<MemberName> missing, int counted) {
         double negligible = NEGLIGIBLE_FRACTION * counted;
@@ -130,7 +130,7 @@
     }
 
     /**
-     * This process's share, from half of an even share to nearly one. {@code names} and {@code counted}: as for
+     * This process's share, from half of an even share to nearly one. {@code names} and {@code fleetSize}: as for
      * {@link #announceableRate}; {@code hasDuplicate}: whether another process runs under this member's name.
      */
     public double share(double nowMs, Set<MemberName> names, int counted, boolean hasDuplicate) {
--- a/src/test/java/dappleseam/fleet/membership/MembershipTest.java
+++ b/src/test/java/dappleseam/fleet/membership/MembershipTest.java
@@ -385,7 +385,7 @@
     void theEndOfADuplicateDoesNotReduceTheFleetSize(boolean killed, long seed) {
         start(5, seed);
         List<Node> twins = List.of(fleet.twinOf(1), fleet.twinOf(4));
-        twins.forEach(twin -> twin.start(List.of(fleet.node(0).address)));
+        twins.forEach(duplicate -> duplicate.start(List.of(fleet.node(0).address)));
         fleet.runFor(MINUTE);
         twins.forEach(killed ? Node::kill : Node::leaveOrderly);
         runCheckingShares(3 * MINUTE);
