--- a/src/main/java/dappleseam/fleet/lastlist/ListStore.java
+++ b/src/main/java/dappleseam/fleet/lastlist/ListStore.java
@@ -51,9 +51,9 @@
         private static final long serialVersionUID = 1L;
         private final transient Token latestToken;
 
-        public FencedException(Token seen) {
-            super("the store holds a later write with token " + seen.text());
-            this.latestToken = seen;
+        public FencedException(Token latestToken) {
+            super("the store holds a later write with token " + latestToken.text());
+            this.latestToken = latestToken;
         }
 
         public Token latestToken() {
--- a/src/main/java/dappleseam/fleet/membership/Membership.java
+++ b/src/main/java/dappleseam/fleet/membership/Membership.java
@@ -783,14 +783,14 @@
             peer.indirectOnly = 0;
             peer.refusals = 0;
         }
-        boolean wasPresent = before != null && before.state().isLive();
+        boolean wasLive = before != null && before.state().isLive();
         boolean wasFailed = before != null && before.state() == State.FAILED;
-        if (wasPresent && !after.state().isLive()) {
+        if (wasLive && !after.state().isLive()) {
             removeFrom(liveMembers, peer);
         } else if (wasFailed && after.state() != State.FAILED) {
             removeFrom(failed, peer);
         }
-        if (!wasPresent && after.state().isLive()) {
+        if (!wasLive && after.state().isLive()) {
             addTo(liveMembers, peer);
             swap(peer.index, random.nextInt(liveMembers.size()));
         } else if (!wasFailed && after.state() == State.FAILED) {
--- a/src/main/java/dappleseam/fleet/membership/MembershipHost.java
+++ b/src/main/java/dappleseam/fleet/membership/MembershipHost.java
@@ -16,9 +16,9 @@
     void wakeAt(double ms);
 
     /** The view's entry of a member changed; {@code before} is null for a new member. */
-    void memberChanged(MemberEntry before, MemberEntry now);
+    void memberChanged(MemberEntry before, MemberEntry after);
 
-    void statusChanged(MembershipStatus standing);
+    void statusChanged(MembershipStatus status);
 
     /** This process did not run for the last {@code ms}; missing answers from that time are no evidence against other members. */
     default void stalled(double ms) {
--- a/src/main/java/dappleseam/fleet/share/ShareCalculator.java
+++ b/src/main/java/dappleseam/fleet/share/ShareCalculator.java
@@ -92,15 +92,15 @@
      * its weight, so that members that reach each other keep calculating the same weights. {@code names}: counted members, this one
      * included; {@code missing}: those of them that cannot be reached; {@code fleetSize}: at least as many.
      */
-    public double announceableRate(double nowMs, double ratePerS, Set<MemberName> names, Set<MemberName> missing, int counted) {
-        double negligible = NEGLIGIBLE_FRACTION * counted;
-        if (missing.size() + counted - names.size() > negligible) {
+    public double announceableRate(double nowMs, double ratePerS, Set<MemberName> names, Set<MemberName> missing, int fleetSize) {
+        double negligible = NEGLIGIBLE_FRACTION * fleetSize;
+        if (missing.size() + fleetSize - names.size() > negligible) {
             missingTogether.addAll(missing);
             fewestKnown = Math.min(fewestKnown, names.size());
         } else if (fewestKnown < Integer.MAX_VALUE) {
             missingTogether.retainAll(names); // members that have ended need no announcement
             if (missingTogether.size() + names.size() - fewestKnown > negligible) {
-                reannounceUntil = nowMs + (PROPAGATION_PERIODS + REANNOUNCE_PERIODS_PER_MEMBER * counted) * periodMs;
+                reannounceUntil = nowMs + (PROPAGATION_PERIODS + REANNOUNCE_PERIODS_PER_MEMBER * fleetSize) * periodMs;
             }
             missingTogether.clear();
             fewestKnown = Integer.MAX_VALUE;
@@ -133,17 +133,17 @@
      * This process's share, from half of an even share to nearly one. {@code names} and {@code fleetSize}: as for
      * {@link #announceableRate}; {@code hasDuplicate}: whether another process runs under this member's name.
      */
-    public double share(double nowMs, Set<MemberName> names, int counted, boolean hasDuplicate) {
+    public double share(double nowMs, Set<MemberName> names, int fleetSize, boolean hasDuplicate) {
         Map<MemberName, Double> otherWeights = weights(nowMs);
         Double ownWeight = otherWeights.remove(self);
         double maxWeight = MAX_RATE_FACTOR * lowerHalfMean(otherWeights.values());
         double knownSum = otherWeights.values().stream().mapToDouble(weight -> Math.min(maxWeight, weight)).sum();
         double mean = otherWeights.isEmpty() ? BASE_RATE : knownSum / otherWeights.size();
-        double othersSum = knownSum + mean * Math.max(0, counted - 1 - otherWeights.size());
+        double othersSum = knownSum + mean * Math.max(0, fleetSize - 1 - otherWeights.size());
         double own = Math.min(maxWeight, ownWeight == null ? presumedWeight(otherWeights.values()) : ownWeight);
-        double even = 1.0 / counted;
+        double even = 1.0 / fleetSize;
         double byTraffic = own / (own + othersSum);
-        if (counted - 1 - otherWeights.size() > NEGLIGIBLE_FRACTION * counted) {
+        if (fleetSize - 1 - otherWeights.size() > NEGLIGIBLE_FRACTION * fleetSize) {
             byTraffic = Math.min(byTraffic, even); // a new process may so far know only a few idle members
         }
         return (EVEN_PART * even + (1 - EVEN_PART) * byTraffic) / (hasDuplicate ? 2 : 1);
--- a/src/test/java/dappleseam/fleet/lastlist/FolderStoreTest.java
+++ b/src/test/java/dappleseam/fleet/lastlist/FolderStoreTest.java
@@ -77,10 +77,10 @@
                 fenced.add(seen);
             }
         };
-        NodeList[] last = {null};
-        LastListTask task = new LastListTask(() -> last[0], store);
+        NodeList[] currentList = {null};
+        LastListTask task = new LastListTask(() -> currentList[0], store);
         task.run(permit);
-        last[0] = TestLists.list(3);
+        currentList[0] = TestLists.list(3);
         task.run(permit);
         assertThatThrownBy(store::read).as("no write without a permit").isInstanceOf(NoSuchFileException.class);
         token[0] = new Token(2, 2);
@@ -89,7 +89,7 @@
         store.write(new Token(3, 3), 1, 1, TestLists.list(4));
         task.run(permit);
         assertThat(fenced).as("an unchanged list is not written again").isEmpty();
-        last[0] = TestLists.list(5);
+        currentList[0] = TestLists.list(5);
         task.run(permit);
         assertThat(fenced).containsExactly(new Token(3, 3));
         assertThat(store.read().list().path("rev").asLong()).isEqualTo(4);
--- a/src/test/java/dappleseam/fleet/lastlist/HttpStoreTest.java
+++ b/src/test/java/dappleseam/fleet/lastlist/HttpStoreTest.java
@@ -17,7 +17,7 @@
 
 /** Storing the fleet's last known list behind HTTP. */
 class HttpStoreTest {
-    private static HttpStore store(int port) {
+    private static HttpStore storeAt(int port) {
         return new HttpStore(URI.create("http://127.0.0.1:" + port + "/last-list"));
     }
 
@@ -25,7 +25,7 @@
     void aWrittenListIsReadBackAndOlderWritesAreRefused() throws Exception {
         try (StoreEmulator emulator = new StoreEmulator(0, true)) {
             emulator.open();
-            HttpStore store = store(emulator.port());
+            HttpStore store = storeAt(emulator.port());
             assertThatThrownBy(store::read).isInstanceOf(IOException.class).hasMessageContaining("404");
             store.write(new Token(5, -7), 1, 1000, TestLists.list(3));
             store.write(new Token(5, -7), 2, 2000, TestLists.list(4));
@@ -45,8 +45,8 @@
         try (ServerSocket free = new ServerSocket(0)) {
             port = free.getLocalPort();
         }
-        assertThatThrownBy(() -> store(port).read()).isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> store(port).write(new Token(1, 1), 1, 0, TestLists.list(1))).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> storeAt(port).read()).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> storeAt(port).write(new Token(1, 1), 1, 0, TestLists.list(1))).isInstanceOf(IOException.class);
     }
 
     /** The start of a proxy may wait for a read, so an endless, missing or malformed answer has to fail within seconds. */
@@ -70,7 +70,7 @@
             peer.setDaemon(true);
             peer.start();
             long startNanos = System.nanoTime();
-            assertThatThrownBy(() -> store(server.getLocalPort()).read()).isInstanceOf(IOException.class);
+            assertThatThrownBy(() -> storeAt(server.getLocalPort()).read()).isInstanceOf(IOException.class);
             assertThat((System.nanoTime() - startNanos) / 1e9).isLessThan(5);
         }
     }
--- a/src/test/java/dappleseam/fleet/membership/MembershipTest.java
+++ b/src/test/java/dappleseam/fleet/membership/MembershipTest.java
@@ -248,8 +248,8 @@
     void onlyFlappingMembersAreDeclaredFailed() {
         start(20, 10);
         for (int turn = 0; turn < 12; turn++) {
-            Node one = fleet.node(turn % 3);
-            one.stop(8 * SECOND);
+            Node flapping = fleet.node(turn % 3);
+            flapping.stop(8 * SECOND);
             fleet.runFor(10 * SECOND);
         }
         assertThat(changes).filteredOn(n -> n.state() == State.FAILED).allMatch(n -> n.name().text().matches("p[012]"));
@@ -292,9 +292,9 @@
         dead.kill();
         fleet.runFor(MINUTE);
         changes.clear();
-        Membership told = fleet.node(1).membership();
-        told.receiver(fleet.nowMs()).gossip(fleet.node(2).address, fleet.node(2).membership().self(), List.of(old));
-        told.receiver(fleet.nowMs()).ping(dead.address, old, 1, fleet.node(1).name, List.of());
+        Membership recipient = fleet.node(1).membership();
+        recipient.receiver(fleet.nowMs()).gossip(fleet.node(2).address, fleet.node(2).membership().self(), List.of(old));
+        recipient.receiver(fleet.nowMs()).ping(dead.address, old, 1, fleet.node(1).name, List.of());
         fleet.runFor(10 * SECOND);
         assertThat(changes).noneMatch(n -> n.name().equals(dead.name) && n.state().isLive());
     }
@@ -336,9 +336,9 @@
         Node b = fleet.node(5);
         a.kill();
         b.kill();
-        InetSocketAddress was = a.address;
+        InetSocketAddress addressOfA = a.address;
         a.address = b.address;
-        b.address = was;
+        b.address = addressOfA;
         fleet.runFor(SECOND);
         a.start(List.of(fleet.node(0).address));
         b.start(List.of(fleet.node(0).address));
@@ -349,31 +349,31 @@
     @Test
     void aMemberWhoseAddressWasTakenEnds() {
         start(10, 17);
-        Node gone = fleet.node(4);
+        Node ended = fleet.node(4);
         Node other = fleet.node(5);
-        gone.kill();
+        ended.kill();
         other.kill();
-        other.address = gone.address;
+        other.address = ended.address;
         fleet.runFor(SECOND);
         other.start(List.of(fleet.node(0).address));
         fleet.runFor(3 * MINUTE);
-        assertThat(viewersWhere(gone, s -> s == State.ENDED)).isEqualTo(9);
+        assertThat(viewersWhere(ended, s -> s == State.ENDED)).isEqualTo(9);
     }
 
     @Test
     void duplicateNamesAreReportedWithoutLooping() {
         start(6, 18);
-        SimulatedFleet.Node twin = fleet.twinOf(2);
-        twin.start(List.of(fleet.node(0).address));
+        SimulatedFleet.Node duplicate = fleet.twinOf(2);
+        duplicate.start(List.of(fleet.node(0).address));
         fleet.runFor(MINUTE);
         assertThat(fleet.node(2).membership().duplicate()).isNotNull();
-        assertThat(twin.membership().duplicate()).isNotNull();
-        long starts = Math.max(fleet.node(2).membership().self().generation().start(), twin.membership().self().generation().start());
+        assertThat(duplicate.membership().duplicate()).isNotNull();
+        long starts = Math.max(fleet.node(2).membership().self().generation().start(), duplicate.membership().self().generation().start());
         changes.clear();
         fleet.runFor(5 * MINUTE);
-        assertThat(Math.max(fleet.node(2).membership().self().generation().start(), twin.membership().self().generation().start())).isEqualTo(starts);
+        assertThat(Math.max(fleet.node(2).membership().self().generation().start(), duplicate.membership().self().generation().start())).isEqualTo(starts);
         assertThat(changes).isEmpty();
-        twin.kill();
+        duplicate.kill();
         fleet.runFor(3 * MINUTE);
         assertThat(fleet.node(2).membership().duplicate()).isNull();
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
@@ -384,10 +384,10 @@
     @CsvSource({"true, 27", "false, 28", "true, 29", "false, 30"})
     void theEndOfADuplicateDoesNotReduceTheFleetSize(boolean killed, long seed) {
         start(5, seed);
-        List<Node> twins = List.of(fleet.twinOf(1), fleet.twinOf(4));
-        twins.forEach(duplicate -> duplicate.start(List.of(fleet.node(0).address)));
+        List<Node> duplicates = List.of(fleet.twinOf(1), fleet.twinOf(4));
+        duplicates.forEach(duplicate -> duplicate.start(List.of(fleet.node(0).address)));
         fleet.runFor(MINUTE);
-        twins.forEach(killed ? Node::kill : Node::leaveOrderly);
+        duplicates.forEach(killed ? Node::kill : Node::leaveOrderly);
         runCheckingShares(3 * MINUTE);
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
         assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() == 5);
@@ -433,10 +433,10 @@
         start(4, 22);
         Node node = fleet.node(2);
         MemberEntry self = node.membership().self();
-        MemberEntry mad = new MemberEntry(self.name(), self.address(), self.generation(), MemberEntry.MAX_INCARNATION, State.FAILED, 0);
-        MemberEntry late = new MemberEntry(self.name(), self.address(), new Generation(Generation.MAX_START - 1, 5), 3, State.FAILED, 0);
-        for (MemberEntry news : List.of(mad, late)) {
-            node.membership().receiver(fleet.nowMs()).gossip(fleet.node(0).address, fleet.node(0).membership().self(), List.of(news));
+        MemberEntry withMaxIncarnation = new MemberEntry(self.name(), self.address(), self.generation(), MemberEntry.MAX_INCARNATION, State.FAILED, 0);
+        MemberEntry withLateStart = new MemberEntry(self.name(), self.address(), new Generation(Generation.MAX_START - 1, 5), 3, State.FAILED, 0);
+        for (MemberEntry entry : List.of(withMaxIncarnation, withLateStart)) {
+            node.membership().receiver(fleet.nowMs()).gossip(fleet.node(0).address, fleet.node(0).membership().self(), List.of(entry));
             fleet.runFor(20 * SECOND);
             assertThat(fleet.untilAgreed(20 * SECOND)).isNotNaN();
         }
--- a/src/test/java/dappleseam/fleet/share/AnnouncementStoreTest.java
+++ b/src/test/java/dappleseam/fleet/share/AnnouncementStoreTest.java
@@ -18,11 +18,11 @@
         return new MemberName("p" + number);
     }
 
-    private static NodeObservation fails(long node, long ageMs) {
+    private static NodeObservation failing(long node, long ageMs) {
         return new NodeObservation(new NodeId(node), 0, true, ageMs);
     }
 
-    private static Announcement of(AnnouncementStore store, double nowMs, int memberNumber) {
+    private static Announcement announcementOf(AnnouncementStore store, double nowMs, int memberNumber) {
         return store.current(nowMs).stream().filter(b -> b.member().equals(name(memberNumber))).findFirst().orElse(null);
     }
 
@@ -36,13 +36,13 @@
         }
         store.announce(1000, GENERATION, 110, List.of());
         assertThat(store.nextBatch(1000, 2)).as("a change by a tenth is too small").isEmpty();
-        store.announce(2000, GENERATION, 100, List.of(fails(7, 100)));
-        assertThat(store.nextBatch(2500, 2)).singleElement().satisfies(b -> assertThat(b.observations()).containsExactly(fails(7, 600)));
-        store.announce(2600, GENERATION, 100, List.of(fails(7, 700)));
-        assertThat(of(store, 2600, 0).number()).as("only the age differs").isEqualTo(2);
+        store.announce(2000, GENERATION, 100, List.of(failing(7, 100)));
+        assertThat(store.nextBatch(2500, 2)).singleElement().satisfies(b -> assertThat(b.observations()).containsExactly(failing(7, 600)));
+        store.announce(2600, GENERATION, 100, List.of(failing(7, 700)));
+        assertThat(announcementOf(store, 2600, 0).number()).as("only the age differs").isEqualTo(2);
         store.announce(2610, GENERATION, 100, List.of());
-        store.announce(2620, GENERATION, 100, List.of(fails(8, 0)));
-        assertThat(of(store, 2620, 0).observations()).as("a flapping state is delayed").isEmpty();
+        store.announce(2620, GENERATION, 100, List.of(failing(8, 0)));
+        assertThat(announcementOf(store, 2620, 0).observations()).as("a flapping state is delayed").isEmpty();
         store.announce(23_000, GENERATION, 100, List.of());
         assertThat(store.nextBatch(23_000, 2)).as("repeated before it expires").hasSize(1);
     }
@@ -50,14 +50,14 @@
     @Test
     void theLatestAnnouncementWinsInAnyOrderAndExpires() {
         AnnouncementStore store = new AnnouncementStore(name(0), 10, 3000, Announcement.NO_LOCATION);
-        Announcement first = new Announcement(name(1), GENERATION, 1, Announcement.NO_LOCATION, AnnouncedTraffic.of(5), List.of(fails(7, 0)));
+        Announcement first = new Announcement(name(1), GENERATION, 1, Announcement.NO_LOCATION, AnnouncedTraffic.of(5), List.of(failing(7, 0)));
         Announcement second = new Announcement(name(1), GENERATION, 2, Announcement.NO_LOCATION, AnnouncedTraffic.of(6), List.of());
         Announcement older = new Announcement(name(1), new Generation(4, 9), 99, Announcement.NO_LOCATION, AnnouncedTraffic.of(7), List.of());
         Announcement own = new Announcement(name(0), GENERATION, 99, Announcement.NO_LOCATION, AnnouncedTraffic.of(8), List.of());
         store.receive(0, List.of(second, first, older, own));
-        assertThat(of(store, 0, 1)).isEqualTo(second);
-        assertThat(of(store, 0, 0)).as("no other member announces for this one").isNull();
-        assertThat(of(store, AnnouncementStore.MAX_AGE_MS + 1, 1)).isNull();
+        assertThat(announcementOf(store, 0, 1)).isEqualTo(second);
+        assertThat(announcementOf(store, 0, 0)).as("no other member announces for this one").isNull();
+        assertThat(announcementOf(store, AnnouncementStore.MAX_AGE_MS + 1, 1)).isNull();
         assertThat(store.nextBatch(AnnouncementStore.MAX_AGE_MS + 1, 2)).isEmpty();
         for (int i = 10; i < 100; i++) {
             store.receive(0, List.of(new Announcement(name(i), GENERATION, 1, Announcement.NO_LOCATION, AnnouncedTraffic.of(1), List.of())));
@@ -88,7 +88,7 @@
             boolean all = false;
             while (!all && rounds < 100) {
                 for (int i = 0; i < members; i++) {
-                    stores.get(i).announce(now, GENERATION, 50, i == observer ? List.of(fails(node, 0)) : List.of());
+                    stores.get(i).announce(now, GENERATION, 50, i == observer ? List.of(failing(node, 0)) : List.of());
                     for (int recipient = 0; recipient < 2; recipient++) {
                         List<Announcement> batch = stores.get(i).nextBatch(now, members);
                         datagrams += batch.isEmpty() ? 0 : 1;
@@ -100,7 +100,7 @@
                 now += 250;
                 rounds++;
                 double at = now;
-                all = stores.stream().allMatch(b -> of(b, at, observer) != null && of(b, at, observer).observations().stream().anyMatch(s -> s.node().value() == node));
+                all = stores.stream().allMatch(b -> announcementOf(b, at, observer) != null && announcementOf(b, at, observer).observations().stream().anyMatch(s -> s.node().value() == node));
             }
             worst = Math.max(worst, rounds);
         }
--- a/src/test/java/dappleseam/fleet/share/FailureVotingTest.java
+++ b/src/test/java/dappleseam/fleet/share/FailureVotingTest.java
@@ -19,8 +19,8 @@
     private final FailureVoting voting = new FailureVoting(SELF);
     private final List<Announcement> announcements = new ArrayList<>();
 
-    private void addAnnouncement(String who, long startedAt, boolean fails, long ageMs) {
-        announcements.add(new Announcement(new MemberName(who), GENERATION, 1, Announcement.NO_LOCATION, AnnouncedTraffic.of(10), List.of(new NodeObservation(CACHE, startedAt, fails, ageMs), new NodeObservation(CACHE, startedAt, fails, ageMs))));
+    private void addAnnouncement(String member, long startedAt, boolean failing, long ageMs) {
+        announcements.add(new Announcement(new MemberName(member), GENERATION, 1, Announcement.NO_LOCATION, AnnouncedTraffic.of(10), List.of(new NodeObservation(CACHE, startedAt, failing, ageMs), new NodeObservation(CACHE, startedAt, failing, ageMs))));
     }
 
     private List<PeerVerdict> verdicts() {
@@ -28,8 +28,8 @@
         return voting.verdicts(what -> 3);
     }
 
-    private static LocalObservation local(long node, boolean fails, double heardAt) {
-        return new LocalObservation(new NodeId(node), 5, fails, fails ? 900 : NEVER, heardAt);
+    private static LocalObservation localObservation(long node, boolean failing, double lastAnswerAt) {
+        return new LocalObservation(new NodeId(node), 5, failing, failing ? 900 : NEVER, lastAnswerAt);
     }
 
     @Test
@@ -52,8 +52,8 @@
     /** A single answer of the list service outvotes any number of failures; the verdict contains the retry rank. */
     @Test
     void oneListServiceAnswerIsEnough() {
-        for (String who : List.of("a", "b", "c")) {
-            announcements.add(new Announcement(new MemberName(who), GENERATION, 1, Announcement.NO_LOCATION, AnnouncedTraffic.of(10), List.of(new NodeObservation(ListRetrySchedule.LIST_SERVICE, 0, true, 0))));
+        for (String name : List.of("a", "b", "c")) {
+            announcements.add(new Announcement(new MemberName(name), GENERATION, 1, Announcement.NO_LOCATION, AnnouncedTraffic.of(10), List.of(new NodeObservation(ListRetrySchedule.LIST_SERVICE, 0, true, 0))));
         }
         assertThat(verdicts()).containsExactly(new PeerVerdict(ListRetrySchedule.LIST_SERVICE, 0, VerdictKind.FAILS, 3, 0, 3));
         announcements.add(new Announcement(new MemberName("d"), GENERATION, 1, Announcement.NO_LOCATION, AnnouncedTraffic.of(10), List.of(new NodeObservation(ListRetrySchedule.LIST_SERVICE, 0, false, 0))));
@@ -76,8 +76,8 @@
     /** After a cache recovers, most members that found it silent have not tried it again. A single working vote does not clear it. */
     @Test
     void twoWorkingVotesVoidOlderFailingVotes() {
-        for (String who : List.of("a", "b", "c", "d", "e")) {
-            addAnnouncement(who, 5, true, 9000);
+        for (String name : List.of("a", "b", "c", "d", "e")) {
+            addAnnouncement(name, 5, true, 9000);
         }
         addAnnouncement("f", 5, false, 500);
         assertThat(verdicts()).extracting(PeerVerdict::kind).containsExactly(VerdictKind.FAILS);
@@ -93,26 +93,26 @@
     void anAnswerIsAnnouncedWhileNewerThanFailingVotes() {
         addAnnouncement("a", 5, true, 9000);
         voting.receive(announcements, b -> true);
-        assertThat(voting.localObservations(6000, List.of(local(7, false, 900)), true)).containsExactly(new NodeObservation(CACHE, 5, false, 5100));
-        assertThat(voting.localObservations(10_000, List.of(local(7, false, 900)), true)).isEmpty();
+        assertThat(voting.localObservations(6000, List.of(localObservation(7, false, 900)), true)).containsExactly(new NodeObservation(CACHE, 5, false, 5100));
+        assertThat(voting.localObservations(10_000, List.of(localObservation(7, false, 900)), true)).isEmpty();
     }
 
     @Test
     void failuresAreAnnouncedAndAnswersOnlyWhenOthersReportFailure() {
-        List<LocalObservation> mine = List.of(local(7, false, 900), local(8, true, 100), local(9, false, 900), local(10, false, 900));
-        assertThat(voting.localObservations(1000, mine, true)).containsExactly(new NodeObservation(new NodeId(8), 5, true, 100));
+        List<LocalObservation> local = List.of(localObservation(7, false, 900), localObservation(8, true, 100), localObservation(9, false, 900), localObservation(10, false, 900));
+        assertThat(voting.localObservations(1000, local, true)).containsExactly(new NodeObservation(new NodeId(8), 5, true, 100));
         addAnnouncement("a", 5, true, 0);
         voting.receive(announcements, b -> true);
-        assertThat(voting.localObservations(1000, mine, true)).containsExactlyInAnyOrder(new NodeObservation(new NodeId(8), 5, true, 100), new NodeObservation(CACHE, 5, false, 100));
-        assertThat(voting.localObservations(4000, mine, true)).as("the answer is three seconds old").containsExactly(new NodeObservation(new NodeId(8), 5, true, 3100));
-        assertThat(voting.localObservations(40_000, mine, true)).isEmpty();
+        assertThat(voting.localObservations(1000, local, true)).containsExactlyInAnyOrder(new NodeObservation(new NodeId(8), 5, true, 100), new NodeObservation(CACHE, 5, false, 100));
+        assertThat(voting.localObservations(4000, local, true)).as("the answer is three seconds old").containsExactly(new NodeObservation(new NodeId(8), 5, true, 3100));
+        assertThat(voting.localObservations(40_000, local, true)).isEmpty();
     }
 
     @Test
     void aPossiblyUnhealthyMemberAnnouncesNothing() {
-        List<LocalObservation> mine = List.of(local(7, true, 100), local(8, true, 100), local(9, false, 900), local(10, false, 900));
-        assertThat(voting.localObservations(1000, mine, true)).as("half of all caches, so its own link is suspected").isEmpty();
-        assertThat(voting.localObservations(1000, mine.subList(1, 4), false)).as("its status is slow").isEmpty();
-        assertThat(voting.localObservations(1000, mine.subList(1, 4), true)).hasSize(1);
+        List<LocalObservation> local = List.of(localObservation(7, true, 100), localObservation(8, true, 100), localObservation(9, false, 900), localObservation(10, false, 900));
+        assertThat(voting.localObservations(1000, local, true)).as("half of all caches, so its own link is suspected").isEmpty();
+        assertThat(voting.localObservations(1000, local.subList(1, 4), false)).as("its status is slow").isEmpty();
+        assertThat(voting.localObservations(1000, local.subList(1, 4), true)).hasSize(1);
     }
 }
--- a/src/test/java/dappleseam/fleet/share/ShareCalculatorTest.java
+++ b/src/test/java/dappleseam/fleet/share/ShareCalculatorTest.java
@@ -21,7 +21,7 @@
     private static final List<MemberName> NAMES = IntStream.range(0, 10).mapToObj(i -> new MemberName("m" + i)).toList();
     private static final Set<MemberName> ALL = Set.copyOf(NAMES);
 
-    private final ShareCalculator shares = new ShareCalculator(NAMES.get(0), PERIOD);
+    private final ShareCalculator calculator = new ShareCalculator(NAMES.get(0), PERIOD);
     private double now = 100_000;
 
     private static Announcement announcement(int member, int rate) {
@@ -37,15 +37,15 @@
     }
 
     private void receive(int... rates) {
-        shares.receive(now, IntStream.range(0, rates.length).mapToObj(i -> announcement(i, rates[i])).toList());
+        calculator.receive(now, IntStream.range(0, rates.length).mapToObj(i -> announcement(i, rates[i])).toList());
     }
 
     private double share() {
-        return shares.share(now, ALL, 10, false);
+        return calculator.share(now, ALL, 10, false);
     }
 
     private double announceableRate(double rate, Set<MemberName> missing) {
-        return shares.announceableRate(now, rate, ALL, missing, 10);
+        return calculator.announceableRate(now, rate, ALL, missing, 10);
     }
 
     private void settle(int... rates) {
@@ -60,7 +60,7 @@
         assertThat(share()).as("nothing known").isCloseTo(0.1, within(1e-9));
         settle(9, 9, 9, 9, 9, 9, 9, 9, 9, 9);
         assertThat(share()).isCloseTo(0.1, within(1e-9));
-        assertThat(shares.share(now, ALL, 10, true)).as("next to a duplicate").isCloseTo(0.05, within(1e-9));
+        assertThat(calculator.share(now, ALL, 10, true)).as("next to a duplicate").isCloseTo(0.05, within(1e-9));
     }
 
     @Test
@@ -74,7 +74,7 @@
     @Test
     void higherTrafficCountsAfterPropagationAndLowerImmediately() {
         settle(9, 9, 9, 9, 9, 9, 9, 9, 9, 9);
-        shares.receive(now, List.of(announcement(0, new AnnouncedTraffic(9, 39, 0))));
+        calculator.receive(now, List.of(announcement(0, new AnnouncedTraffic(9, 39, 0))));
         now += 2 * PERIOD;
         assertThat(share()).isCloseTo(0.1, within(1e-9));
         now += 1.6 * PERIOD;
@@ -92,10 +92,10 @@
         settle(9, 9, 9, 9, 9, 9, 9, 9, 9, 9);
         for (int step = 0; step < 40; step++) {
             AnnouncedTraffic risen = new AnnouncedTraffic(9, 39, Math.round(step * PERIOD / 4));
-            int heardOf = Math.min(10, 1 + step); // one more member in each step
-            shares.receive(now, IntStream.range(0, heardOf).mapToObj(i -> announcement(i, risen)).toList());
-            boolean isBetween = step * PERIOD / 4 >= ShareCalculator.PROPAGATION_PERIODS * PERIOD && step * PERIOD / 4 < shares.ownPropagationMs(); // a short time, which ShareRamp waits for
-            assertThat(share()).as("step " + step).isCloseTo(isBetween ? 0.05 + 0.5 * 10 / 370 : 0.1, within(1e-9));
+            int announcedCount = Math.min(10, 1 + step); // one more member in each step
+            calculator.receive(now, IntStream.range(0, announcedCount).mapToObj(i -> announcement(i, risen)).toList());
+            boolean isOwnDelay = step * PERIOD / 4 >= ShareCalculator.PROPAGATION_PERIODS * PERIOD && step * PERIOD / 4 < calculator.ownPropagationMs(); // a short time, which ShareRamp waits for
+            assertThat(share()).as("step " + step).isCloseTo(isOwnDelay ? 0.05 + 0.5 * 10 / 370 : 0.1, within(1e-9));
             now += PERIOD / 4;
         }
     }
@@ -125,10 +125,10 @@
             now += PERIOD;
         }
         assertThat(announceableRate(79, Set.of())).isCloseTo(11.5, within(1e-9));
-        assertThat(shares.isReannouncing(now)).isTrue();
+        assertThat(calculator.isReannouncing(now)).isTrue();
         now += 6 * PERIOD;
         assertThat(announceableRate(79, Set.of())).isEqualTo(79);
-        assertThat(shares.isReannouncing(now)).isFalse();
+        assertThat(calculator.isReannouncing(now)).isFalse();
     }
 
     /** Members that have ended need no announcement, so the others take over their part immediately. */
@@ -137,7 +137,7 @@
         settle(9, 9, 9, 9, 9, 9, 9, 9, 9, 9);
         announceableRate(9, Set.of());
         assertThat(announceableRate(79, Set.copyOf(NAMES.subList(5, 10)))).isCloseTo(11.5, within(1e-9));
-        assertThat(shares.announceableRate(now, 79, Set.copyOf(NAMES.subList(0, 5)), Set.of(), 5)).isEqualTo(79);
+        assertThat(calculator.announceableRate(now, 79, Set.copyOf(NAMES.subList(0, 5)), Set.of(), 5)).isEqualTo(79);
     }
 
     @Test
@@ -158,16 +158,16 @@
     /** Members of which only the number is known count as missing. */
     @Test
     void knowingNobodyAnnouncesAlmostNothing() {
-        assertThat(shares.announceableRate(now, 500, Set.of(NAMES.get(0)), Set.of(), 10)).isLessThan(1);
-        assertThat(shares.share(now, Set.of(NAMES.get(0)), 10, false)).isLessThanOrEqualTo(0.1 + 1e-9);
+        assertThat(calculator.announceableRate(now, 500, Set.of(NAMES.get(0)), Set.of(), 10)).isLessThan(1);
+        assertThat(calculator.share(now, Set.of(NAMES.get(0)), 10, false)).isLessThanOrEqualTo(0.1 + 1e-9);
     }
 
     /** A proxy prefers the copies of its own location, so its position is among the members of that location only. */
     @Test
     void positionsUseOwnLocationOnly() {
-        shares.receive(now, IntStream.range(0, 10).mapToObj(i -> announcement(i, i % 3, AnnouncedTraffic.of(9))).toList());
-        assertThat(shares.localTraffic(ALL)).containsOnlyKeys(NAMES.get(0), NAMES.get(3), NAMES.get(6), NAMES.get(9));
-        assertThat(shares.localTraffic(ALL).values()).containsOnly(10.0);
+        calculator.receive(now, IntStream.range(0, 10).mapToObj(i -> announcement(i, i % 3, AnnouncedTraffic.of(9))).toList());
+        assertThat(calculator.localTraffic(ALL)).containsOnlyKeys(NAMES.get(0), NAMES.get(3), NAMES.get(6), NAMES.get(9));
+        assertThat(calculator.localTraffic(ALL).values()).containsOnly(10.0);
     }
 
     /** Each copy of a hot key is used by the members positioned in its part: the traffic is balanced, and one more member moves few others. */
