--- a/src/main/java/dappleseam/fleet/membership/GossipQueue.java
+++ b/src/main/java/dappleseam/fleet/membership/GossipQueue.java
@@ -83,7 +83,7 @@
      * Takes the next items that fit into {@code limitBytes} and counts them as sent once. {@code members}: the number of possible
      * recipients, which determines how often an item is sent in all.
      */
-    public List<T> poll(int limitBytes, int members) {
+    public List<T> takeBatch(int limitBytes, int members) {
         List<Queued<K, T>> batch = new ArrayList<>();
         int remaining = limitBytes;
         while (!queue.isEmpty() && maxBytes.applyAsInt(queue.first().item) <= remaining) {
--- a/src/main/java/dappleseam/fleet/membership/Membership.java
+++ b/src/main/java/dappleseam/fleet/membership/Membership.java
@@ -858,7 +858,7 @@
             updates.add(known.entry);
             remaining -= known.entry.maxEncodedBytes();
         }
-        updates.addAll(gossipQueue.poll(remaining, liveMembers.size()));
+        updates.addAll(gossipQueue.takeBatch(remaining, liveMembers.size()));
         return updates;
     }
 
--- a/src/main/java/dappleseam/fleet/share/AnnouncementStore.java
+++ b/src/main/java/dappleseam/fleet/share/AnnouncementStore.java
@@ -101,7 +101,7 @@
 
     /** The next announcements to gossip, at most one datagram's worth, with their current ages; may be empty. */
     public List<Announcement> nextBatch(double nowMs, int members) {
-        return gossipQueue.poll(MAX_BATCH_BYTES, members).stream().map(entry -> entry.announcement.agedBy(nowMs - entry.receivedAt)).toList();
+        return gossipQueue.takeBatch(MAX_BATCH_BYTES, members).stream().map(entry -> entry.announcement.agedBy(nowMs - entry.receivedAt)).toList();
     }
 
     /** All announcements that have not expired, this member's own included, with their current ages. Removes expired ones. */
