--- a/src/main/java/dappleseam/fleet/lastlist/FolderStore.java
+++ b/src/main/java/dappleseam/fleet/lastlist/FolderStore.java
@@ -12,7 +12,10 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** A folder that all proxies reach, whose file system has locks: looking at the token and replacing the file are one step under one. */
+/**
+ * A store in a folder that all proxies can access. Its file system must support locks: a write compares the token and replaces the
+ * file under one lock.
+ */
 public final class FolderStore implements ListStore {
     private static final String VERSION = "dappleseam-last-list-2";
 
@@ -29,17 +32,17 @@
     @Override
     public void write(Token token, long number, double nowMs, NodeList list) throws IOException {
         Files.createDirectories(folder);
-        try (FileChannel locks = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE); FileLock lock = locks.lock()) {
-            Stored seen = lock.isValid() ? seen() : null;
-            if (seen != null && !seen.isBefore(token, number)) {
-                throw new FencedException(seen.token());
+        try (FileChannel lockFile = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE); FileLock lock = lockFile.lock()) {
+            Stored existing = lock.isValid() ? readIfPresent() : null;
+            if (existing != null && !existing.isBefore(token, number)) {
+                throw new FencedException(existing.token());
             }
             ChecksummedFile.writeDurably(file(), VERSION, json -> ListStore.write(json, token, number, nowMs, list));
         }
     }
 
-    /** Null for nothing; damage is nothing, or a folder once spoilt would take nothing ever again. */
-    private Stored seen() throws IOException {
+    /** Null if there is no file. A damaged file counts as none, since otherwise no write would ever succeed again. */
+    private Stored readIfPresent() throws IOException {
         try {
             return read();
         } catch (NoSuchFileException e) {
--- a/src/main/java/dappleseam/fleet/lastlist/HttpStore.java
+++ b/src/main/java/dappleseam/fleet/lastlist/HttpStore.java
@@ -12,36 +12,37 @@
 import java.net.URI;
 
 /**
- * A resource behind HTTP (RFC 9110) that keeps one object: PUT replaces it where its headers {@code Fencing-Token} and {@code Write-Number} come after
- * those of the object that is there, looking and replacing in one step, and is answered 409 with the token that is there where they do not; GET gives it. Any thread
- * may wait here for as long as {@link #LONGEST_MS}.
+ * A store behind an HTTP (RFC 9110) resource that holds one object. PUT atomically replaces the object if the request's headers
+ * {@code Fencing-Token} and {@code Write-Number} come after those of the stored one, and is answered 409 with the stored token
+ * otherwise; GET returns it. Calls may block for {@link #MAX_READ_MS} and a time-out.
  */
 public final class HttpStore implements ListStore {
-    static final String TOKEN = "Fencing-Token";
-    static final String NUMBER = "Write-Number";
-    /** Time in ms for one step of a call, and for reading one answer: a start may wait for it. */
-    private static final int STEP_MS = 300;
-    private static final double LONGEST_MS = 1000;
-    private static final int LONGEST = 4 << 20;
-    private static final int PIECE = 16 << 10;
+    static final String TOKEN_HEADER = "Fencing-Token";
+    static final String NUMBER_HEADER = "Write-Number";
+    /** Time-out in ms of connecting and of each read. Both limits are short because the start of a proxy may wait for them. */
+    private static final int TIMEOUT_MS = 300;
+    /** Maximum time in ms for reading one answer. */
+    private static final double MAX_READ_MS = 1000;
+    private static final int MAX_ANSWER_BYTES = 4 << 20;
+    private static final int BUFFER_BYTES = 16 << 10;
     private static final double NANOS_PER_MS = 1e6;
 
-    private final URI where;
+    private final URI uri;
 
-    /** {@code where}: http, with a host. */
-    public HttpStore(URI where) {
-        this.where = where;
+    /** {@code uri}: an http URI with a host. */
+    public HttpStore(URI uri) {
+        this.uri = uri;
     }
 
-    private HttpURLConnection call(String method) throws IOException {
-        HttpURLConnection call = (HttpURLConnection) where.toURL().openConnection();
-        call.setRequestMethod(method);
-        call.setConnectTimeout(STEP_MS);
-        call.setReadTimeout(STEP_MS);
-        call.setInstanceFollowRedirects(false);
-        call.setUseCaches(false);
-        call.setRequestProperty("Connection", "close"); // one kept from before a restart of the store would fail the next call
-        return call;
+    private HttpURLConnection connect(String method) throws IOException {
+        HttpURLConnection connection = (HttpURLConnection) uri.toURL().openConnection();
+        connection.setRequestMethod(method);
+        connection.setConnectTimeout(TIMEOUT_MS);
+        connection.setReadTimeout(TIMEOUT_MS);
+        connection.setInstanceFollowRedirects(false);
+        connection.setUseCaches(false);
+        connection.setRequestProperty("Connection", "close"); // a kept-alive connection would fail the next call after a restart of the store
+        return connection;
     }
 
     @Override
@@ -50,60 +51,60 @@
         try (JsonGenerator json = new JsonFactory().createGenerator(body)) {
             ListStore.write(json, token, number, nowMs, list);
         }
-        HttpURLConnection call = call("PUT");
+        HttpURLConnection connection = connect("PUT");
         try {
-            call.setRequestProperty("Content-Type", "application/json");
-            call.setRequestProperty(TOKEN, token.text());
-            call.setRequestProperty(NUMBER, Long.toString(number));
-            call.setDoOutput(true);
-            call.setFixedLengthStreamingMode(body.size()); // nor is it ever sent a second time by itself
-            call.getOutputStream().write(body.toByteArray());
-            int status = call.getResponseCode();
+            connection.setRequestProperty("Content-Type", "application/json");
+            connection.setRequestProperty(TOKEN_HEADER, token.text());
+            connection.setRequestProperty(NUMBER_HEADER, Long.toString(number));
+            connection.setDoOutput(true);
+            connection.setFixedLengthStreamingMode(body.size()); // also prevents HttpURLConnection from repeating the request
+            connection.getOutputStream().write(body.toByteArray());
+            int status = connection.getResponseCode();
             if (status == HttpURLConnection.HTTP_CONFLICT) {
-                throw new FencedException(seen(call));
+                throw new FencedException(conflictingToken(connection));
             }
             if (status / 100 != 2) {
-                throw new IOException("the store answered " + status);
+                throw new IOException("the store answered with status " + status);
             }
         } finally {
-            call.disconnect();
+            connection.disconnect();
         }
     }
 
-    private static Token seen(HttpURLConnection call) throws IOException {
-        String told = call.getHeaderField(TOKEN);
+    private static Token conflictingToken(HttpURLConnection connection) throws IOException {
+        String header = connection.getHeaderField(TOKEN_HEADER);
         try {
-            return Token.parse(told == null ? "" : told);
+            return Token.parse(header == null ? "" : header);
         } catch (IllegalArgumentException e) {
-            throw new IOException("the store refused without a token");
+            throw new IOException("the store answered with status 409 without a valid token");
         }
     }
 
     @Override
     public Stored read() throws IOException {
-        HttpURLConnection call = call("GET");
+        HttpURLConnection connection = connect("GET");
         try {
-            int status = call.getResponseCode();
+            int status = connection.getResponseCode();
             if (status != HttpURLConnection.HTTP_OK) {
-                throw new IOException("the store answered " + status);
+                throw new IOException("the store answered with status " + status);
             }
-            return Stored.of(Json.read(body(call.getInputStream())));
+            return Stored.of(Json.read(readBody(connection.getInputStream())));
         } catch (IllegalArgumentException e) {
-            throw new IOException("the store holds something else: " + e.getMessage());
+            throw new IOException("the store's content is not a list: " + e.getMessage());
         } finally {
-            call.disconnect();
+            connection.disconnect();
         }
     }
 
-    /** Guards a start against an answer without end, and one that comes by drops. */
-    private static byte[] body(InputStream in) throws IOException {
-        double until = System.nanoTime() / NANOS_PER_MS + LONGEST_MS;
+    /** Reads the answer, limited in size and time, so that an endless or very slow answer does not block a start. */
+    private static byte[] readBody(InputStream in) throws IOException {
+        double deadlineMs = System.nanoTime() / NANOS_PER_MS + MAX_READ_MS;
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        byte[] piece = new byte[PIECE];
-        for (int read = in.read(piece); read >= 0; read = in.read(piece)) {
-            body.write(piece, 0, read);
-            if (body.size() > LONGEST || System.nanoTime() / NANOS_PER_MS > until) {
-                throw new IOException("the store's answer is too long, or too slow");
+        byte[] buffer = new byte[BUFFER_BYTES];
+        for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
+            body.write(buffer, 0, read);
+            if (body.size() > MAX_ANSWER_BYTES || System.nanoTime() / NANOS_PER_MS > deadlineMs) {
+                throw new IOException("the store's answer is too long or too slow");
             }
         }
         return body.toByteArray();
--- a/src/main/java/dappleseam/fleet/membership/MembershipProtocol.java
+++ b/src/main/java/dappleseam/fleet/membership/MembershipProtocol.java
@@ -4,26 +4,26 @@
 import java.util.List;
 
 /**
- * What passes between members, one method per kind of datagram. Sent through {@link MembershipHost}, heard by {@link Membership}:
- * {@code peer} is where it goes to there, and where it came from here. {@code self} is the sender's own notice, {@code news} what it has to
- * tell, within {@link Membership#MAX_UPDATE_BYTES}.
+ * The messages between members, one method per kind of datagram. {@link MembershipHost} sends them and {@link Membership} receives
+ * them: {@code address} is the recipient's there and the sender's here. {@code self}: the sender's own entry; {@code sequence}: ties a
+ * reply to its ping; {@code updates}: gossip, at most {@link Membership#MAX_UPDATE_BYTES}.
  */
 public interface MembershipProtocol {
-    /** Are you there, {@code target}? Null: whoever is there. */
-    void ping(InetSocketAddress peer, MemberEntry self, long number, MemberName target, List<MemberEntry> news);
+    /** Asks the member {@code target} for an ack; null addresses any member at that address. */
+    void ping(InetSocketAddress address, MemberEntry self, long sequence, MemberName target, List<MemberEntry> updates);
 
-    /** I am; or {@code about} is, whom you asked me to probe. */
-    void ack(InetSocketAddress peer, MemberEntry self, long number, MemberEntry about, List<MemberEntry> news);
+    /** Answers a ping; if {@code subject} is not null, it answered a ping that was sent on the recipient's request. */
+    void ack(InetSocketAddress address, MemberEntry self, long sequence, MemberEntry subject, List<MemberEntry> updates);
 
-    /** The one you asked me to probe has not answered me in time, but I am here. */
-    void nack(InetSocketAddress peer, MemberEntry self, long number);
+    /** The member that the recipient asked to have pinged has not answered the sender in time; the sender itself is reachable. */
+    void nack(InetSocketAddress address, MemberEntry self, long sequence);
 
-    /** Probe {@code target} for me. */
-    void pingRequest(InetSocketAddress peer, MemberEntry self, long number, MemberEntry target, List<MemberEntry> news);
+    /** Asks the recipient to ping {@code target} on the sender's behalf (an indirect probe). */
+    void pingRequest(InetSocketAddress address, MemberEntry self, long sequence, MemberEntry target, List<MemberEntry> updates);
 
-    /** Sums over the parts of my view; {@code answer} where they come in return for others. */
-    void digests(InetSocketAddress peer, MemberEntry self, boolean answer, int[] sums);
+    /** Digests of the buckets of the sender's view; {@code isReply}: whether they answer the recipient's own. */
+    void digests(InetSocketAddress address, MemberEntry self, boolean isReply, int[] digests);
 
-    /** News, or parts of my view. */
-    void gossip(InetSocketAddress peer, MemberEntry self, List<MemberEntry> news);
+    /** Gossip, or the entries of view buckets that differ. */
+    void gossip(InetSocketAddress address, MemberEntry self, List<MemberEntry> updates);
 }
--- a/src/main/java/dappleseam/fleet/share/Announcement.java
+++ b/src/main/java/dappleseam/fleet/share/Announcement.java
@@ -5,38 +5,40 @@
 import java.util.List;
 
 /**
- * What a member tells of itself, and nobody else of it: of one process's, the one with the greatest number holds. {@code location}: where it is, 0 to {@link #MAX_LOCATION}, or
- * {@link #NO_LOCATION} in particular; {@code traffic}: queries that it takes; {@code sights}: at most {@link #MAX_OBSERVATIONS}.
+ * What a member announces about itself; other members only pass it on. Of the announcements of one process, the one with the greatest
+ * {@code number} is valid. {@code location}: 0 to {@link #MAX_LOCATION}, or {@link #NO_LOCATION} if it is not known; {@code traffic}:
+ * the queries that the member receives; {@code observations}: at most {@link #MAX_OBSERVATIONS}.
  */
 public record Announcement(MemberName member, Generation generation, long number, int location, AnnouncedTraffic traffic, List<NodeObservation> observations) implements Comparable<Announcement> {
     public static final int MAX_OBSERVATIONS = 8;
     public static final int NO_LOCATION = -1;
     public static final int MAX_LOCATION = 1_000_000;
-    /** Bytes in a datagram, at most, of one without sights beside its name, and of a sight. */
-    private static final int FRAME_BYTES = 55;
-    private static final int SIGHT_BYTES = 30;
+    /** Maximum encoded bytes apart from the name and the observations. */
+    private static final int OVERHEAD_BYTES = 55;
+    /** Maximum encoded bytes of one observation. */
+    private static final int OBSERVATION_BYTES = 30;
 
     public Announcement {
         if (number < 0 || location < NO_LOCATION || location > MAX_LOCATION || observations.size() > MAX_OBSERVATIONS) {
-            throw new IllegalArgumentException("no bulletin");
+            throw new IllegalArgumentException("announcement field out of range");
         }
         observations = List.copyOf(observations);
     }
 
-    /** By process, then by number. */
+    /** Orders by generation, then by number. */
     @Override
     public int compareTo(Announcement other) {
-        int byLife = generation.compareTo(other.generation);
-        return byLife != 0 ? byLife : Long.compare(number, other.number);
+        int byGeneration = generation.compareTo(other.generation);
+        return byGeneration != 0 ? byGeneration : Long.compare(number, other.number);
     }
 
-    /** The same as somebody passes it on who had it for so long. */
-    Announcement olderBy(double ms) {
-        return new Announcement(member, generation, number, location, traffic.olderBy(ms), observations.stream().map(s -> s.olderBy(ms)).toList());
+    /** The same announcement after it was held for so many ms. */
+    Announcement agedBy(double ms) {
+        return new Announcement(member, generation, number, location, traffic.agedBy(ms), observations.stream().map(s -> s.agedBy(ms)).toList());
     }
 
-    /** At most so many bytes in a datagram. */
+    /** Upper bound of the encoded size in a datagram. */
     public int maxEncodedBytes() {
-        return FRAME_BYTES + member.text().length() + SIGHT_BYTES * observations.size();
+        return OVERHEAD_BYTES + member.text().length() + OBSERVATION_BYTES * observations.size();
     }
 }
--- a/src/main/java/dappleseam/fleet/share/AnnouncementStore.java
+++ b/src/main/java/dappleseam/fleet/share/AnnouncementStore.java
@@ -2,7 +2,7 @@
 
 import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.membership.Rumours;
+import dappleseam.fleet.membership.GossipQueue;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Iterator;
@@ -11,98 +11,111 @@
 import java.util.Map;
 
 /**
- * The bulletins of all members as this one has them, and which of them it still has to pass on, as {@link Rumours}. Free of I/O; times are ms of one process's clock. Not for several threads.
+ * The latest announcement of every member, and the queue of those that this member still has to gossip. Performs no I/O; times are ms
+ * of this process's clock. Not thread-safe.
  */
 public final class AnnouncementStore {
-    /** Age in ms from which a bulletin says nothing; own ones are told anew well before. */
-    public static final double OLDEST_MS = 60_000;
+    /** Age in ms above which an announcement is discarded. Members repeat theirs well before that. */
+    public static final double MAX_AGE_MS = 60_000;
     private static final double REFRESH_MS = 20_000;
-    /** Least time in ms between two own bulletins: what flaps faster than rumours travel must not fill them. */
-    private static final double LEAST_MS = 250;
-    /** Time in ms by which a sight has to be younger than what was told of it before it is told anew: well under its life. */
-    private static final double ANEW_MS = 3000;
-    /** Bytes of bulletins in one datagram: 1,400 less the frame and a notice. */
+    /** Minimum time in ms between two own announcements, so that a flapping state does not flood the gossip. */
+    private static final double MIN_INTERVAL_MS = 250;
+    /** Time in ms by which an observation must be newer than the announced one to be announced again; well below its lifetime. */
+    private static final double OBSERVATION_REFRESH_MS = 3000;
+    /** Maximum bytes of announcements in one datagram: 1,400 less the frame and a member entry. */
     public static final int MAX_BATCH_BYTES = 1100;
 
     private final MemberName self;
-    private final int most;
-    private final double knownMs;
+    private final int maxEntries;
+    private final double propagationMs;
     private final int location;
     private final Map<MemberName, Entry> entries = new LinkedHashMap<>();
-    /** Those that say something of a cache first: else a start of many proxies, who all tell their rates, would hold up the word on a dead cache. */
-    private final Rumours<MemberName, Entry> rumours = new Rumours<>(entry -> entry.bulletin.maxEncodedBytes(), entry -> !entry.bulletin.observations().isEmpty());
-    private long number;
-    private double saidAt = Double.NEGATIVE_INFINITY;
+    /**
+     * Announcements with observations go first. Otherwise the rates announced when many proxies start would delay the report of a
+     * failed cache.
+     */
+    private final GossipQueue<MemberName, Entry> gossipQueue = new GossipQueue<>(entry -> entry.announcement.maxEncodedBytes(), entry -> !entry.announcement.observations().isEmpty());
+    private long lastNumber;
+    private double announcedAt = Double.NEGATIVE_INFINITY;
     private Announcement own;
 
-    private record Entry(Announcement bulletin, double heardAt) {}
+    private record Entry(Announcement announcement, double receivedAt) {}
 
-    /** {@code most}: bulletins kept; {@code knownMs}: time in which a word is known to all; {@code location}: this member's. */
-    public AnnouncementStore(MemberName self, int most, double knownMs, int location) {
+    /**
+     * {@code maxEntries}: announcements kept; {@code propagationMs}: time until an announcement has reached all members;
+     * {@code location}: of this member.
+     */
+    public AnnouncementStore(MemberName self, int maxEntries, double propagationMs, int location) {
         this.location = location;
         this.self = self;
-        this.knownMs = knownMs;
-        this.most = most;
+        this.propagationMs = propagationMs;
+        this.maxEntries = maxEntries;
     }
 
-    /** What this member has to tell of itself now; becomes a bulletin where that is news. {@code life}: of this process. */
-    public void announce(double nowMs, Generation life, double ratePerS, List<NodeObservation> sights) {
-        announce(nowMs, life, ratePerS, ratePerS, sights, false);
+    /** Updates this member's own state and announces it if it has changed. {@code generation}: of this process. */
+    public void announce(double nowMs, Generation generation, double ratePerS, List<NodeObservation> observations) {
+        announce(nowMs, generation, ratePerS, ratePerS, observations, false);
     }
 
-    /** {@code usualPerS}: what this process counts for until it has told; {@code anew}: whether it is news though it is the same, as to members that were cut off. */
-    public void announce(double nowMs, Generation life, double ratePerS, double usualPerS, List<NodeObservation> sights, boolean anew) {
-        AnnouncedTraffic before = own == null ? null : own.traffic().olderBy(nowMs - saidAt);
-        AnnouncedTraffic traffic = own == null ? AnnouncedTraffic.first(ratePerS, usualPerS) : before.next(ratePerS, knownMs);
-        boolean isNews = anew || own == null || traffic != before || !own.generation().equals(life) || !meansTheSame(nowMs - saidAt, own.observations(), sights)
-                || nowMs >= saidAt + REFRESH_MS;
-        if (isNews && nowMs >= saidAt + LEAST_MS) {
-            saidAt = nowMs;
-            own = new Announcement(self, life, ++number, location, traffic, sights.subList(0, Math.min(Announcement.MAX_OBSERVATIONS, sights.size())));
+    /**
+     * As above. {@code presumedPerS}: the rate that others presume until they have the first announcement; {@code force}: whether to
+     * announce an unchanged state as well, for members that were unreachable before.
+     */
+    public void announce(double nowMs, Generation generation, double ratePerS, double presumedPerS, List<NodeObservation> observations, boolean force) {
+        AnnouncedTraffic previous = own == null ? null : own.traffic().agedBy(nowMs - announcedAt);
+        AnnouncedTraffic traffic = own == null ? AnnouncedTraffic.initial(ratePerS, presumedPerS) : previous.next(ratePerS, propagationMs);
+        boolean isChanged = force || own == null || traffic != previous || !own.generation().equals(generation) || !isEquivalent(nowMs - announcedAt, own.observations(), observations)
+                || nowMs >= announcedAt + REFRESH_MS;
+        if (isChanged && nowMs >= announcedAt + MIN_INTERVAL_MS) {
+            announcedAt = nowMs;
+            own = new Announcement(self, generation, ++lastNumber, location, traffic, observations.subList(0, Math.min(Announcement.MAX_OBSERVATIONS, observations.size())));
             put(nowMs, own);
         }
     }
 
-    /** What was said so long ago, and what would be said now: a sight that was seen anew is news after a while. */
-    private static boolean meansTheSame(double sinceMs, List<NodeObservation> before, List<NodeObservation> now) {
-        return before.size() == Math.min(Announcement.MAX_OBSERVATIONS, now.size()) && before.stream().allMatch(b -> now.stream().anyMatch(n ->
-                n.node().equals(b.node()) && n.startedAtMs() == b.startedAtMs() && n.failing() == b.failing() && b.ageMs() + sinceMs - n.ageMs() < ANEW_MS));
+    /**
+     * Whether the observations announced {@code elapsedMs} ago still match the current ones. A repeated observation counts as a
+     * change once it is newer by {@link #OBSERVATION_REFRESH_MS}.
+     */
+    private static boolean isEquivalent(double elapsedMs, List<NodeObservation> previous, List<NodeObservation> current) {
+        return previous.size() == Math.min(Announcement.MAX_OBSERVATIONS, current.size()) && previous.stream().allMatch(b -> current.stream().anyMatch(n ->
+                n.node().equals(b.node()) && n.startedAtMs() == b.startedAtMs() && n.failing() == b.failing() && b.ageMs() + elapsedMs - n.ageMs() < OBSERVATION_REFRESH_MS));
     }
 
-    private void put(double nowMs, Announcement bulletin) {
-        Entry entry = new Entry(bulletin, nowMs);
-        entries.put(bulletin.member(), entry);
-        rumours.put(bulletin.member(), entry);
+    private void put(double nowMs, Announcement announcement) {
+        Entry added = new Entry(announcement, nowMs);
+        entries.put(announcement.member(), added);
+        gossipQueue.put(announcement.member(), added);
     }
 
-    /** What came from another member, its own and others'. */
-    public void receive(double nowMs, List<Announcement> bulletins) {
-        for (Announcement bulletin : bulletins) {
-            Entry before = entries.get(bulletin.member());
-            boolean isNew = before == null ? entries.size() < most : bulletin.compareTo(before.bulletin) > 0;
-            if (isNew && !bulletin.member().equals(self)) {
-                put(nowMs, bulletin);
+    /** Takes announcements that another member sent, its own and those it passes on. */
+    public void receive(double nowMs, List<Announcement> announcements) {
+        for (Announcement announcement : announcements) {
+            Entry previous = entries.get(announcement.member());
+            boolean isNew = previous == null ? entries.size() < maxEntries : announcement.compareTo(previous.announcement) > 0;
+            if (isNew && !announcement.member().equals(self)) {
+                put(nowMs, announcement);
             }
         }
     }
 
-    /** One datagram's worth of what has been told least, with its age; empty where there is nothing to tell. */
+    /** The next announcements to gossip, at most one datagram's worth, with their current ages; may be empty. */
     public List<Announcement> nextBatch(double nowMs, int members) {
-        return rumours.tell(MAX_BATCH_BYTES, members).stream().map(entry -> entry.bulletin.olderBy(nowMs - entry.heardAt)).toList();
+        return gossipQueue.takeBatch(MAX_BATCH_BYTES, members).stream().map(entry -> entry.announcement.agedBy(nowMs - entry.receivedAt)).toList();
     }
 
-    /** All that says anything yet, with its age, this member's own among them; what is too old is forgotten. */
+    /** All announcements that have not expired, this member's own included, with their current ages. Removes expired ones. */
     public Collection<Announcement> current(double nowMs) {
-        List<Announcement> now = new ArrayList<>();
-        for (Iterator<Entry> all = entries.values().iterator(); all.hasNext();) {
-            Entry entry = all.next();
-            if (nowMs - entry.heardAt > OLDEST_MS) {
-                all.remove();
-                rumours.remove(entry.bulletin.member());
+        List<Announcement> current = new ArrayList<>();
+        for (Iterator<Entry> it = entries.values().iterator(); it.hasNext();) {
+            Entry entry = it.next();
+            if (nowMs - entry.receivedAt > MAX_AGE_MS) {
+                it.remove();
+                gossipQueue.remove(entry.announcement.member());
             } else {
-                now.add(entry.bulletin.olderBy(nowMs - entry.heardAt));
+                current.add(entry.announcement.agedBy(nowMs - entry.receivedAt));
             }
         }
-        return now;
+        return current;
     }
 }
--- a/src/main/java/dappleseam/fleet/share/FailureVoting.java
+++ b/src/main/java/dappleseam/fleet/share/FailureVoting.java
@@ -14,119 +14,128 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What this member says of caches by its own sight, and what all others' words come to. Free of I/O; times are ms of one clock, which {@link LocalObservation} goes by, too.
- * docs/fleet-design.md says why. Not for several threads.
+ * Selects the observations of caches that this member announces, and combines those of all other members into verdicts. Performs no
+ * I/O; times are ms of one clock, that of {@link LocalObservation}. docs/fleet-design.md explains the rules. Not thread-safe.
  */
 public final class FailureVoting {
-    /** Share of the caches that fail by own sight from which it is more likely one's own link. */
-    private static final double OWN_LINK = 1.0 / 3;
-    /** Fewest caches of which that share can be told. */
-    private static final int OWN_LINK_LEAST = 2;
-    /** Time in ms for which an answer shows that a cache works, whatever others saw meanwhile; against what they saw before it, it goes on to show that. */
-    private static final double WORKS_MS = 2000;
-    /** Members that have to agree. */
-    private static final int AGREE = 2;
-    /** Caches spoken of at once, of any members': what is beyond is dropped, oldest first told. */
-    private static final int MOST = 256;
+    /** Fraction of caches that fail for this member above which its own link is more likely the cause. */
+    private static final double OWN_LINK_FRACTION = 1.0 / 3;
+    /** Minimum number of failing caches to which that fraction applies. */
+    private static final int OWN_LINK_MIN_CACHES = 2;
+    /**
+     * Time in ms for which an answer shows that a cache works, even against later reports of a failure. Against earlier reports it has
+     * no such limit.
+     */
+    private static final double WORKING_TTL_MS = 2000;
+    /** Members that have to agree on a verdict. */
+    private static final int QUORUM = 2;
+    /** Maximum processes with votes at a time; observations of further ones are dropped, in the order of the announcements given. */
+    private static final int MAX_PROCESSES = 256;
 
-    /** One process of a cache. */
-    private record Process(NodeId node, long startedAtMs) {}
+    /** One process of a cache, identified by its start. */
+    private record NodeProcess(NodeId node, long startedAtMs) {}
 
-    /** How long ago, in ms, members saw it fail, and work. */
+    /** The votes on one process: ages in ms of the members' observations that it fails, and that it works. */
     private static final class Votes {
-        final List<Long> fails = new ArrayList<>();
-        final List<Long> works = new ArrayList<>();
+        final List<Long> failingAges = new ArrayList<>();
+        final List<Long> workingAges = new ArrayList<>();
 
-        /** Members that saw it fail after so many had seen it work: guards a cache that is back against all who have not come to try it since. */
-        long failsNow(int proof) {
-            long since = works.size() < proof ? Long.MAX_VALUE : works.stream().sorted().skip(proof - 1).findFirst().orElseThrow();
-            return fails.stream().filter(age -> age < since).count();
+        /**
+         * Number of members that saw it fail after {@code required} members had seen it work. Older reports are void, since those
+         * members may not have tried a recovered cache again.
+         */
+        long currentFailing(int required) {
+            long since = workingAges.size() < required ? Long.MAX_VALUE : workingAges.stream().sorted().skip(required - 1).findFirst().orElseThrow();
+            return failingAges.stream().filter(age -> age < since).count();
         }
 
-        long worksNow() {
-            return works.stream().filter(age -> age <= WORKS_MS).count();
+        long recentWorking() {
+            return workingAges.stream().filter(age -> age <= WORKING_TTL_MS).count();
         }
     }
 
     private final MemberName self;
-    private Map<Process, Votes> votes = Map.of();
-    /** Of which something was said against when last told. */
-    private final Set<Process> against = new LinkedHashSet<>();
+    private Map<NodeProcess, Votes> votesByProcess = Map.of();
+    /** Processes that had a failing verdict at the last call of {@link #verdicts}. */
+    private final Set<NodeProcess> accused = new LinkedHashSet<>();
 
     public FailureVoting(MemberName self) {
         this.self = self;
     }
 
-    /** {@code counts}: whether that member is one whose word counts. */
-    public void receive(Collection<Announcement> bulletins, Predicate<Announcement> counts) {
-        Map<Process, Votes> now = new LinkedHashMap<>();
-        for (Announcement bulletin : bulletins) {
-            if (bulletin.member().equals(self) || !counts.test(bulletin)) {
+    /** Replaces all votes. {@code isEligible}: whether the member that announced may vote. */
+    public void receive(Collection<Announcement> announcements, Predicate<Announcement> isEligible) {
+        Map<NodeProcess, Votes> current = new LinkedHashMap<>();
+        for (Announcement announcement : announcements) {
+            if (announcement.member().equals(self) || !isEligible.test(announcement)) {
                 continue;
             }
-            Set<Process> once = new LinkedHashSet<>(); // guards against one that says a thing twice
-            for (NodeObservation sight : bulletin.observations()) {
-                Process process = new Process(sight.node(), sight.startedAtMs());
-                if (sight.ageMs() <= NodeObservation.MAX_AGE_MS && once.add(process) && (now.containsKey(process) || now.size() < MOST)) {
-                    Votes of = now.computeIfAbsent(process, p -> new Votes());
-                    (sight.failing() ? of.fails : of.works).add(sight.ageMs());
+            Set<NodeProcess> processesSeen = new LinkedHashSet<>(); // one vote per member and process
+            for (NodeObservation observation : announcement.observations()) {
+                NodeProcess process = new NodeProcess(observation.node(), observation.startedAtMs());
+                if (observation.ageMs() <= NodeObservation.MAX_AGE_MS && processesSeen.add(process) && (current.containsKey(process) || current.size() < MAX_PROCESSES)) {
+                    Votes votes = current.computeIfAbsent(process, p -> new Votes());
+                    (observation.failing() ? votes.failingAges : votes.workingAges).add(observation.ageMs());
                 }
             }
         }
-        votes = now;
+        votesByProcess = current;
     }
 
     /**
-     * What to say: own findings that a cache fails, and that one works of which others say that it fails. Nothing where this member may be the one that is ill.
-     * {@code seen}: of all caches.
+     * The observations to announce: caches that fail for this member, and caches that work for it although others report a failure.
+     * Empty if the fault may be this member's own. {@code all}: the observations of all caches.
      */
-    public List<NodeObservation> localObservations(double nowMs, Collection<LocalObservation> seen, boolean isWell) {
-        long failing = seen.stream().filter(LocalObservation::failing).count();
-        if (!isWell || failing >= OWN_LINK_LEAST && failing > OWN_LINK * seen.size()) {
+    public List<NodeObservation> localObservations(double nowMs, Collection<LocalObservation> all, boolean isHealthy) {
+        long failingCount = all.stream().filter(LocalObservation::failing).count();
+        if (!isHealthy || failingCount >= OWN_LINK_MIN_CACHES && failingCount > OWN_LINK_FRACTION * all.size()) {
             return List.of();
         }
-        List<NodeObservation> sights = new ArrayList<>();
-        for (LocalObservation one : seen) {
-            long startedAt = Math.round(one.startedAtMs());
-            double age = nowMs - (one.failing() ? one.failedAtMs() : one.lastAnswerAtMs());
-            if ((one.failing() || isOfUse(votes.get(new Process(one.node(), startedAt)), age)) && age <= NodeObservation.MAX_AGE_MS && startedAt >= 0 && startedAt <= NodeObservation.MAX_START) {
-                sights.add(new NodeObservation(one.node(), startedAt, one.failing(), Math.round(Math.max(0, age))));
+        List<NodeObservation> announced = new ArrayList<>();
+        for (LocalObservation local : all) {
+            long startedAt = Math.round(local.startedAtMs());
+            double age = nowMs - (local.failing() ? local.failedAtMs() : local.lastAnswerAtMs());
+            if ((local.failing() || isRelevant(votesByProcess.get(new NodeProcess(local.node(), startedAt)), age)) && age <= NodeObservation.MAX_AGE_MS && startedAt >= 0 && startedAt <= NodeObservation.MAX_START) {
+                announced.add(new NodeObservation(local.node(), startedAt, local.failing(), Math.round(Math.max(0, age))));
             }
         }
-        sights.sort(Comparator.comparing(NodeObservation::failing).reversed());
-        return List.copyOf(sights.subList(0, Math.min(Announcement.MAX_OBSERVATIONS, sights.size())));
+        announced.sort(Comparator.comparing(NodeObservation::failing).reversed());
+        return List.copyOf(announced.subList(0, Math.min(Announcement.MAX_OBSERVATIONS, announced.size())));
     }
 
-    /** Whether others have to hear of an answer so long ago: some say that the cache fails, and it is not older than all that they say. */
-    private static boolean isOfUse(Votes of, double ageMs) {
-        return of != null && !of.fails.isEmpty() && (ageMs <= WORKS_MS || of.fails.stream().anyMatch(age -> age > ageMs));
+    /** Whether an answer of that age has to be announced: others report a failure, and it is recent or newer than one of the reports. */
+    private static boolean isRelevant(Votes votes, double ageMs) {
+        return votes != null && !votes.failingAges.isEmpty() && (ageMs <= WORKING_TTL_MS || votes.failingAges.stream().anyMatch(age -> age > ageMs));
     }
 
-    /** What others' words come to now; that nothing is said against a cache any more, once. {@code turns}: this member's place in the order of trying, by what is tried. */
-    public List<PeerVerdict> verdicts(ToIntFunction<String> turns) {
-        List<PeerVerdict> words = new ArrayList<>();
-        Set<Process> now = new LinkedHashSet<>();
-        votes.forEach((process, of) -> {
-            boolean isService = process.node().equals(ListRetrySchedule.LIST_SERVICE); // of which one answer is proof enough
-            long fails = of.failsNow(isService ? 1 : AGREE);
-            if (fails > 0 && (isService || fails > of.worksNow())) {
-                now.add(process);
-                boolean agreed = fails >= AGREE;
-                words.add(new PeerVerdict(process.node(), process.startedAtMs(), agreed ? VerdictKind.FAILS : VerdictKind.HINT, (int) fails, of.works.size(), agreed ? turn(process, turns) : 0));
+    /**
+     * The current verdicts of the other members. A verdict that a process works again is returned once. {@code ranks}: this member's
+     * rank in the order of trying, by a key of what is tried.
+     */
+    public List<PeerVerdict> verdicts(ToIntFunction<String> ranks) {
+        List<PeerVerdict> verdicts = new ArrayList<>();
+        Set<NodeProcess> current = new LinkedHashSet<>();
+        votesByProcess.forEach((process, votes) -> {
+            boolean isService = process.node().equals(ListRetrySchedule.LIST_SERVICE); // a single answer proves that the list service works
+            long failingVotes = votes.currentFailing(isService ? 1 : QUORUM);
+            if (failingVotes > 0 && (isService || failingVotes > votes.recentWorking())) {
+                current.add(process);
+                boolean agreed = failingVotes >= QUORUM;
+                verdicts.add(new PeerVerdict(process.node(), process.startedAtMs(), agreed ? VerdictKind.FAILS : VerdictKind.HINT, (int) failingVotes, votes.workingAges.size(), agreed ? rank(process, ranks) : 0));
             }
         });
-        for (Process process : against) {
-            if (!now.contains(process)) {
-                Votes of = votes.get(process);
-                words.add(new PeerVerdict(process.node(), process.startedAtMs(), VerdictKind.WORKS, of == null ? 0 : of.fails.size(), of == null ? 0 : of.works.size(), turn(process, turns)));
+        for (NodeProcess process : accused) {
+            if (!current.contains(process)) {
+                Votes votes = votesByProcess.get(process);
+                verdicts.add(new PeerVerdict(process.node(), process.startedAtMs(), VerdictKind.WORKS, votes == null ? 0 : votes.failingAges.size(), votes == null ? 0 : votes.workingAges.size(), rank(process, ranks)));
             }
         }
-        against.clear();
-        against.addAll(now);
-        return words;
+        accused.clear();
+        accused.addAll(current);
+        return verdicts;
     }
 
-    private static int turn(Process process, ToIntFunction<String> turns) {
-        return Math.max(0, turns.applyAsInt(Long.toHexString(process.node().value()) + '/' + process.startedAtMs()));
+    private static int rank(NodeProcess process, ToIntFunction<String> ranks) {
+        return Math.max(0, ranks.applyAsInt(Long.toHexString(process.node().value()) + '/' + process.startedAtMs()));
     }
 }
--- a/src/main/java/dappleseam/fleet/share/PeerEjectionPolicy.java
+++ b/src/main/java/dappleseam/fleet/share/PeerEjectionPolicy.java
@@ -8,78 +8,88 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a proxy does by others' words: which caches it tries one execution at a time, or sets aside, and when it tries them again. Free of I/O; on the thread of the router whose
- * caches they are; times are ms of its clock. docs/fleet-design.md says why.
+ * Ejects caches because of other members' verdicts: decides which caches are put on trial, one execution at a time, or ejected, and
+ * when they are tried again. Performs no I/O; runs on the thread of the router that owns the caches; times are ms of its clock.
+ * docs/fleet-design.md explains the rules.
  */
 public final class PeerEjectionPolicy {
-    /** Time in ms for which an own answer weighs more than others' words; and for which a cache is set aside by them, a random part on top. */
+    /** Time in ms for which an answer that this proxy received itself outweighs other members' verdicts. */
     private static final double OWN_ANSWER_MS = 1500;
-    private static final double ASIDE_MS = 1500;
-    private static final double ASIDE_RANDOM_MS = 1000;
-    /** Members that try in one turn, a turn's length in ms, and the longest wait for one's own. */
-    private static final int AT_ONCE = 2;
+    /** Minimum time in ms of an ejection by verdict; a random part up to {@link #EJECTION_JITTER_MS} is added. */
+    private static final double EJECTION_MS = 1500;
+    private static final double EJECTION_JITTER_MS = 1000;
+    /** Members that try an ejected cache in one turn. */
+    private static final int CONCURRENT_TRIERS = 2;
+    /** Length of a turn in ms. */
     private static final double TURN_MS = 5000;
-    private static final double LONGEST_MS = 30_000;
-    /** Largest share of the caches that are set aside or on trial, by whatever cause, when one more is by hearsay. */
-    private static final double MOST_SHARE = 0.4;
+    /** Maximum wait in ms for this member's turn. */
+    private static final double MAX_WAIT_MS = 30_000;
+    /** Maximum fraction of the caches that may be ejected or on trial, for whatever reason, after an ejection by verdict. */
+    private static final double MAX_EJECTED_FRACTION = 0.4;
 
     private final RandomGenerator random;
-    private final Map<NodeId, Avoided> avoided = new HashMap<>();
+    private final Map<NodeId, PeerEjected> peerEjected = new HashMap<>();
 
-    /** How the router holds a process of a cache: 0 in service, a time to come while set aside, past while on trial. */
+    /**
+     * The router's state of one process of a cache. {@code ejectedUntilMs}: 0 if in service, in the future while ejected, in the past
+     * while on trial.
+     */
     public record NodeState(double startedAtMs, double ejectedUntilMs, double lastAnswerAtMs) {}
 
-    /** Set aside until then, on trial from then on. */
+    /** An instruction to eject a cache until {@code ejectedUntilMs} and to put it on trial from then on. */
     public record Ejection(NodeId node, double startedAtMs, double ejectedUntilMs) {}
 
-    /** By hearsay: of which process, until when by the last order, when its own turn to try comes; {@code hint}: by one word only. */
-    private record Avoided(double startedAtMs, double orderedMs, double turnAtMs, boolean hint) {}
+    /**
+     * An ejection by verdict. {@code startedAtMs}: start of the ejected process; {@code orderedUntilMs}: end of the last ejection;
+     * {@code turnAtMs}: when this member's turn to try comes; {@code hintOnly}: whether only one member reported the failure.
+     */
+    private record PeerEjected(double startedAtMs, double orderedUntilMs, double turnAtMs, boolean hintOnly) {}
 
     public PeerEjectionPolicy(RandomGenerator random) {
         this.random = random;
     }
 
-    /** Whether that cache is avoided by own findings: not in service, and not as it was last ordered. */
-    public boolean isLocallyEjected(NodeId node, double asideUntilMs) {
-        Avoided by = avoided.get(node);
-        return asideUntilMs > 0 && (by == null || by.orderedMs != asideUntilMs);
+    /** Whether this proxy ejected the cache because of its own executions: it is out of service, and not by the last verdict. */
+    public boolean isLocallyEjected(NodeId node, double ejectedUntilMs) {
+        PeerEjected previous = peerEjected.get(node);
+        return ejectedUntilMs > 0 && (previous == null || previous.orderedUntilMs != ejectedUntilMs);
     }
 
-    /** {@code caches}: all in service by the list. */
-    public List<Ejection> decide(double nowMs, List<PeerVerdict> words, Map<NodeId, NodeState> caches) {
-        avoided.entrySet().removeIf(e -> {
-            NodeState held = caches.get(e.getKey());
-            return held == null || held.startedAtMs != e.getValue().startedAtMs || isLocallyEjected(e.getKey(), held.ejectedUntilMs) || held.ejectedUntilMs == 0;
+    /** Decides which caches to eject or to try earlier. {@code caches}: all caches that the list has in service. */
+    public List<Ejection> decide(double nowMs, List<PeerVerdict> verdicts, Map<NodeId, NodeState> caches) {
+        peerEjected.entrySet().removeIf(e -> {
+            NodeState state = caches.get(e.getKey());
+            return state == null || state.startedAtMs != e.getValue().startedAtMs || isLocallyEjected(e.getKey(), state.ejectedUntilMs) || state.ejectedUntilMs == 0;
         });
-        long aside = caches.values().stream().filter(h -> h.ejectedUntilMs > 0).count();
-        List<Ejection> orders = new ArrayList<>();
-        for (PeerVerdict said : words) {
-            NodeState held = caches.get(said.node());
-            if (held == null || Math.abs(held.startedAtMs - said.startedAtMs()) >= 1) {
-                continue; // another process of that cache
+        long ejectedCount = caches.values().stream().filter(h -> h.ejectedUntilMs > 0).count();
+        List<Ejection> ejections = new ArrayList<>();
+        for (PeerVerdict verdict : verdicts) {
+            NodeState state = caches.get(verdict.node());
+            if (state == null || Math.abs(state.startedAtMs - verdict.startedAtMs()) >= 1) {
+                continue; // the verdict is about another process of that cache
             }
-            Avoided by = avoided.get(said.node());
-            boolean unheard = held.lastAnswerAtMs < nowMs - OWN_ANSWER_MS;
-            boolean mayAvoid = held.ejectedUntilMs == 0 && unheard && aside + 1 <= MOST_SHARE * caches.size();
-            if (said.kind() == VerdictKind.WORKS && by != null && held.ejectedUntilMs > nowMs) {
-                orders.add(order(said, held, nowMs, nowMs, false));
-            } else if (said.kind() == VerdictKind.HINT && mayAvoid) {
-                aside++;
-                orders.add(order(said, held, nowMs, nowMs, true));
-            } else if (said.kind() == VerdictKind.FAILS && (mayAvoid || by != null && by.hint && unheard)) {
-                aside += held.ejectedUntilMs == 0 ? 1 : 0;
-                double turnAt = nowMs + ASIDE_MS + ASIDE_RANDOM_MS * random.nextDouble() + Math.min(LONGEST_MS, said.retryRank() / AT_ONCE * TURN_MS);
-                orders.add(order(said, held, Math.min(turnAt, nowMs + ASIDE_MS + ASIDE_RANDOM_MS), turnAt, false));
-            } else if (said.kind() == VerdictKind.FAILS && by != null && by.orderedMs < by.turnAtMs) {
-                // Not its turn yet: others try it meanwhile.
-                orders.add(order(said, held, Math.min(by.turnAtMs, nowMs + ASIDE_MS + ASIDE_RANDOM_MS), by.turnAtMs, false));
+            PeerEjected previous = peerEjected.get(verdict.node());
+            boolean noRecentAnswer = state.lastAnswerAtMs < nowMs - OWN_ANSWER_MS;
+            boolean mayEject = state.ejectedUntilMs == 0 && noRecentAnswer && ejectedCount + 1 <= MAX_EJECTED_FRACTION * caches.size();
+            if (verdict.kind() == VerdictKind.WORKS && previous != null && state.ejectedUntilMs > nowMs) {
+                ejections.add(eject(verdict, state, nowMs, nowMs, false));
+            } else if (verdict.kind() == VerdictKind.HINT && mayEject) {
+                ejectedCount++;
+                ejections.add(eject(verdict, state, nowMs, nowMs, true));
+            } else if (verdict.kind() == VerdictKind.FAILS && (mayEject || previous != null && previous.hintOnly && noRecentAnswer)) {
+                ejectedCount += state.ejectedUntilMs == 0 ? 1 : 0;
+                double turnAt = nowMs + EJECTION_MS + EJECTION_JITTER_MS * random.nextDouble() + Math.min(MAX_WAIT_MS, verdict.retryRank() / CONCURRENT_TRIERS * TURN_MS);
+                ejections.add(eject(verdict, state, Math.min(turnAt, nowMs + EJECTION_MS + EJECTION_JITTER_MS), turnAt, false));
+            } else if (verdict.kind() == VerdictKind.FAILS && previous != null && previous.orderedUntilMs < previous.turnAtMs) {
+                // Not this member's turn yet; others try the cache meanwhile.
+                ejections.add(eject(verdict, state, Math.min(previous.turnAtMs, nowMs + EJECTION_MS + EJECTION_JITTER_MS), previous.turnAtMs, false));
             }
         }
-        return orders;
+        return ejections;
     }
 
-    private Ejection order(PeerVerdict said, NodeState held, double untilMs, double turnAtMs, boolean hint) {
-        avoided.put(said.node(), new Avoided(held.startedAtMs, untilMs, turnAtMs, hint));
-        return new Ejection(said.node(), held.startedAtMs, untilMs);
+    private Ejection eject(PeerVerdict verdict, NodeState state, double untilMs, double turnAtMs, boolean hintOnly) {
+        peerEjected.put(verdict.node(), new PeerEjected(state.startedAtMs, untilMs, turnAtMs, hintOnly));
+        return new Ejection(verdict.node(), state.startedAtMs, untilMs);
     }
 }
--- a/src/main/java/dappleseam/fleet/share/ShareRamp.java
+++ b/src/main/java/dappleseam/fleet/share/ShareRamp.java
@@ -1,48 +1,55 @@
 package dappleseam.fleet.share;
 
 /**
- * The share that a proxy goes by: less within a second, as others take it up; more by steps, so that no limit jumps; and back to the one in its settings by steps where nothing was told for a while. Free
- * of I/O; times are ms of one clock.
+ * The share of fleet-wide limits that a proxy applies. It falls within a second, since other members take up the difference, and rises
+ * gradually, so that no limit jumps. Without recent announcements it returns gradually to the configured share. Performs no I/O; times
+ * are ms of one clock.
  */
 public final class ShareRamp {
-    /** Factor by which it grows in a second at most, and falls where it is only that nothing was told. */
-    public static final double GROWTH_A_SECOND = 1.2;
-    /** Age in ms from which what was told counts no more: a dozen times that it is told anew. */
-    public static final double OLD_MS = 5000;
-    /** Time in ms for which it has to be lower before it falls: where the traffic of all rises together, others' counts a moment before one's own. */
-    private static final double LOWER_MS = 600;
-    /** Share by which it has to be another for the limits to go along. */
-    private static final double NEWS = 0.02;
+    /** Maximum factor of growth per second, and of decline while there is no recent announcement. */
+    public static final double MAX_GROWTH_PER_SECOND = 1.2;
+    /** Age in ms above which an announced share is stale: a dozen announcement intervals. */
+    public static final double STALE_AFTER_MS = 5000;
+    /**
+     * Time in ms for which the announced share must be lower before the applied one falls. When the traffic of all members rises
+     * together, that of the others takes effect a moment before this member's own.
+     */
+    private static final double MIN_LOWER_MS = 600;
+    /** Minimum relative change at which the limits are adjusted. */
+    private static final double MIN_CHANGE = 0.02;
     private static final double MS_PER_S = 1000;
 
-    private double lowerFrom = Double.POSITIVE_INFINITY;
+    private double lowerSince = Double.POSITIVE_INFINITY;
     private double current;
     private double applied;
-    private double lookedAt = Double.NaN;
+    private double updatedAt = Double.NaN;
 
-    /** {@code usual}: the share by the settings alone, over 0 to 1. */
-    public ShareRamp(double usual) {
-        current = usual;
-        applied = usual;
+    /** {@code configured}: the share according to the settings alone, greater than 0, at most 1. */
+    public ShareRamp(double configured) {
+        current = configured;
+        applied = configured;
     }
 
-    /** {@code told}: NaN where nothing ever was; {@code usual}: by the settings as they are now. Whether {@link #share} has become another. */
-    public boolean update(double nowMs, double told, double ageMs, double usual) {
-        boolean isOld = Double.isNaN(told) || !(ageMs <= OLD_MS);
-        double goal = isOld ? usual : told;
-        double step = Double.isNaN(lookedAt) ? 1 : Math.pow(GROWTH_A_SECOND, Math.max(0, nowMs - lookedAt) / MS_PER_S);
-        lookedAt = nowMs;
-        lowerFrom = goal >= current ? Double.POSITIVE_INFINITY : Math.min(lowerFrom, nowMs);
-        if (goal > current) {
-            current = Math.min(goal, current * step);
-        } else if (isOld) {
-            current = Math.max(goal, current / step);
-        } else if (nowMs >= lowerFrom + LOWER_MS) {
-            current = goal;
+    /**
+     * Moves the share towards its target and returns whether {@link #share} has changed. {@code announced}: the calculated share, NaN
+     * if there never was one; {@code ageMs}: its age; {@code configured}: the share according to the current settings.
+     */
+    public boolean update(double nowMs, double announced, double ageMs, double configured) {
+        boolean isStale = Double.isNaN(announced) || !(ageMs <= STALE_AFTER_MS);
+        double target = isStale ? configured : announced;
+        double maxFactor = Double.isNaN(updatedAt) ? 1 : Math.pow(MAX_GROWTH_PER_SECOND, Math.max(0, nowMs - updatedAt) / MS_PER_S);
+        updatedAt = nowMs;
+        lowerSince = target >= current ? Double.POSITIVE_INFINITY : Math.min(lowerSince, nowMs);
+        if (target > current) {
+            current = Math.min(target, current * maxFactor);
+        } else if (isStale) {
+            current = Math.max(target, current / maxFactor);
+        } else if (nowMs >= lowerSince + MIN_LOWER_MS) {
+            current = target;
         }
-        boolean isNews = Math.abs(current - applied) > NEWS * applied || current == goal && current != applied && goal == usual;
-        applied = isNews ? current : applied;
-        return isNews;
+        boolean isChanged = Math.abs(current - applied) > MIN_CHANGE * applied || current == target && current != applied && target == configured;
+        applied = isChanged ? current : applied;
+        return isChanged;
     }
 
     public double share() {
--- a/src/test/java/dappleseam/fleet/membership/MembershipTest.java
+++ b/src/test/java/dappleseam/fleet/membership/MembershipTest.java
@@ -18,40 +18,40 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The membership through what a fleet meets, in simulated time. */
+/** {@link Membership} under failures, partitions, stalls and restarts, in simulated time. */
 class MembershipTest {
     private static final double SECOND = 1000;
     private static final double MINUTE = 60 * SECOND;
 
     private SimulatedFleet fleet;
-    private final List<MemberEntry> sights = new ArrayList<>();
+    private final List<MemberEntry> changes = new ArrayList<>();
 
     private void start(int members, long seed) {
         fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(members), members, seed);
-        fleet.watch((now, viewer, before, after) -> sights.add(after));
+        fleet.watch((now, viewer, before, after) -> changes.add(after));
         fleet.startAll(2);
         fleet.runFor(2 * SECOND);
         assertThat(fleet.untilAgreed(30 * SECOND)).isNotNaN();
-        fleet.runFor(10 * SECOND); // the news of the start has been told
-        sights.clear();
+        fleet.runFor(10 * SECOND); // until the gossip of the start is over
+        changes.clear();
     }
 
-    private boolean saw(State state) {
-        return sights.stream().anyMatch(n -> n.state() == state);
+    private boolean anyChangedTo(State state) {
+        return changes.stream().anyMatch(n -> n.state() == state);
     }
 
-    private long holding(Node of, Predicate<State> what) {
-        return fleet.nodes().stream().filter(n -> n.up && n != of && what.test(n.membership().lookup(of.name).state())).count();
+    private long viewersWhere(Node member, Predicate<State> matching) {
+        return fleet.nodes().stream().filter(n -> n.up && n != member && matching.test(n.membership().lookup(member.name).state())).count();
     }
 
     private double sumOfShares() {
         return fleet.nodes().stream().filter(n -> n.up).mapToDouble(n -> 1.0 / n.membership().fleetSize()).sum();
     }
 
-    /** Time until the sum of shares is as it should be, watched over: it must never be over the whole meanwhile. */
-    private void runWithinTheWhole(double ms) {
-        double until = fleet.nowMs() + ms;
-        while (fleet.nowMs() < until) {
+    /** Runs for {@code ms} and checks throughout that the sum of even shares does not exceed one. */
+    private void runCheckingShares(double ms) {
+        double endMs = fleet.nowMs() + ms;
+        while (fleet.nowMs() < endMs) {
             fleet.runFor(SECOND / 2);
             assertThat(sumOfShares()).isLessThanOrEqualTo(1 + 1e-9);
         }
@@ -59,7 +59,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3, 200})
-    void allThatStartAtOnceKnowEachOtherSoon(int members) {
+    void membersStartedTogetherConverge(int members) {
         fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(members), members, 1);
         fleet.startAll(2);
         fleet.runFor(SECOND);
@@ -68,10 +68,10 @@
         assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL && n.membership().fleetSize() == members);
     }
 
-    /** Two that have just come may know the same few: that they agree does not say that there are no more. */
+    /** Two new members may know the same few members, so matching views do not show that they know all. */
     @ParameterizedTest
     @ValueSource(longs = {143, 144, 145})
-    void whoAgreesWithAnotherNewOneHasNotCaughtUp(long seed) {
+    void matchingAnotherNewMemberIsNotCaughtUp(long seed) {
         fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(40).withPeriod(SECOND / 2), 40, seed);
         List<InetSocketAddress> seeds = List.of(fleet.node(0).address, fleet.node(1).address);
         fleet.nodes().forEach(node -> fleet.after(fleet.random().nextDouble() * 8 * SECOND, () -> node.start(seeds)));
@@ -82,45 +82,48 @@
         }
     }
 
-    /** Guards the whole against processes that nobody has heard of yet: that nothing was heard of them raises nobody. */
+    /** Members that were never heard of must not raise the shares of the others, since they may start at any time. */
     @ParameterizedTest
     @ValueSource(ints = {2, 3, 4})
-    void whoStartsLateFindsItsPartUntaken(int early) {
+    void aLateStarterFindsItsShareUnclaimed(int early) {
         fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(5), 5, 31);
         List<InetSocketAddress> seeds = List.of(fleet.node(0).address, fleet.node(1).address);
         fleet.nodes().subList(0, early).forEach(node -> node.start(seeds));
-        runWithinTheWhole(2 * MINUTE);
+        runCheckingShares(2 * MINUTE);
         fleet.nodes().subList(early, 5).forEach(node -> node.start(seeds));
-        fleet.node(0).group = 1; // it hears nothing of them
-        runWithinTheWhole(MINUTE);
+        fleet.node(0).group = 1; // partitioned away while they start
+        runCheckingShares(MINUTE);
         fleet.node(0).group = 0;
-        runWithinTheWhole(2 * MINUTE);
+        runCheckingShares(2 * MINUTE);
         assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() == 5);
     }
 
     @Test
-    void aDeadOneIsMissedByAllAndNothingElseIs() {
+    void onlyTheDeadMemberIsDeclaredFailed() {
         start(50, 3);
         Node dead = fleet.node(20);
         dead.kill();
         assertThat(fleet.untilAgreed(40 * SECOND)).isNotNaN();
-        assertThat(sights).filteredOn(n -> n.state() == State.FAILED).allMatch(n -> n.name().equals(dead.name));
-        assertThat(holding(dead, s -> s == State.FAILED)).isEqualTo(49);
+        assertThat(changes).filteredOn(n -> n.state() == State.FAILED).allMatch(n -> n.name().equals(dead.name));
+        assertThat(viewersWhere(dead, s -> s == State.FAILED)).isEqualTo(49);
     }
 
-    /** The dead give no help, and their silence is none of the living's ears: else these doubt themselves and take twice as long. */
+    /**
+     * Dead indirect probers must not lower the local health of the survivors. Otherwise their periods lengthen and detection takes
+     * twice as long.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void sevenInTenThatDieAtOnceAreKnownSoon(long seed) {
+    void simultaneousDeathOfSeventyPercentIsDetectedQuickly(long seed) {
         start(50, seed);
         fleet.nodes().subList(0, 35).forEach(Node::kill);
         assertThat(fleet.untilAgreed(35 * SECOND)).isNotNaN();
-        assertThat(fleet.nodes().subList(35, 50)).allMatch(n -> holding(n, State.FAILED::equals) == 0);
+        assertThat(fleet.nodes().subList(35, 50)).allMatch(n -> viewersWhere(n, State.FAILED::equals) == 0);
     }
 
-    /** What others find weighs against one's own doubt, but only where they find the same. */
+    /** Other members' accusations restore a member's health only if they accuse the same member. */
     @Test
-    void whoseOwnLinkLosesMostDoubtsItselfAndFailsNobody() {
+    void aMemberWithALossyLinkLowersItsHealthAndFailsNobody() {
         start(20, 4);
         fleet.node(5).loss = 0.6;
         int worst = 0;
@@ -129,11 +132,11 @@
             worst = Math.max(worst, fleet.node(5).membership().healthScore());
         }
         assertThat(worst).isGreaterThanOrEqualTo(4);
-        assertThat(sights.stream().filter(n -> n.state() == State.FAILED && !n.name().equals(fleet.node(5).name))).isEmpty();
+        assertThat(changes.stream().filter(n -> n.state() == State.FAILED && !n.name().equals(fleet.node(5).name))).isEmpty();
     }
 
     @Test
-    void halfThatDieAtOnceAreCountedUntilTheirHostsDeny() {
+    void deadHalfIsCountedUntilHostsRefuse() {
         start(40, 4);
         for (int i = 0; i < 20; i++) {
             fleet.node(i).kill();
@@ -141,25 +144,25 @@
         fleet.runFor(6 * SECOND);
         assertThat(fleet.node(30).membership().fleetSize()).isEqualTo(40);
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
-        runWithinTheWhole(5 * MINUTE);
+        runCheckingShares(5 * MINUTE);
         assertThat(fleet.nodes().stream().filter(n -> n.up)).allMatch(n -> n.membership().fleetSize() == 20);
     }
 
     @Test
-    void halfThatFallSilentAreCountedForAsLongAsNobodyDenies() {
+    void silentHalfIsCountedWhileNobodyRefuses() {
         start(20, 4);
         fleet.nodes().forEach(n -> n.group = n.number < 10 ? 1 : 2);
-        runWithinTheWhole(10 * MINUTE);
+        runCheckingShares(10 * MINUTE);
         assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() == 20 && n.standing.kind() == Kind.CUT_OFF && n.standing.missing().size() == 10);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
-    void aSplitHealsByItselfWithRestartsDuringIt(int parts) {
+    void aPartitionHealsDespiteRestarts(int parts) {
         start(30, 5);
         fleet.nodes().forEach(n -> n.group = n.number % parts);
         fleet.runFor(MINUTE);
-        for (int number : new int[] {0, 1, 7}) { // the seeds among them
+        for (int number : new int[] {0, 1, 7}) { // including the seeds
             Node node = fleet.node(number);
             node.kill();
             fleet.runFor(3 * SECOND);
@@ -167,15 +170,15 @@
         }
         fleet.runFor(MINUTE);
         fleet.nodes().forEach(n -> n.group = 0);
-        sights.clear();
+        changes.clear();
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
-        assertThat(sights).as("no good neighbour is brought down by old news").noneMatch(n -> n.state() == State.FAILED);
+        assertThat(changes).as("stale gossip fails no running member").noneMatch(n -> n.state() == State.FAILED);
         fleet.runFor(MINUTE);
         assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL && n.membership().fleetSize() == 30);
     }
 
     @Test
-    void withoutTheMergeASplitStays() {
+    void withoutMergeAPartitionPersists() {
         start(6, 5);
         fleet.nodes().forEach(n -> n.group = n.number % 2);
         fleet.runFor(2 * MINUTE);
@@ -184,17 +187,17 @@
         assertThat(fleet.untilAgreed(5 * MINUTE)).isNaN();
     }
 
-    /** What a cut between two members shows, with and without others that probe in one's stead. */
+    /** A cut between two members, with and without indirect probes. */
     @ParameterizedTest
     @EnumSource(value = Planted.class, names = {"NONE", "NO_INDIRECT_PROBE"})
-    void twoWhoDoNotReachEachOtherKnowThatOthersDo(Planted planted) {
+    void indirectProbesDetectACutBetweenTwoMembers(Planted planted) {
         start(6, 6);
         fleet.plant(planted);
         fleet.node(0).deafTo.add(1);
         fleet.node(1).deafTo.add(0);
         fleet.runFor(3 * MINUTE);
         if (planted == Planted.NONE) {
-            assertThat(saw(State.SUSPECT)).isFalse();
+            assertThat(anyChangedTo(State.SUSPECT)).isFalse();
             assertThat(fleet.node(0).standing.kind()).isEqualTo(Kind.CUT_OFF);
             assertThat(fleet.node(0).standing.missing()).containsExactly(fleet.node(1).name);
             assertThat(fleet.node(2).standing.kind()).isEqualTo(Kind.WITH_ALL);
@@ -202,72 +205,72 @@
             fleet.runFor(MINUTE);
             assertThat(fleet.node(0).standing.kind()).isEqualTo(Kind.WITH_ALL);
         } else {
-            assertThat(saw(State.SUSPECT)).isTrue();
+            assertThat(anyChangedTo(State.SUSPECT)).isTrue();
         }
     }
 
     @Test
-    void aLinkOneWayOnlyFailsNobody() {
+    void aOneWayLinkFailsNobody() {
         start(6, 7);
         fleet.node(0).deafTo.addAll(List.of(1, 2));
         fleet.runFor(5 * MINUTE);
-        assertThat(saw(State.FAILED)).isFalse();
+        assertThat(anyChangedTo(State.FAILED)).isFalse();
     }
 
-    /** Refutation is what keeps a lossy member in: without it, the same minutes bring it down. */
+    /** Without refutation, the same loss makes the member fail within the same time. */
     @ParameterizedTest
     @EnumSource(value = Planted.class, names = {"NONE", "NO_REFUTATION"})
-    void aMemberThatLosesThreeInTenIsNotFailed(Planted planted) {
+    void refutationKeepsALossyMemberAlive(Planted planted) {
         start(20, 8);
         fleet.plant(planted);
         fleet.node(3).loss = 0.3;
         fleet.runFor(10 * MINUTE);
-        assertThat(saw(State.FAILED)).isEqualTo(planted == Planted.NO_REFUTATION);
+        assertThat(anyChangedTo(State.FAILED)).isEqualTo(planted == Planted.NO_REFUTATION);
     }
 
     @Test
-    void whoStoodStillDoubtsItselfAndComesBack() {
+    void aStalledMemberAccusesNobodyAndRejoins() {
         start(20, 9);
         Node stalled = fleet.node(4);
         stalled.stop(30 * SECOND);
         fleet.runFor(30 * SECOND);
-        assertThat(holding(stalled, s -> s == State.FAILED)).isEqualTo(19);
-        sights.clear();
+        assertThat(viewersWhere(stalled, s -> s == State.FAILED)).isEqualTo(19);
+        changes.clear();
         fleet.runFor(1.5 * SECOND);
         assertThat(stalled.standing.kind()).isEqualTo(Kind.SLOW);
         assertThat(fleet.untilAgreed(10 * SECOND)).isNotNaN();
         fleet.runFor(MINUTE);
-        assertThat(sights).as("it accuses nobody").noneMatch(n -> n.state() == State.SUSPECT || n.state() == State.FAILED);
+        assertThat(changes).as("the stalled member accuses nobody").noneMatch(n -> n.state() == State.SUSPECT || n.state() == State.FAILED);
         assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL);
     }
 
     @Test
-    void flappingByTurnsIsTakenForWhatItIs() {
+    void onlyFlappingMembersAreDeclaredFailed() {
         start(20, 10);
         for (int turn = 0; turn < 12; turn++) {
-            Node one = fleet.node(turn % 3);
-            one.stop(8 * SECOND);
+            Node flapping = fleet.node(turn % 3);
+            flapping.stop(8 * SECOND);
             fleet.runFor(10 * SECOND);
         }
-        assertThat(sights).filteredOn(n -> n.state() == State.FAILED).allMatch(n -> n.name().text().matches("p[012]"));
+        assertThat(changes).filteredOn(n -> n.state() == State.FAILED).allMatch(n -> n.name().text().matches("p[012]"));
         assertThat(fleet.untilAgreed(10 * SECOND)).isNotNaN();
     }
 
-    /** A whole prober that is slow: its own losses make it doubt itself, and others stay. */
+    /** A member that stalls again and again lowers its own local health, and no other member fails. */
     @Test
-    void aSlowProberAccusesNobodyForLong() {
+    void aSlowProberFailsNobody() {
         start(20, 11);
         Node slow = fleet.node(5);
         for (int i = 0; i < 60; i++) {
             slow.stop(700);
             fleet.runFor(SECOND);
         }
-        assertThat(sights).filteredOn(n -> n.state() == State.FAILED).isEmpty();
+        assertThat(changes).filteredOn(n -> n.state() == State.FAILED).isEmpty();
     }
 
     @ParameterizedTest
     @ValueSource(longs = {-86_400_000L, -1, 0, 86_400_000L})
-    void aRestartIsToldAtOnceWhateverItsClockSays(long clockOffMs) {
+    void aRestartIsRecognizedWhateverItsClock(long clockOffMs) {
         start(20, 12);
         Node node = fleet.node(7);
         long before = node.nonce();
@@ -277,27 +280,27 @@
         node.start(List.of(fleet.node(3).address));
         assertThat(fleet.untilAgreed(15 * SECOND)).isNotNaN();
         assertThat(node.nonce()).isNotEqualTo(before);
-        assertThat(saw(State.FAILED)).isFalse();
+        assertThat(anyChangedTo(State.FAILED)).isFalse();
         assertThat(node.membership().duplicate()).isNull();
     }
 
     @Test
-    void oldNewsOfAKilledProcessDoesNotRaiseIt() {
+    void staleGossipDoesNotReviveADeadMember() {
         start(10, 13);
         Node dead = fleet.node(9);
         MemberEntry old = dead.membership().self();
         dead.kill();
         fleet.runFor(MINUTE);
-        sights.clear();
-        Membership told = fleet.node(1).membership();
-        told.receiver(fleet.nowMs()).gossip(fleet.node(2).address, fleet.node(2).membership().self(), List.of(old));
-        told.receiver(fleet.nowMs()).ping(dead.address, old, 1, fleet.node(1).name, List.of());
+        changes.clear();
+        Membership recipient = fleet.node(1).membership();
+        recipient.receiver(fleet.nowMs()).gossip(fleet.node(2).address, fleet.node(2).membership().self(), List.of(old));
+        recipient.receiver(fleet.nowMs()).ping(dead.address, old, 1, fleet.node(1).name, List.of());
         fleet.runFor(10 * SECOND);
-        assertThat(sights).noneMatch(n -> n.name().equals(dead.name) && n.state().isLive());
+        assertThat(changes).noneMatch(n -> n.name().equals(dead.name) && n.state().isLive());
     }
 
     @Test
-    void theFleetDoesWithoutItsSeeds() {
+    void aPartitionHealsWithoutSeeds() {
         start(12, 14);
         fleet.node(0).kill();
         fleet.node(1).kill();
@@ -308,9 +311,9 @@
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
     }
 
-    /** That seven others were never heard of raises nobody: they may start at any time. The operator's file may, read again. */
+    /** Seven configured members that were never heard of keep counting, since they may start at any time; a changed configuration removes them. */
     @Test
-    void whoFindsNoSeedCountsAsTheFileSaysAndJoinsOnceThereIsOne() {
+    void withoutASeedTheConfiguredSizeAppliesUntilOneStarts() {
         fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(9), 2, 15);
         fleet.node(0).start(List.of(fleet.node(1).address));
         Membership first = fleet.node(0).membership();
@@ -319,23 +322,23 @@
         assertThat(first.status().kind()).isEqualTo(Kind.STARTING);
         fleet.node(1).start(List.of());
         assertThat(fleet.untilAgreed(5 * SECOND)).isNotNaN();
-        runWithinTheWhole(MINUTE);
+        runCheckingShares(MINUTE);
         assertThat(first.fleetSize()).isEqualTo(9);
         first.configChanged(fleet.nowMs(), MembershipConfig.defaults(2), List.of());
-        runWithinTheWhole(MINUTE);
+        runCheckingShares(MINUTE);
         assertThat(first.fleetSize()).isEqualTo(2);
     }
 
     @Test
-    void namesMaySwapAddresses() {
+    void membersMaySwapAddresses() {
         start(10, 16);
         Node a = fleet.node(4);
         Node b = fleet.node(5);
         a.kill();
         b.kill();
-        InetSocketAddress was = a.address;
+        InetSocketAddress addressOfA = a.address;
         a.address = b.address;
-        b.address = was;
+        b.address = addressOfA;
         fleet.runFor(SECOND);
         a.start(List.of(fleet.node(0).address));
         b.start(List.of(fleet.node(0).address));
@@ -344,80 +347,80 @@
     }
 
     @Test
-    void whoseAddressAnotherTookIsNotCountedForever() {
+    void aMemberWhoseAddressWasTakenEnds() {
         start(10, 17);
-        Node gone = fleet.node(4);
+        Node ended = fleet.node(4);
         Node other = fleet.node(5);
-        gone.kill();
+        ended.kill();
         other.kill();
-        other.address = gone.address;
+        other.address = ended.address;
         fleet.runFor(SECOND);
         other.start(List.of(fleet.node(0).address));
         fleet.runFor(3 * MINUTE);
-        assertThat(holding(gone, s -> s == State.ENDED)).isEqualTo(9);
+        assertThat(viewersWhere(ended, s -> s == State.ENDED)).isEqualTo(9);
     }
 
     @Test
-    void twoOfOneNameBothSaySoAndNeitherLoops() {
+    void duplicateNamesAreReportedWithoutLooping() {
         start(6, 18);
-        SimulatedFleet.Node twin = fleet.twinOf(2);
-        twin.start(List.of(fleet.node(0).address));
+        SimulatedFleet.Node duplicate = fleet.twinOf(2);
+        duplicate.start(List.of(fleet.node(0).address));
         fleet.runFor(MINUTE);
         assertThat(fleet.node(2).membership().duplicate()).isNotNull();
-        assertThat(twin.membership().duplicate()).isNotNull();
-        long starts = Math.max(fleet.node(2).membership().self().generation().start(), twin.membership().self().generation().start());
-        sights.clear();
+        assertThat(duplicate.membership().duplicate()).isNotNull();
+        long starts = Math.max(fleet.node(2).membership().self().generation().start(), duplicate.membership().self().generation().start());
+        changes.clear();
         fleet.runFor(5 * MINUTE);
-        assertThat(Math.max(fleet.node(2).membership().self().generation().start(), twin.membership().self().generation().start())).isEqualTo(starts);
-        assertThat(sights).isEmpty();
-        twin.kill();
+        assertThat(Math.max(fleet.node(2).membership().self().generation().start(), duplicate.membership().self().generation().start())).isEqualTo(starts);
+        assertThat(changes).isEmpty();
+        duplicate.kill();
         fleet.runFor(3 * MINUTE);
         assertThat(fleet.node(2).membership().duplicate()).isNull();
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
     }
 
-    /** The twin's end, proved or said by itself, is not the member's: its process that lives is counted throughout. */
+    /** The end of a duplicate, whether detected or announced, is not the end of the member: its running process is counted throughout. */
     @ParameterizedTest
     @CsvSource({"true, 27", "false, 28", "true, 29", "false, 30"})
-    void theEndOfATwinTakesNobodyOutOfTheCount(boolean killed, long seed) {
+    void theEndOfADuplicateDoesNotReduceTheFleetSize(boolean killed, long seed) {
         start(5, seed);
-        List<Node> twins = List.of(fleet.twinOf(1), fleet.twinOf(4));
-        twins.forEach(twin -> twin.start(List.of(fleet.node(0).address)));
+        List<Node> duplicates = List.of(fleet.twinOf(1), fleet.twinOf(4));
+        duplicates.forEach(duplicate -> duplicate.start(List.of(fleet.node(0).address)));
         fleet.runFor(MINUTE);
-        twins.forEach(killed ? Node::kill : Node::leaveOrderly);
-        runWithinTheWhole(3 * MINUTE);
+        duplicates.forEach(killed ? Node::kill : Node::leaveOrderly);
+        runCheckingShares(3 * MINUTE);
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
         assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() == 5);
     }
 
     @Test
-    void whoLeavesIsNotMissedAndNotCounted() {
+    void aLeavingMemberIsNeitherFailedNorCounted() {
         start(20, 19);
         fleet.node(6).leaveOrderly();
         assertThat(fleet.untilAgreed(5 * SECOND)).isNotNaN();
         fleet.runFor(10 * SECOND);
-        assertThat(saw(State.FAILED)).isFalse();
+        assertThat(anyChangedTo(State.FAILED)).isFalse();
         assertThat(fleet.nodes().stream().filter(n -> n.up)).allMatch(n -> n.membership().fleetSize() == 19 && n.standing.kind() == Kind.WITH_ALL);
     }
 
     @Test
-    void anOperatorsWordEndsWhoFailed() {
+    void anOperatorCanEndAFailedMember() {
         start(6, 20);
         Node cut = fleet.node(5);
         cut.group = 1;
         fleet.runFor(2 * MINUTE);
         assertThat(fleet.node(0).membership().fleetSize()).isEqualTo(6);
-        assertThat(fleet.node(0).membership().markEnded(fleet.nowMs(), fleet.node(1).name)).as("one that is there").isFalse();
+        assertThat(fleet.node(0).membership().markEnded(fleet.nowMs(), fleet.node(1).name)).as("a live member").isFalse();
         assertThat(fleet.node(0).membership().markEnded(fleet.nowMs(), cut.name)).isTrue();
         fleet.runFor(MINUTE);
-        assertThat(holding(cut, s -> s == State.ENDED)).isEqualTo(5);
+        assertThat(viewersWhere(cut, s -> s == State.ENDED)).isEqualTo(5);
         assertThat(fleet.node(3).membership().fleetSize()).isEqualTo(5);
-        cut.group = 0; // it was wrong
+        cut.group = 0; // the operator was wrong: the member is running
         assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
     }
 
     @Test
-    void aMemberAloneKnowsIt() {
+    void anIsolatedMemberReportsAlone() {
         start(8, 21);
         fleet.node(3).group = 1;
         fleet.runFor(2 * MINUTE);
@@ -426,21 +429,21 @@
     }
 
     @Test
-    void absurdNumbersNearTheirTopsAreRefutedAndRunOutNowhere() {
+    void extremeIncarnationsAndStartsAreRefuted() {
         start(4, 22);
         Node node = fleet.node(2);
         MemberEntry self = node.membership().self();
-        MemberEntry mad = new MemberEntry(self.name(), self.address(), self.generation(), MemberEntry.MAX_INCARNATION, State.FAILED, 0);
-        MemberEntry late = new MemberEntry(self.name(), self.address(), new Generation(Generation.MAX_START - 1, 5), 3, State.FAILED, 0);
-        for (MemberEntry news : List.of(mad, late)) {
-            node.membership().receiver(fleet.nowMs()).gossip(fleet.node(0).address, fleet.node(0).membership().self(), List.of(news));
+        MemberEntry withMaxIncarnation = new MemberEntry(self.name(), self.address(), self.generation(), MemberEntry.MAX_INCARNATION, State.FAILED, 0);
+        MemberEntry withLateStart = new MemberEntry(self.name(), self.address(), new Generation(Generation.MAX_START - 1, 5), 3, State.FAILED, 0);
+        for (MemberEntry entry : List.of(withMaxIncarnation, withLateStart)) {
+            node.membership().receiver(fleet.nowMs()).gossip(fleet.node(0).address, fleet.node(0).membership().self(), List.of(entry));
             fleet.runFor(20 * SECOND);
             assertThat(fleet.untilAgreed(20 * SECOND)).isNotNaN();
         }
     }
 
     @Test
-    void loadDoesNotGrowWithTheFleet() {
+    void perMemberLoadIsIndependentOfFleetSize() {
         double[] bytes = new double[2];
         int[] sizes = {10, 200};
         for (int i = 0; i < 2; i++) {
@@ -454,7 +457,7 @@
     }
 
     @Test
-    void aFullTableTurnsNewNamesAway() {
+    void aFullTableDropsNewMembers() {
         fleet = new SimulatedFleet(Module.SHIPPED, new MembershipConfig(1000, 1, 2, 600_000, true, 3), 5, 24);
         fleet.startAll(1);
         fleet.runFor(MINUTE);
