--- a/src/main/java/dappleseam/fleet/lease/Answers.java
+++ b/src/main/java/dappleseam/fleet/lease/Answers.java
@@ -2,25 +2,36 @@
 
 import dappleseam.fleet.membership.MemberName;
 
-/** What voters say, to candidates and to each other, one method per kind; {@code peer} is to whom it goes. */
+/**
+ * Messages that a voter sends, one method per kind: replies to candidates, and the registration of its start number with the other voters.
+ * {@code peer} is the recipient.
+ */
 public interface Answers {
-    /** No lower ballot than {@code ballot}; {@code held} runs for {@code leftMs} more, or is {@link Token#NONE}. */
+    /**
+     * Promise not to take a ballot lower than {@code ballot}. {@code held} is the accepted token, valid for {@code remainingMs} more, or
+     * {@link Token#NONE} if the lease is free.
+     */
     void promised(MemberName peer, LeaseName lease, Token ballot, Token held, MemberName holder, double leftMs);
 
-    /** The answer to {@link #ask}; {@code highest} is the highest ballot that was promised. */
+    /** Reply to {@link CandidateMessages#ask}: the highest promised ballot, and the current holder if there is one. */
     void told(MemberName peer, LeaseName lease, Token highest, Token held, MemberName holder, double leftMs);
 
+    /** The proposal of that number was accepted. */
     void accepted(MemberName peer, LeaseName lease, Token ballot, long turn);
 
-    /** {@code ballot} is not taken; {@code highest} is what was promised. */
+    /** {@code ballot} was refused; {@code highest} is the highest promised ballot. */
     void refused(MemberName peer, LeaseName lease, Token ballot, Refusal why, Token highest);
 
-    /** This is my start by my count, and my process's nonce; which did you know of before? */
+    /** Registers this voter's start number and its process's nonce, and asks which start was known before. */
     void recall(MemberName peer, int set, long start, long nonce);
 
-    /** The answer: the start that was known before that one; -1 for none. */
+    /** Reply to a registration: the start number that was known before that start; -1 if none was. */
     void recalled(MemberName peer, long start, long nonce, long known);
 
-    /** Why a voter does not do what it was asked. */
+    /**
+     * Why a voter refused a request: a higher ballot is promised; it must not answer yet after its start; the sender has another configuration;
+     * this process is not a voter; the promise could not be persisted; or it already keeps {@link Voter#MAX_LEASES}.
+     * The order is part of the wire format.
+     */
     enum Refusal { LOWER, ABSTAINS, OTHER_SET, NO_VOTER, NOT_WRITTEN, TOO_MANY }
 }
--- a/src/main/java/dappleseam/fleet/lease/Ballots.java
+++ b/src/main/java/dappleseam/fleet/lease/Ballots.java
@@ -3,19 +3,22 @@
 import dappleseam.fleet.membership.MemberName;
 
 /**
- * What candidates say to voters, one method per kind; {@code peer} is to whom it goes. {@code set}: {@link LeaseTerms#sum}. Anything may be lost, late,
- * doubled or out of order.
+ * Messages that a candidate sends to voters, one method per kind. {@code peer} is the recipient, {@code configFingerprint} is
+ * {@link LeaseConfig#fingerprint}. Messages may be lost, delayed, duplicated or reordered.
  */
 public interface Ballots {
-    /** Take no lower ballot; who holds it? */
+    /** Asks for a promise not to take a lower ballot, and for the current holder. */
     void prepare(MemberName peer, int set, LeaseName lease, Token ballot);
 
-    /** Who holds it? Promises nothing. */
+    /** Asks for the current holder, without any promise. */
     void ask(MemberName peer, int set, LeaseName lease);
 
-    /** Hold it for me. {@code turn} counts proposals of a ballot: an answer to an earlier one says nothing of a later one. */
+    /**
+     * Asks to accept this candidate as the holder. {@code proposalNumber} counts the proposals of a ballot, so that a late reply to an earlier proposal is
+     * not taken for a reply to a later one.
+     */
     void propose(MemberName peer, int set, LeaseName lease, Token ballot, long turn);
 
-    /** I act no more. */
+    /** The holder no longer uses the lease. */
     void release(MemberName peer, int set, LeaseName lease, Token ballot);
 }
--- a/src/main/java/dappleseam/fleet/lease/Candidate.java
+++ b/src/main/java/dappleseam/fleet/lease/Candidate.java
@@ -10,20 +10,22 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One process's side of all leases that it may take: asks, tries in turn, renews, and acts only while sure. Free of I/O; times are ms of a monotonic
- * clock that runs within {@link LeaseTerms#drift} of true time. Not for several threads.
+ * One process's side of all leases that it competes for: polls the voters, acquires a free lease when its turn comes, renews it, and hands out its token
+ * only while the lease is certain to be valid. Does no I/O; times are ms of a monotonic clock whose rate is within {@link LeaseConfig#drift} of true time.
+ * Not thread-safe.
  */
 public final class Candidate {
-    /** Places in the order of trying that ask the voters; the others only look at their place from time to time. */
+    /** Members per lease that poll the voters: the first by rank. All others only check their rank from time to time. */
     public static final int ASKING = 3;
-    /** Shares of a lease: between two questions, from a question on in which answers count, between two places' tries, at most by chance on top. */
+    /** Fractions of the lease time: between two polls, and the time in which replies to a request count. */
     private static final double ASK_SHARE = 0.25;
     private static final double ANSWER_SHARE = 0.2;
-    /** Times that a question is sent again within that, to those that have not answered: guards a lease against links that lose a third. */
+    /** Resends of a request within its timeout, to voters that have not replied: keeps a lease over links that lose a third of the datagrams. */
     private static final int RESENDS = 3;
+    /** Fractions of the lease time: the delay of each rank behind the one before it, and the largest random jitter. */
     private static final double PLACE_SHARE = 0.05;
     private static final double CHANCE_SHARE = 0.05;
-    /** Share of its own reckoning after which it renews, and before whose end it stops the task. */
+    /** Fraction of the holder's own lease time after which it renews, and fraction of the lease time before expiry at which it stops the task. */
     private static final double RENEW_SHARE = 0.3;
     private static final double STOP_SHARE = 0.1;
 
@@ -32,34 +34,37 @@
     private final LeaseHost host;
     private final RandomGenerator random;
     private final Map<LeaseName, Claim> claims = new LinkedHashMap<>();
-    /** Questions in a row without an answer of a majority after which that is said. */
+    /** Consecutive polls without replies from a majority after which a line is logged. */
     private static final int SILENT = 2;
     private double wokenAt = Double.NaN;
-    /** Last round that this process made. */
+    /** Highest round used by this process. */
     private long made;
 
     private enum Stage { WAITING, ASKING, PREPARING, PROPOSING, HOLDING }
 
+    /** State of the competition for one lease. */
     private static final class Claim {
         final LeaseName lease;
         Stage stage = Stage.WAITING;
-        /** When something is due for it. */
+        /** Time of the next action for this lease. */
         double dueAt;
         Token ballot = Token.NONE;
-        /** Of the proposals of that ballot. */
+        /** Number of the last proposal of {@link #ballot}. */
         long turn;
-        /** From when on a holder reckons: before anything was sent. */
+        /** Start of the holder's lease time: before the first request was sent. */
         double beganAt;
+        /** Voters that reported the lease free, promised or accepted, by stage. */
         final Set<MemberName> yes = new HashSet<>();
+        /** Voters that replied to the open request. */
         final Set<MemberName> heard = new HashSet<>();
-        /** Longest time for which somebody else may still hold it. */
+        /** Latest time until which another member may hold the lease. */
         double takenUntil = Double.NEGATIVE_INFINITY;
         Token highest = Token.NONE;
         double until = Double.NEGATIVE_INFINITY;
-        /** Since when it is known to be free; NaN where it is not. */
+        /** Since when the lease is known to be free; NaN if it is not. */
         double freeSince = Double.NaN;
         int failures;
-        /** Of the question that is open. */
+        /** Remaining resends of the open request. */
         int resends;
 
         Claim(LeaseName lease) {
@@ -67,7 +72,7 @@
         }
     }
 
-    /** {@code nonce}: this process's, no other's ever. */
+    /** {@code nonce}: unique to this process. */
     public Candidate(long nonce, LeaseTerms terms, LeaseHost host, RandomGenerator random) {
         this.nonce = nonce;
         this.terms = terms;
@@ -75,14 +80,14 @@
         this.random = random;
     }
 
-    /** This process would do that task, in its turn. */
+    /** Starts competing for the lease. */
     public void want(double nowMs, LeaseName lease) {
         Claim claim = claims.computeIfAbsent(lease, Claim::new);
         claim.dueAt = nowMs + random.nextDouble() * CHANCE_SHARE * terms.leaseMs();
         leave();
     }
 
-    /** Gives it up, and does not want it any more: the task has been stopped. */
+    /** Stops competing for the lease and releases it if held. The task must have been stopped before. */
     public void give(double nowMs, LeaseName lease) {
         Claim claim = claims.remove(lease);
         if (claim != null && claim.stage == Stage.HOLDING) {
@@ -91,27 +96,28 @@
         leave();
     }
 
-    /** The token to act with, where that is allowed for so many ms from now on; null where it is not. To be asked at the instant of acting. */
+    /** The token, if the lease is certain to be held for {@code forMs} from now on; null otherwise. Call it right before each action. */
     public Token act(double nowMs, LeaseName lease, double forMs) {
         Claim claim = claims.get(lease);
         return claim != null && claim.stage == Stage.HOLDING && nowMs + forMs < claim.until ? claim.ballot : null;
     }
 
-    /** A resource has seen a higher token than this one's: whoever had it came after. */
+    /** A resource has seen a higher token, so a later holder exists. */
     public void fenced(double nowMs, LeaseName lease, Token seen) {
         Claim claim = claims.get(lease);
         if (claim != null) {
             raise(claim, seen);
             if (claim.stage == Stage.HOLDING && claim.ballot.isBelow(seen)) {
-                lose(nowMs, claim, "a resource has seen a later holder");
+                lose(nowMs, claim, "a resource has seen a later holder's token");
             }
             leave();
         }
     }
 
+    /** The wake-up requested by {@link CandidateHost#wakeAt}. */
     public void woken(double nowMs) {
         wokenAt = Double.NaN;
-        for (Claim claim : List.copyOf(claims.values())) { // a task that is stopped may give its lease up
+        for (Claim claim : List.copyOf(claims.values())) { // a copy: stopping a task may release its lease and remove the claim
             if (claim.dueAt <= nowMs) {
                 due(nowMs, claim);
             }
@@ -141,7 +147,7 @@
                 }
                 claim.failures++;
                 if (claim.stage == Stage.ASKING && claim.failures == SILENT) {
-                    host.log("lease " + claim.lease + ": no majority of voters answers");
+                    host.log("lease " + claim.lease + ": no replies from a majority of voters");
                 }
                 waitFor(nowMs, claim, span(ASK_SHARE) * Math.min(4, claim.failures));
             }
@@ -172,7 +178,7 @@
         terms.voters().forEach(v -> host.ask(v, terms.sum(), claim.lease));
     }
 
-    /** The same question: a voter that has it already answers again. */
+    /** Sends the open request again; a voter that has already handled it replies again. */
     private void resend(double nowMs, Claim claim) {
         claim.resends--;
         await(nowMs, claim);
@@ -187,7 +193,7 @@
         }
     }
 
-    /** Until the next sending, or the end, of the question that is open. */
+    /** Sets the time of the next resend, or of the timeout of the open request. */
     private void await(double nowMs, Claim claim) {
         double due = nowMs + span(ANSWER_SHARE) / (1 + RESENDS);
         claim.dueAt = claim.stage == Stage.HOLDING ? Math.min(due, claim.until - span(STOP_SHARE)) : due;
@@ -208,7 +214,7 @@
         }
     }
 
-    /** What a voter says of who holds it. */
+    /** A voter's reply to a poll: the current holder, if there is one. */
     public void told(double nowMs, MemberName voter, LeaseName lease, Token highest, Token held, double leftMs) {
         Claim claim = heard(voter, lease, highest);
         if (claim == null || claim.stage != Stage.ASKING || !claim.heard.add(voter)) {
@@ -225,7 +231,7 @@
             double turn = claim.freeSince + Math.max(0, host.rank(lease)) * span(PLACE_SHARE);
             if (nowMs >= turn) {
                 prepare(nowMs, claim);
-            } else { // those before it try first; it looks again then
+            } else { // members of lower rank try first
                 waitFor(nowMs, claim, turn - nowMs);
             }
         } else if (claim.heard.size() - claim.yes.size() >= terms.majority()
@@ -237,7 +243,7 @@
         leave();
     }
 
-    /** The claim that an answer is for, or null. */
+    /** The claim that a reply belongs to, or null; takes note of the highest ballot. */
     private Claim heard(MemberName voter, LeaseName lease, Token highest) {
         Claim claim = claims.get(lease);
         if (claim == null || !terms.voters().contains(voter)) {
@@ -253,14 +259,15 @@
             return;
         }
         begin(nowMs, claim, Stage.PREPARING);
-        made = Math.max(made, claim.highest.round()) + 1; // never the same twice, whatever the voters forgot
+        made = Math.max(made, claim.highest.round()) + 1; // a round is never reused, even if voters have lost their state
         claim.ballot = new Token(made, nonce);
         raise(claim, claim.ballot);
-        // From here on, not from the proposal: a voter that forgets its promise is silent until no answer to this ballot counts any more.
+        // Counted from here, not from the proposal: a voter that loses its promise abstains until replies to this ballot no longer count.
         claim.beganAt = nowMs;
         terms.voters().forEach(v -> host.prepare(v, terms.sum(), claim.lease, claim.ballot));
     }
 
+    /** A voter promised the ballot; {@code held} is a token that is still valid there, or {@link Token#NONE}. */
     public void promised(double nowMs, MemberName voter, LeaseName lease, Token ballot, Token held, double leftMs) {
         Claim claim = heard(voter, lease, held);
         if (claim == null || claim.stage != Stage.PREPARING || !ballot.equals(claim.ballot) || !claim.heard.add(voter)) {
@@ -285,6 +292,7 @@
         leave();
     }
 
+    /** A voter accepted the proposal. */
     public void accepted(double nowMs, MemberName voter, LeaseName lease, Token ballot, long turn) {
         Claim claim = heard(voter, lease, ballot);
         boolean counts = claim != null && ballot.equals(claim.ballot) && turn == claim.turn && (claim.stage == Stage.PROPOSING || claim.stage == Stage.HOLDING);
@@ -311,13 +319,14 @@
         terms.voters().forEach(v -> host.propose(v, terms.sum(), claim.lease, claim.ballot, claim.turn));
     }
 
+    /** A voter refused the ballot; {@code highest} is what it has promised. */
     public void refused(double nowMs, MemberName voter, LeaseName lease, Token ballot, Refusal why, Token highest) {
         Claim claim = heard(voter, lease, highest);
         if (claim == null) {
             return;
         }
         if (why == Refusal.OTHER_SET || why == Refusal.NO_VOTER) {
-            host.log("lease " + lease + ": " + voter + " is of another set of voters: " + why);
+            host.log("lease " + lease + ": voter " + voter + " has another lease configuration: " + why);
         }
         boolean current = ballot.equals(claim.ballot) && (claim.stage == Stage.PREPARING || claim.stage == Stage.PROPOSING);
         if (current && why == Refusal.LOWER) {
@@ -333,7 +342,7 @@
         waitFor(nowMs, claim, span(ASK_SHARE));
     }
 
-    /** All that decides what it does next but chance, times from now on: for a checker that has to tell states apart. */
+    /** Everything but the random generator that determines future behaviour, with times relative to now. Lets a model checker compare states. */
     public String state(double nowMs) {
         StringBuilder text = new StringBuilder().append(made);
         claims.values().forEach(c -> text.append(c.lease).append(c.stage).append(c.ballot).append(c.turn).append(c.yes).append(c.heard).append(c.highest)
--- a/src/main/java/dappleseam/fleet/lease/FleetTask.java
+++ b/src/main/java/dappleseam/fleet/lease/FleetTask.java
@@ -1,21 +1,22 @@
 package dappleseam.fleet.lease;
 
-/** Work that one process does for the whole fleet, on a thread of its own while it holds the lease. */
+/** Work that one process does for the whole fleet, on its own thread, while it holds the lease. */
 public interface FleetTask {
+    /** The lease under which the task runs. */
     LeaseName lease();
 
-    /** Time in ms from the end of one {@link #act} to the beginning of the next. */
+    /** Time in ms from the end of one {@link #run} to the start of the next. */
     double everyMs();
 
-    /** What may be done, and with which token; to be asked at the instant of acting, each time. */
+    /** Permission to act. Ask for the token again right before each action. */
     interface Permit {
-        /** For so many ms from now on; null where it is over. */
+        /** The token, if the lease is held for {@code forMs} from now on; null otherwise. */
         Token token(double forMs);
 
-        /** The resource has seen a later holder. */
+        /** Reports that the resource has seen a higher token. */
         void fenced(Token seen);
     }
 
-    /** Does it once. One that throws three times in a row, or has not returned after two leases, loses its lease. */
+    /** Runs the task once. A task that throws three times in a row, or does not return within two lease times, loses its lease. */
     void act(Permit permit) throws Exception;
 }
--- a/src/main/java/dappleseam/fleet/lease/LeaseHost.java
+++ b/src/main/java/dappleseam/fleet/lease/LeaseHost.java
@@ -1,17 +1,20 @@
 package dappleseam.fleet.lease;
 
-/** What a candidate can do beside sending ballots. Every call takes effect at the time of the event being handled. */
+/** What a {@link Candidate} needs from its process. Every call takes effect at the time of the event being handled. */
 public interface LeaseHost extends Ballots {
-    /** Calls {@link Candidate#woken} at that time; an earlier wish for a wake-up is void. */
+    /** Requests a call of {@link Candidate#woken} at that time, in place of any earlier request. */
     void wakeAt(double ms);
 
-    /** The task may act until that time by this process's clock, from now on or for longer than before. To be asked for at the instant of acting. */
+    /**
+     * The lease was acquired or renewed: the task may act until that time of this process's clock. The task still has to ask for its token right before
+     * each action.
+     */
     void held(LeaseName lease, Token token, double untilMs);
 
-    /** The task has to stop; {@code act} says no already. */
+    /** The lease was lost and the task has to stop; {@link Candidate#validToken} returns null already. */
     void lost(LeaseName lease, Token token, String why);
 
-    /** This process's place in the order of trying, by its view: 0 is the first; -1 where it is not to try. */
+    /** This process's rank among the members that compete for the lease, by its own view: 0 is first; -1 if it must not compete. */
     int rank(LeaseName lease);
 
     void log(String text);
--- a/src/main/java/dappleseam/fleet/lease/LeaseName.java
+++ b/src/main/java/dappleseam/fleet/lease/LeaseName.java
@@ -2,13 +2,13 @@
 
 import java.util.regex.Pattern;
 
-/** What a task of the whole fleet is called: 1 to 48 of the letters, digits, dots, dashes and underscores of ASCII. */
+/** Name of a lease, and of the task run under it: 1 to 48 ASCII letters, digits, dots, dashes and underscores. */
 public record LeaseName(String text) {
     private static final Pattern FORM = Pattern.compile("[A-Za-z0-9._-]{1,48}");
 
     public LeaseName {
         if (!FORM.matcher(text).matches()) {
-            throw new IllegalArgumentException("no name of a lease");
+            throw new IllegalArgumentException("invalid lease name");
         }
     }
 
--- a/src/main/java/dappleseam/fleet/lease/LeaseTerms.java
+++ b/src/main/java/dappleseam/fleet/lease/LeaseTerms.java
@@ -5,9 +5,9 @@
 import java.util.stream.Collectors;
 
 /**
- * What holds for all leases of a fleet, the same at all its members. {@code voters}: three or five (one to nine are taken), in the file's
- * order; {@code number}: of the set, one more with each change. {@code leaseMs}: from a voter's answer until it may answer another. {@code drift}: by
- * what share of true time a clock may be fast or slow, 0 to 0.1.
+ * Configuration of a fleet's leases, which must be the same at all its members. {@code voters}: three or five in the fleet file's order (the code takes
+ * one to nine). {@code number}: version of the voter set, increased by one with each change. {@code leaseMs}: lease time, from a voter's acceptance until
+ * it may accept another holder. {@code drift}: by what fraction of true time a clock may run fast or slow, 0 to 0.1.
  */
 public record LeaseTerms(List<MemberName> voters, int number, double leaseMs, double drift) {
     public static final double LEASE_MS = 10_000;
@@ -16,22 +16,28 @@
 
     public LeaseTerms {
         if (voters.isEmpty() || voters.size() > MOST_VOTERS || voters.stream().distinct().count() < voters.size()) {
-            throw new IllegalArgumentException("no set of voters");
+            throw new IllegalArgumentException("a voter set needs 1 to 9 distinct voters");
         }
         voters = List.copyOf(voters);
     }
 
-    /** How many make a majority. */
+    /** Number of voters that make a majority. */
     public int majority() {
         return voters.size() / 2 + 1;
     }
 
-    /** For how long by its own clock a holder counts what it began to propose: over before the first voter lets go. */
+    /**
+     * Lease time as a holder counts it on its own clock, from before its request: shorter than {@link #leaseMs}, so that it is over before the first voter
+     * may accept another holder.
+     */
     public double heldMs() {
         return leaseMs * (1 - drift) / (1 + drift);
     }
 
-    /** Tells sets, their order, their number and their times apart: a holder that counts by a longer lease than its voters would act beside the next. */
+    /**
+     * Hash of the whole configuration, the order of the voters included. Voters refuse messages of another configuration: a holder with a longer lease time
+     * than its voters would overlap with the next holder.
+     */
     public int sum() {
         return (voters.stream().map(MemberName::text).collect(Collectors.joining("/")) + '/' + number + '/' + leaseMs + '/' + drift).hashCode();
     }
--- a/src/main/java/dappleseam/fleet/lease/Ranking.java
+++ b/src/main/java/dappleseam/fleet/lease/Ranking.java
@@ -11,11 +11,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** The order in which members try a lease: rendezvous hashing (Thaler, Ravishankar 1998), so that leases spread and few move with a member. */
+/**
+ * The order in which members compete for a lease, by rendezvous hashing (Thaler, Ravishankar 1998): leases spread evenly, and only few move when a
+ * member joins or leaves.
+ */
 public final class Ranking {
     private Ranking() {}
 
-    /** All of them, the first to try first. */
+    /** All members, in the order in which they compete for the lease. */
     public static List<MemberName> order(LeaseName lease, List<MemberName> members) {
         Map<MemberName, Long> weights = new HashMap<>();
         members.forEach(member -> weights.put(member, weight(lease.text(), member)));
@@ -24,12 +27,12 @@
         return order;
     }
 
-    /** How many of those come before that member; -1 where it is not among them. */
+    /** Number of members ranked before {@code member}; -1 if it is not among {@code members}. */
     public static int rank(LeaseName lease, MemberName member, List<MemberName> members) {
         return rank(lease.text(), member, members);
     }
 
-    /** The same for anything that members take turns with; {@code what}: in ASCII. */
+    /** The same for anything else that members take turns at; {@code key} is ASCII. */
     public static int rank(String what, MemberName member, List<MemberName> members) {
         long own = weight(what, member);
         int before = 0;
@@ -47,7 +50,7 @@
             byte[] hash = MessageDigest.getInstance("SHA-256").digest((what + '/' + member.text()).getBytes(StandardCharsets.US_ASCII));
             return ByteBuffer.wrap(hash).getLong();
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has it", e);
+            throw new IllegalStateException("SHA-256 is part of every Java platform", e);
         }
     }
 }
--- a/src/main/java/dappleseam/fleet/lease/Token.java
+++ b/src/main/java/dappleseam/fleet/lease/Token.java
@@ -1,18 +1,18 @@
 package dappleseam.fleet.lease;
 
 /**
- * A ballot, and once it is won what fences all that its holder does: a resource refuses a lower one than it has seen (Burrows 2006,
- * sequencers). {@code round}: 0 to {@link #LAST}; {@code nonce}: the process's, so that no two make the same.
+ * A ballot number, and once the lease is won the fencing token of its holder: a resource refuses a token lower than the highest it has seen (the
+ * sequencers of Burrows 2006). {@code round}: 0 to {@link #MAX_ROUND}; {@code nonce}: the process's, so that no two processes create the same token.
  */
 public record Token(long round, long nonce) implements Comparable<Token> {
-    /** Below all that are ever made. */
+    /** Lower than every real token. */
     public static final Token NONE = new Token(0, Long.MIN_VALUE);
-    /** More rounds than a thousand a second for a thousand years; what is beyond was never made. */
+    /** Enough for a thousand rounds a second for a thousand years; a higher round is invalid. */
     public static final long LAST = 1L << 45;
 
     public Token {
         if (round < 0 || round > LAST) {
-            throw new IllegalArgumentException("no round");
+            throw new IllegalArgumentException("round out of range");
         }
     }
 
@@ -22,16 +22,16 @@
         return byRound != 0 ? byRound : Long.compare(nonce, other.nonce);
     }
 
-    /** As {@link #parse} takes it, and as logs and stores have it: the round, a dot, the nonce in hexadecimal. */
+    /** The format of logs and stores, read by {@link #parse}: the round, a dot, the nonce in hexadecimal. */
     public String text() {
         return round + "." + Long.toHexString(nonce);
     }
 
-    /** An {@link IllegalArgumentException} where the text is none. */
+    /** Parses {@link #text}; throws an {@link IllegalArgumentException} if it is malformed. */
     public static Token parse(String text) {
         int dot = text.indexOf('.');
         if (dot < 0) {
-            throw new IllegalArgumentException("no token");
+            throw new IllegalArgumentException("malformed token");
         }
         return new Token(Long.parseLong(text.substring(0, dot)), Long.parseUnsignedLong(text.substring(dot + 1), 16));
     }
--- a/src/main/java/dappleseam/fleet/lease/Voter.java
+++ b/src/main/java/dappleseam/fleet/lease/Voter.java
@@ -12,11 +12,11 @@
 import java.util.Set;
 
 /**
- * One voter's side of all leases: promises, acceptances, and silence after a start (PaxosLease, Trencseni, Gazso, Reinhardt 2012; what differs stands in
- * docs/fleet-design.md). Free of I/O but for the disk it is given; times are ms of a monotonic clock. Not for several threads.
+ * One voter's side of all leases: promises, acceptances, and abstention after a start (PaxosLease, Trencseni, Gazso, Reinhardt 2012; docs/fleet-design.md
+ * lists the differences). Does no I/O but through its {@link VoterStorage}; times are ms of a monotonic clock. Not thread-safe.
  */
 public final class Voter {
-    /** Leases kept: each takes some two hundred bytes, in memory and in the file. */
+    /** Maximum number of leases: each takes about 200 bytes, in memory and in the file. */
     public static final int MOST_LEASES = 2000;
 
     private final MemberName name;
@@ -24,22 +24,25 @@
     private final Answers out;
     private final VoterDisk disk;
     private final Map<LeaseName, Held> votes = new LinkedHashMap<>();
-    /** Of other voters, what they told of their starts. */
+    /** Last registered start of each other voter. */
     private final Map<MemberName, Known> starts = new HashMap<>();
-    /** Other voters that know of this start, and those that remember an earlier one and none as late. */
+    /** Other voters that have registered this start. */
     private final Set<MemberName> registered = new HashSet<>();
+    /** Of these, the ones that remember an earlier start of this voter, and none as late as this one. */
     private final Set<MemberName> confirmed = new HashSet<>();
     private final long nonce;
-    /** What is promised for a lease of which nothing is known. */
+    /** The promise for a lease without any state. */
     private final Token floor;
+    /** Until then the voter abstains after a start, unless its storage can be trusted. */
     private double silentUntil;
     private long start;
     private boolean trustsDisk;
     private boolean isClosed;
 
-    /** A voter's last start, by which of its processes, and what was known before that one told. */
+    /** Another voter's last start, the nonce of that process, and the start that was known before it; -1 if none was. */
     private record Known(long start, long nonce, long before) {}
 
+    /** Promise and acceptance for one lease. */
     private static final class Held {
         Token promised;
         Token accepted = Token.NONE;
@@ -50,15 +53,15 @@
             this.promised = promised;
         }
 
-        /** What was accepted still holds. */
+        /** Whether the accepted holder's lease is still running. */
         boolean runsAt(double nowMs) {
             return until > nowMs;
         }
     }
 
     /**
-     * Starts at that time; {@code nonce} is its process's, {@code disk} is null where none lasts. {@code wallMs}: the wall clock, from which rounds
-     * begin: as long as fewer ballots are made than ms pass, and it is not set back, they grow over starts at which all was forgotten.
+     * Starts the voter. {@code nonce}: the process's. {@code storage}: null if there is no durable storage. {@code wallMs}: wall clock time, the lowest
+     * round of new ballots: rounds grow even across starts without any state, as long as fewer ballots are created than ms pass and the clock is not set back.
      */
     public Voter(MemberName name, long nonce, LeaseTerms terms, Answers out, VoterDisk disk, double nowMs, long wallMs) {
         floor = new Token(Math.max(0, Math.min(wallMs, Token.LAST)), Long.MIN_VALUE);
@@ -74,22 +77,22 @@
         woken();
     }
 
-    /** From time to time: tells its start to those who have not said that they know it. */
+    /** Called periodically: sends the start number to the voters that have not registered it yet. */
     public void woken() {
         if (disk != null) {
             terms.voters().stream().filter(v -> !v.equals(name) && !registered.contains(v)).forEach(v -> out.recall(v, terms.sum(), start, nonce));
         }
     }
 
-    /** Another process goes by this one's name: guards against two that answer for one voter, as far as they know of each other. */
+    /** Another process uses this one's name: abstains for one lease time, so that two processes that know of each other do not both answer as one voter. */
     public void twinSeen(double nowMs) {
         trustsDisk = false;
         silentUntil = nowMs + terms.leaseMs();
     }
 
     /**
-     * Guards promises against a file that is torn, another's, or of another set: with none of it the voter is as one without a disk. Rounds are taken from
-     * any sound file; to speak at once takes one that was closed, for a copy from before the end lacks the last promises.
+     * Reads the stored promises. A file that is truncated, another voter's or of another configuration is ignored, and the voter starts as if it had no
+     * storage. Rounds are taken from any valid file; answering at once also requires a cleanly closed one, because a copy made earlier lacks the last promises.
      */
     private void recover(double nowMs) {
         try {
@@ -100,7 +103,7 @@
                     Held held = new Held(vote.promised().isBelow(floor) ? floor : vote.promised());
                     held.accepted = vote.accepted();
                     held.holder = vote.holder();
-                    held.until = nowMs + terms.leaseMs(); // no clock lasts over a start
+                    held.until = nowMs + terms.leaseMs(); // the monotonic clock does not carry over a restart
                     votes.put(lease, held);
                 });
                 trustsDisk = kept.closed();
@@ -111,7 +114,7 @@
         try {
             keep(false);
         } catch (IOException e) {
-            trustsDisk = false; // nor is anything promised before a write succeeds
+            trustsDisk = false; // nothing is promised before a write succeeds
         }
     }
 
@@ -123,7 +126,7 @@
         }
     }
 
-    /** An orderly end: nothing is answered after it, and the next start may speak at once. */
+    /** Clean shutdown: nothing is answered after it, and the next start may answer at once. */
     public void close(double nowMs) throws IOException {
         if (speaks(nowMs)) {
             keep(true);
@@ -132,9 +135,9 @@
     }
 
     /**
-     * Whether it answers yet. Without a disk: once all that it could have promised before its start has run out. With one, its start is known to
-     * a majority, itself among them, and either the same time is over, or the file was closed and so many others remember no later start that one
-     * of any majority is among them: guards against a file that was closed at an earlier end.
+     * Whether the voter answers yet. Without storage: once every promise from before its start has expired. With storage, its start has to be registered
+     * by a majority, itself included, and in addition either that time is over, or the file was cleanly closed and enough other voters remember no later
+     * start that at least one of them is in every majority. This detects a file restored from an earlier clean shutdown.
      */
     public boolean speaks(double nowMs) {
         boolean over = nowMs >= silentUntil;
@@ -145,6 +148,7 @@
         return isKnown && (over || trustsDisk && confirmed.size() > terms.voters().size() - terms.majority());
     }
 
+    /** Sends a refusal and returns true if the voter cannot handle a request now. */
     private boolean turnsAway(double nowMs, MemberName from, int set, LeaseName lease, Token ballot) {
         Refusal why = !terms.voters().contains(name) ? Refusal.NO_VOTER : set != terms.sum() ? Refusal.OTHER_SET
                 : !speaks(nowMs) ? Refusal.ABSTAINS : votes.size() >= MOST_LEASES && !votes.containsKey(lease) ? Refusal.TOO_MANY : null;
@@ -159,6 +163,7 @@
         return held == null ? floor : held.promised;
     }
 
+    /** A candidate asks for a promise. */
     public void prepare(double nowMs, MemberName from, int set, LeaseName lease, Token ballot) {
         if (turnsAway(nowMs, from, set, lease, ballot)) {
             return;
@@ -178,6 +183,7 @@
         }
     }
 
+    /** A candidate asks for the current holder. */
     public void ask(double nowMs, MemberName from, int set, LeaseName lease) {
         if (!turnsAway(nowMs, from, set, lease, Token.NONE)) {
             Held held = votes.get(lease);
@@ -186,6 +192,7 @@
         }
     }
 
+    /** A candidate asks to be accepted as the holder, or renews. */
     public void propose(double nowMs, MemberName from, int set, LeaseName lease, Token ballot, long turn) {
         if (turnsAway(nowMs, from, set, lease, ballot)) {
             return;
@@ -211,6 +218,7 @@
         }
     }
 
+    /** The holder gives up its lease. */
     public void release(double nowMs, MemberName from, int set, LeaseName lease, Token ballot) {
         Held held = votes.get(lease);
         if (set == terms.sum() && held != null && held.accepted.equals(ballot) && from.equals(held.holder)) {
@@ -218,7 +226,7 @@
         }
     }
 
-    /** Guards promises against a start: what is not on the disk was not promised. */
+    /** Persists the votes; a vote that cannot be persisted is refused, so that no promise is lost by a restart. */
     private boolean written(MemberName from, LeaseName lease, Token ballot) {
         try {
             keep(false);
@@ -229,32 +237,33 @@
         }
     }
 
-    /** Another voter tells its start, and asks which was known before. */
+    /** Another voter registers its start, and asks which one was known before. */
     public void recall(MemberName from, int set, long itsStart, long itsNonce) {
         if (set == terms.sum() && terms.voters().contains(from)) {
             Known known = starts.get(from);
             if (known == null || known.nonce != itsNonce && itsStart >= known.start) {
                 starts.put(from, new Known(itsStart, itsNonce, known == null ? -1 : known.start));
             } else if (known.nonce != itsNonce) {
-                out.recalled(from, itsStart, itsNonce, known.start); // an old copy: it is told, and not taken for the last
+                out.recalled(from, itsStart, itsNonce, known.start); // an old copy of its file: it is told of the later start, and not registered
                 return;
             }
             out.recalled(from, itsStart, itsNonce, starts.get(from).before);
         }
     }
 
+    /** Another voter has registered this start, or knows of a later one. */
     public void recalled(MemberName from, long itsStart, long itsNonce, long known) {
         if (itsStart != start || itsNonce != nonce || !terms.voters().contains(from) || from.equals(name)) {
             return;
         }
-        if (known >= start) { // the file is an old copy, or of a process beside this one
+        if (known >= start) { // the file is an old copy, or another process runs as this voter
             trustsDisk = false;
             start = known + 1;
             registered.clear();
             try {
                 keep(false);
             } catch (IOException e) {
-                return; // it is said again, and written then
+                return; // woken() sends it again, and the next vote persists it
             }
             woken();
         } else {
@@ -265,12 +274,12 @@
         }
     }
 
-    /** Leases it keeps. */
+    /** Number of leases with a state. */
     public int leases() {
         return votes.size();
     }
 
-    /** All that decides what it does next, times from now on: for a checker that has to tell states apart. */
+    /** Everything that determines future behaviour, with times relative to now. Lets a model checker compare states. */
     public String state(double nowMs) {
         StringBuilder text = new StringBuilder().append(start).append(trustsDisk).append(isClosed).append(registered).append(confirmed).append(starts)
                 .append(Math.round(Math.max(-1, silentUntil - nowMs)));
--- a/src/main/java/dappleseam/fleet/lease/VoterDisk.java
+++ b/src/main/java/dappleseam/fleet/lease/VoterDisk.java
@@ -4,20 +4,20 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** What a voter keeps over its starts, where there is a disk that lasts. */
+/** Durable storage of a voter's state across restarts. */
 public interface VoterDisk {
-    /** What one voter promised and accepted for one lease. */
+    /** What a voter has promised and accepted for one lease; {@code holder} is null if nothing was accepted. */
     record Vote(Token promised, Token accepted, MemberName holder) {}
 
     /**
-     * All of it. {@code set}: {@link LeaseTerms#sum}; {@code start} counts the voter's starts; {@code closed}: written as the last thing of an
-     * orderly end, so that nothing was promised after it.
+     * The whole state. {@code configFingerprint}: {@link LeaseConfig#fingerprint}; {@code startNumber} counts the voter's starts; {@code cleanlyClosed}:
+     * written as the last step of a clean shutdown, so nothing was promised after it.
      */
     record Kept(MemberName voter, int set, long start, boolean closed, Map<LeaseName, Vote> votes) {}
 
-    /** What was kept, checked against damage; an exception where there is nothing that can be trusted. */
+    /** Reads the state and verifies its checksum; throws if there is no state that can be trusted. */
     Kept read() throws IOException;
 
-    /** Returns once it lasts. */
+    /** Writes the state, and returns once it is durable. */
     void write(Kept kept) throws IOException;
 }
--- a/src/main/java/dappleseam/fleet/peers/Ballot.java
+++ b/src/main/java/dappleseam/fleet/peers/Ballot.java
@@ -9,12 +9,18 @@
 import dappleseam.fleet.lease.Voter;
 import dappleseam.fleet.membership.MemberName;
 
-/** What passes between candidates and voters in one datagram, as {@link Ballots} and {@link Answers} name it. Fields that its kind has no use for hold nothing. */
+/**
+ * One message between candidates and voters, as one datagram carries it: a call of {@link CandidateMessages} or {@link VoterMessages}. Fields that an
+ * operation does not use have neutral values.
+ */
 public record Ballot(Op op, int set, LeaseName lease, Token ballot, Token other, MemberName holder, double leftMs, long count, long known, Refusal why) {
-    /** Their order is what goes out; new ones come at the end. */
+    /**
+     * The ordinal is the wire format: new operations go to the end. TOLD is {@link VoterMessages#status}, RECALL is {@link VoterMessages#registerStart}, and
+     * RECALLED is {@link VoterMessages#startRegistered}.
+     */
     public enum Op { PREPARE, ASK, PROPOSE, RELEASE, RECALL, PROMISED, TOLD, ACCEPTED, REFUSED, RECALLED }
 
-    /** Of a recall, which is of no lease. */
+    /** Placeholder in messages about a start, which belong to no lease. */
     private static final LeaseName NO_LEASE = new LeaseName("-");
 
     static Ballot to(Op op, int set, LeaseName lease, Token ballot, long count) {
@@ -33,15 +39,17 @@
         return new Ballot(Op.REFUSED, 0, lease, ballot, highest, null, 0, 0, 0, why);
     }
 
+    /** Whether the recipient is a voter, otherwise a candidate. */
     boolean isForVoter() {
         return op.compareTo(Op.RECALL) <= 0 || op == Op.RECALLED;
     }
 
-    /** Whether whoever sent it asks a voter, and goes on sooner if told that there is none. */
+    /** Whether the sender waits for a voter's reply, and continues sooner if it learns that there is no voter here. */
     boolean wantsAnswer() {
         return op == Op.PREPARE || op == Op.ASK || op == Op.PROPOSE;
     }
 
+    /** Calls the voter's method for this operation. */
     void tell(double nowMs, MemberName from, Voter voter) {
         switch (op) {
             case PREPARE -> voter.prepare(nowMs, from, set, lease, ballot);
@@ -54,6 +62,7 @@
         }
     }
 
+    /** Calls the candidate's method for this operation. */
     void tell(double nowMs, MemberName from, Candidate candidate) {
         switch (op) {
             case PROMISED -> candidate.promised(nowMs, from, lease, ballot, other, leftMs);
--- a/src/main/java/dappleseam/fleet/peers/Envelope.java
+++ b/src/main/java/dappleseam/fleet/peers/Envelope.java
@@ -28,28 +28,27 @@
 import java.util.zip.CRC32C;
 
 /**
- * Letters as datagrams: a byte that tells this program, one of the version, CRC-32C of what follows, and one CBOR array (RFC 8949). Not for
- * several threads.
+ * Encodes and decodes datagrams: a magic byte, a version byte, the CRC-32C of the rest, and one CBOR array (RFC 8949). Not thread-safe.
  */
 public final class Envelope {
-    /** Bytes of the longest datagram: it passes every usual link in one piece. */
+    /** Maximum datagram size in bytes: passes every usual link without fragmentation. */
     public static final int LONGEST = 1400;
     private static final int HEAD = 6;
     private static final byte PROGRAM = (byte) 0xD5;
     private static final byte VERSION = 2;
     private static final int NESTING = 3;
-    /** Of a letter without bulletins. */
+    /** Fields of a message without announcements. */
     private static final int FIELDS = 10;
     private static final int LONGEST_NAME = 48;
     private static final int ADDRESS_BYTES = 6;
-    /** Notices in a datagram at most: each takes over thirty bytes. */
+    /** Maximum number of membership updates in a datagram: each takes over 30 bytes. */
     private static final int MOST_NOTICES = 64;
     private static final int BALLOT_FIELDS = 12;
     private static final int BULLETIN_FIELDS = 8;
     private static final int SIGHT_FIELDS = 4;
-    /** Bulletins in a datagram at most: each takes over thirty bytes. */
+    /** Maximum number of announcements in a datagram: each takes over 30 bytes. */
     private static final int MOST_BULLETINS = 48;
-    /** A day: longer than any lease. */
+    /** Maximum of remaining lease times and ages: one day, longer than any lease. */
     private static final long LONGEST_LEFT_MS = 86_400_000;
     private static final Ballot.Op[] OPS = Ballot.Op.values();
     private static final Answers.Refusal[] REFUSALS = Answers.Refusal.values();
@@ -61,7 +60,7 @@
     private final CRC32C sum = new CRC32C();
     private final int fleet;
 
-    /** Of one fleet, by its name. */
+    /** A codec for the datagrams of one fleet; those of another fleet are rejected. */
     public Envelope(String fleet) {
         this.fleet = fleet.hashCode();
     }
@@ -103,7 +102,7 @@
             } else {
                 write(cbor, letter.ballot());
             }
-            if (letter.bulletins() != null) { // older programs drop these letters, and understand all others
+            if (letter.bulletins() != null) { // older versions drop messages with this field, and read all others
                 cbor.writeStartArray(null, letter.bulletins().size());
                 for (Bulletin bulletin : letter.bulletins()) {
                     write(cbor, bulletin);
@@ -112,7 +111,7 @@
             }
             cbor.writeEndArray();
         } catch (IOException e) {
-            throw new IllegalStateException("memory cannot be written to", e);
+            throw new IllegalStateException("writing to memory failed", e);
         }
         byte[] bytes = out.toByteArray();
         ByteBuffer.wrap(bytes).put(PROGRAM).put(VERSION).putInt(sum(bytes, bytes.length));
@@ -176,7 +175,7 @@
         cbor.writeEndArray();
     }
 
-    /** Its array has been begun. */
+    /** Decodes an announcement whose start of array was consumed. */
     private static Bulletin bulletin(JsonParser cbor) throws IOException {
         need(cbor.nextToken() == JsonToken.VALUE_STRING);
         MemberName who = new MemberName(cbor.getText());
@@ -232,7 +231,7 @@
         return (int) sum.getValue();
     }
 
-    /** Guards the membership against anything that is not exactly what a proxy sends. */
+    /** Decodes a datagram; rejects everything that is not exactly what a proxy sends. */
     public Letter read(byte[] bytes, int length) throws Unreadable {
         if (length <= HEAD || length > LONGEST) {
             throw new Unreadable(Why.SIZE);
@@ -271,7 +270,7 @@
             return new Letter(kind, self, number, target, about, news, answer, sums, ballot, bulletins);
         } catch (Unreadable e) {
             throw e;
-        } catch (IOException | RuntimeException e) { // whatever the parser makes of garbage
+        } catch (IOException | RuntimeException e) { // any failure of the parser on malformed input
             throw new Unreadable(Why.MALFORMED);
         }
     }
@@ -282,6 +281,7 @@
         }
     }
 
+    /** Decodes an integer within a range, both ends included. */
     private static long whole(JsonParser cbor, long least, long most) throws IOException {
         need(cbor.nextToken() == JsonToken.VALUE_NUMBER_INT);
         long number = cbor.getLongValue();
@@ -303,7 +303,7 @@
         return sums;
     }
 
-    /** Its array has been begun. */
+    /** Decodes a member entry whose start of array was consumed. */
     private static Notice notice(JsonParser cbor) throws IOException {
         need(cbor.currentToken() == JsonToken.START_ARRAY);
         cbor.nextToken();
--- a/src/main/java/dappleseam/fleet/peers/FleetText.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetText.java
@@ -12,13 +12,13 @@
 import java.net.InetSocketAddress;
 import java.util.Locale;
 
-/** What operators read of a snapshot: figures in Prometheus' text format, and the view as JSON. */
+/** Writes a {@link FleetSnapshot} for operators: as metrics in the Prometheus text format, and as JSON. */
 public final class FleetText {
     private static final double MS_PER_S = 1000;
 
     private FleetText() {}
 
-    /** {@code shot} is null while another process has the address. */
+    /** Metrics; {@code snapshot} is null while another process has the address. */
     public static String figures(Snapshot shot) {
         StringBuilder text = new StringBuilder();
         line(text, "fleet_joined", "gauge", shot == null ? 0 : 1);
@@ -78,7 +78,7 @@
         text.append("# TYPE app_").append(name).append(' ').append(type).append("\napp_").append(name).append(' ').append(value).append('\n');
     }
 
-    /** One object; times are s ago. */
+    /** The view as one JSON object, with times in seconds ago. */
     public static String json(Snapshot shot, double nowMs) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = new JsonFactory().createGenerator(text)) {
@@ -140,7 +140,7 @@
             }
             json.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("memory cannot be written to", e);
+            throw new IllegalStateException("writing to memory failed", e);
         }
         return text.append('\n').toString();
     }
--- a/src/main/java/dappleseam/fleet/peers/Identity.java
+++ b/src/main/java/dappleseam/fleet/peers/Identity.java
@@ -9,11 +9,11 @@
 import java.util.List;
 
 /**
- * What the operator's fleet file says. {@code fleet}: whose datagrams are read. {@code bind}: where they are received; {@code advertise}: where
- * others send them. {@code seeds}: whom a start asks. {@code record}: where changes of the view are written down, a line each; null for nowhere.
- * {@code leases}: null where there are none; {@code voterFile}: where a voter keeps its promises, null where no disk lasts; {@code listStore}: where the
- * fleet's last known list is kept, a folder or an address that begins with {@code http:}, null for nowhere. {@code choices}: what
- * members tell each other, and decide by it.
+ * The settings of the operator's fleet file. {@code fleet}: name of the fleet; datagrams of any other are rejected. {@code bind}: address to receive on;
+ * {@code advertise}: address that other members send to. {@code seeds}: addresses contacted at the start. {@code recordFile}: file for changes of the
+ * view, one per line, or null. {@code leases}: null without leases; {@code voterFile}: file for a voter's promises, null without durable storage;
+ * {@code listStore}: where the fleet's last known list is stored, a folder or a URL that begins with {@code http:}, or null. {@code features}: what members
+ * announce to each other and act on.
  */
 public record Identity(String fleet, MemberName name, InetSocketAddress bind, InetSocketAddress advertise, List<InetSocketAddress> seeds,
                        Terms terms, Path record, LeaseTerms leases, Path voterFile, String listStore, Choices choices) {}
--- a/src/main/java/dappleseam/fleet/peers/KnownFile.java
+++ b/src/main/java/dappleseam/fleet/peers/KnownFile.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Addresses of members that one process of a proxy leaves for the next, so that it needs no seed. */
+/** Addresses of members, saved by one process of a proxy for the next one, so that it can join without a seed. */
 final class KnownFile {
     static final int MOST = 64;
     private static final String VERSION = "dappleseam-fleet-1";
@@ -29,11 +29,11 @@
         });
     }
 
-    /** An exception says why there is nothing to be had. */
+    /** Reads the addresses; throws if there is no usable file. */
     static List<InetSocketAddress> read(Path file, String fleet) throws IOException {
         JsonNode root = SealedFile.read(file, VERSION);
         if (!root.path("fleet").asText().equals(fleet)) {
-            throw new IOException("of another fleet");
+            throw new IOException("the file belongs to another fleet");
         }
         List<InetSocketAddress> known = new ArrayList<>();
         for (JsonNode address : root.path("known")) {
--- a/src/main/java/dappleseam/fleet/peers/LeaseDesk.java
+++ b/src/main/java/dappleseam/fleet/peers/LeaseDesk.java
@@ -25,17 +25,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * This process's leases: its voter where it is one, its candidate, and the threads of the tasks that it holds. All but the tasks, and a voter with a disk, runs on the
- * fleet's thread.
+ * Manages this process's leases: its voter, if it is one, its candidate, and the threads of the tasks whose leases it holds. Everything but the tasks, and
+ * a voter with storage, runs on the fleet thread.
  */
 final class LeaseDesk implements LeaseHost {
     private static final Logger LOG = System.getLogger(LeaseDesk.class.getName());
-    /** Time in ms between looks at the view, at twins, at tasks that hang, and of a voter's words on its start. */
+    /** Time in ms between checks of the view, for duplicate processes and for hanging tasks, and between a voter's registrations of its start. */
     private static final double LOOK_MS = 500;
-    /** Leases after which a task that has not returned hangs; failures in a row after which it gives its lease up. */
+    /** Lease times after which a task that has not returned is considered hanging, and consecutive failures after which its lease is given up. */
     private static final double HANGS_LEASES = 2;
     private static final int FAILURES = 3;
-    /** Leases for which a task that hung or threw does not try again. */
+    /** Lease times for which a task that hung or failed does not compete again. */
     private static final double REST_LEASES = 3;
 
     private final Membership membership;
@@ -43,11 +43,11 @@
     private final BiConsumer<MemberName, Ballot> out;
     private final Consumer<Runnable> onThread;
     private final ViewRecord record;
-    /** Null where this process is no voter. */
+    /** Null if this process is not a voter. */
     private final VoterSeat voter;
     private final Candidate candidate;
     private final Map<LeaseName, Runner> runners = new LinkedHashMap<>();
-    /** What this process says to itself, told once what is being told is over. */
+    /** Messages from this process to itself, delivered once the current delivery is finished. */
     private final ArrayDeque<Ballot> toSelf = new ArrayDeque<>();
     private boolean telling;
     private List<MemberName> present = List.of();
@@ -55,7 +55,7 @@
     private double lookAt;
     private double now;
 
-    /** One task: while it is held, a thread acts by {@link #token}. */
+    /** Runs one task: while its lease is held, a thread calls it again and again with a permit for the current token. */
     private final class Runner implements FleetTask.Permit, Runnable {
         final FleetTask task;
         private Token token;
@@ -98,11 +98,11 @@
                     actingSince = PeerSocket.nowMs();
                     task.act(this);
                     failures = 0;
-                } catch (Exception e) { // whatever a task throws is its own
+                } catch (Exception e) { // a task may throw anything
                     failures++;
                     LOG.log(Level.WARNING, "lease {0}: the task failed: {1}", task.lease(), e.toString());
                     if (failures >= FAILURES) {
-                        onThread.accept(() -> rest(this, "its task failed " + FAILURES + " times"));
+                        onThread.accept(() -> rest(this, "its task failed " + FAILURES + " times in a row"));
                     }
                 } finally {
                     actingSince = Double.NaN;
@@ -140,7 +140,7 @@
         look();
     }
 
-    /** When something is due. */
+    /** Time of the next {@link #woken}. */
     double wakeAt() {
         return Math.min(candidateAt, lookAt);
     }
@@ -157,6 +157,7 @@
         tellSelf();
     }
 
+    /** Handles a message from another member. */
     void heard(double nowMs, MemberName from, Ballot ballot) {
         now = nowMs;
         tell(from, ballot);
@@ -173,7 +174,7 @@
         }
     }
 
-    /** By this process's voter, which may have waited for its disk. */
+    /** Sends a message of this process's voter, possibly long after the request if it had to wait for its storage. */
     private void answered(MemberName to, Ballot ballot) {
         send(to, ballot);
         if (!telling) {
@@ -207,6 +208,7 @@
         }
     }
 
+    /** Gives a lease up because its task failed, and does not compete again for some time. */
     private void rest(Runner runner, String why) {
         LOG.log(Level.WARNING, "lease {0}: given up: {1}", runner.task.lease(), why);
         Runner next = new Runner(runner.task);
@@ -225,7 +227,7 @@
         candidate.give(now, runner.task.lease());
     }
 
-    /** An orderly end, or a hand-over: tasks stop first, then others may take them. */
+    /** Clean shutdown or hand-over: stops the tasks first, then releases their leases to others. */
     void end(double nowMs) {
         now = nowMs;
         for (Runner runner : List.copyOf(runners.values())) {
@@ -237,7 +239,7 @@
         }
     }
 
-    /** What is held now: by lease the token, and since when in ms. */
+    /** The leases held now. */
     List<Snapshot.HeldLease> held() {
         List<Snapshot.HeldLease> held = new ArrayList<>();
         runners.forEach((lease, runner) -> {
@@ -249,7 +251,7 @@
         return held;
     }
 
-    /** Null where this process is no voter. */
+    /** Whether this process's voter answers; null if it is not a voter. */
     Boolean votes() {
         return voter == null ? null : voter.speaks();
     }
@@ -263,7 +265,7 @@
     public void held(LeaseName lease, Token token, double untilMs) {
         Runner runner = runners.get(lease);
         boolean isNew = runner.held() == null;
-        record.held(now, lease, token, untilMs); // before it may act: a record that ends too early would hide an overlap
+        record.held(now, lease, token, untilMs); // before it may act: a record that ends too early would hide an overlap of two holders
         runner.holds(token, untilMs);
         if (isNew) {
             runner.heldSince = now;
--- a/src/main/java/dappleseam/fleet/peers/Letter.java
+++ b/src/main/java/dappleseam/fleet/peers/Letter.java
@@ -8,15 +8,18 @@
 import java.util.List;
 
 /**
- * One datagram, read: a ballot or bulletins (docs/fleet-design.md), or what {@link Correspondent} has a method for each kind of. Fields that its kind has no use
- * for are null or empty.
+ * The content of one datagram: a lease message or announcements (docs/fleet-design.md), or a call of {@link MembershipProtocol}. Every message carries the
+ * sender's own entry. Fields that a kind does not use are null or empty.
  */
 public record Letter(Kind kind, Notice self, long number, MemberName target, Notice about, List<Notice> news, boolean answer, int[] sums,
                      Ballot ballot, List<Bulletin> bulletins) {
-    /** Their order is what goes out; new ones come at the end. */
+    /**
+     * The ordinal is the wire format: new kinds go to the end. ASK is a ping request, SUMS are digests, TELL is gossip, BALLOT is a lease message, and
+     * BULLETINS are announcements.
+     */
     public enum Kind { PING, ACK, NACK, ASK, SUMS, TELL, BALLOT, BULLETINS }
 
-    /** One for the membership. */
+    /** A membership message. */
     public Letter(Kind kind, Notice self, long number, MemberName target, Notice about, List<Notice> news, boolean answer, int[] sums) {
         this(kind, self, number, target, about, news, answer, sums, null, null);
     }
@@ -29,11 +32,12 @@
         return new Letter(Kind.BULLETINS, self, 0, null, null, List.of(), false, null, null, bulletins);
     }
 
+    /** The same message with other membership updates. */
     public Letter with(List<Notice> other) {
         return new Letter(kind, self, number, target, about, other, answer, sums, ballot, bulletins);
     }
 
-    /** Passes it on to whom it concerns; a ballot concerns none of these. */
+    /** Calls the method for this kind. Of a lease message and of announcements, the membership gets only the sender's entry. */
     public void tell(InetSocketAddress from, Correspondent to) {
         switch (kind) {
             case PING -> to.ping(from, self, number, target, news);
--- a/src/main/java/dappleseam/fleet/peers/LetterHost.java
+++ b/src/main/java/dappleseam/fleet/peers/LetterHost.java
@@ -7,11 +7,11 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** A host whose sending is all by letters, on sockets or in simulated time. */
+/** A membership host that sends every call as a {@link FleetMessage}, over sockets or in simulated time. */
 public abstract class LetterHost implements FleetHost {
     protected abstract void send(InetSocketAddress to, Letter letter);
 
-    /** A ping as a letter, for {@link #call}, too. */
+    /** A ping, also for {@link #pingConnected}. */
     protected static Letter pingOf(Notice self, long number, MemberName target, List<Notice> news) {
         return new Letter(Kind.PING, self, number, target, null, news, false, null);
     }
--- a/src/main/java/dappleseam/fleet/peers/PeerSocket.java
+++ b/src/main/java/dappleseam/fleet/peers/PeerSocket.java
@@ -32,28 +32,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The membership's thread and its datagrams. Nothing here runs on the I/O thread, and nothing waits for it: others read {@link #snapshot}.
- * Of two processes of one proxy the second waits until the address is free.
+ * Runs the membership, the leases and the signals of this proxy on a thread of their own, and exchanges datagrams with the other members. Nothing here
+ * runs on the I/O thread or blocks it: other threads read {@link #snapshot}. Of two processes of one proxy, the second waits until the address is free.
  */
 public final class PeerSocket extends LetterHost {
-    /** Share by which what it may take has to be another to be recorded. */
+    /** Relative change of this proxy's share from which it is recorded. */
     private static final double SHARE_NEWS = 0.01;
-    /** Descriptors: two sockets, a selector with two, a record. */
+    /** File descriptors used: two sockets, a selector with two, a record file. */
     public static final int DESCRIPTORS = 6;
     private static final Logger LOG = System.getLogger(PeerSocket.class.getName());
     private static final double NANOS_PER_MS = 1e6;
-    /** Time in ms between tries of an address that another process has. */
+    /** Time in ms between attempts to bind an address that another process uses. */
     private static final long BIND_MS = 100;
-    /** Time in ms between snapshots, and between writings for the next process. */
+    /** Time in ms between snapshots, and between writes of the known peers for the next process. */
     private static final double PUBLISH_MS = 250;
     private static final double KEEP_MS = 5000;
-    /** Longest sleep in ms: nothing is missed by more than that, whatever is wrong with a wake-up. */
+    /** Maximum sleep in ms: bounds the delay if a wake-up is missed. */
     private static final long LONGEST_SLEEP_MS = 250;
-    /** Datagrams taken in one go, and in a second: a flood must not take the core. */
+    /** Maximum number of datagrams read in one batch, and in one second: a flood must not occupy a processor core. */
     private static final int AT_ONCE = 256;
     private static final int A_SECOND = 2000;
     private static final int BUFFER_BYTES = 256 << 10;
-    /** Time in ms that an end waits for the last words to go out: well under what the program has left then. */
+    /** Time in ms that {@link #stop} waits for the last messages to be sent: well under the time that the program has left then. */
     private static final long LAST_WORDS_MS = 50;
 
     private final Path left;
@@ -96,8 +96,9 @@
     private Thread thread;
 
     /**
-     * {@code location}: where this proxy is, by the platform's number, -1 without locations. {@code tasks}: what it would do for the whole fleet. {@code left}: what one process leaves for the next; null for nothing. {@code sightings}: what is told of
-     * caches, where the file says so. Runs from {@link #start} on.
+     * {@code location}: the platform's number of this proxy's location, -1 without locations. {@code tasks}: tasks that this proxy runs for the whole fleet
+     * while it holds their leases. {@code knownPeersFile}: addresses that one process saves for the next, or null. {@code routerAdapter}: used for the
+     * features that the fleet file turns on. Runs from {@link #start} on.
      */
     public PeerSocket(Identity identity, int location, long seed, Path left, List<FleetTask> tasks, Sightings sightings) {
         this.tasks = tasks;
@@ -108,6 +109,7 @@
         this.left = left;
     }
 
+    /** Starts the fleet thread. */
     public void start() throws IOException {
         selector = Selector.open();
         envelope = new Envelope(identity.fleet());
@@ -120,12 +122,12 @@
         return System.nanoTime() / NANOS_PER_MS;
     }
 
-    /** What was known a moment ago; null until the address was free. */
+    /** The latest snapshot; null before the address was free. */
     public Snapshot snapshot() {
         return snapshot;
     }
 
-    /** New terms, seeds and choices, these where one was on at the start; all else needs a new start. */
+    /** Applies new membership settings and seeds, and new features if any was on at the start. All other changes need a restart. */
     public void change(Identity now) {
         identity = now;
         post(() -> {
@@ -138,7 +140,7 @@
         });
     }
 
-    /** An operator's word that a member will not come back. */
+    /** An operator declares that a member has ended and will not come back. */
     public void endedByWord(MemberName name) {
         post(() -> {
             if (membership != null) {
@@ -153,14 +155,14 @@
         selector.wakeup();
     }
 
-    /** Says goodbye, or leaves its place to the process that takes over; returns soon. */
+    /** Stops, and either announces that this proxy leaves, or hands over to the process that takes its place. Returns soon. */
     public void end(boolean handOver) {
         handsOver = handOver;
         ending = true;
         selector.wakeup();
         try {
             if (!ended.await(LAST_WORDS_MS, TimeUnit.MILLISECONDS)) {
-                LOG.log(Level.WARNING, "fleet: still busy at the end");
+                LOG.log(Level.WARNING, "fleet: still busy when the process ends");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -183,8 +185,8 @@
                 busyMs += nowMs() - from;
             }
             last();
-        } catch (IOException | RuntimeException e) { // queries do without; the line tells whom to ask
-            LOG.log(Level.ERROR, "fleet: it runs no more", e);
+        } catch (IOException | RuntimeException e) { // queries are served without the fleet
+            LOG.log(Level.ERROR, "fleet: stopped by an error", e);
             snapshot = null;
         } finally {
             close();
@@ -206,7 +208,7 @@
                 tried.close();
                 if (!waits) {
                     waits = true;
-                    LOG.log(Level.INFO, "fleet: waits for {0}, which another process has", identity.bind());
+                    LOG.log(Level.INFO, "fleet: waiting for {0}, which another process uses", identity.bind());
                 }
                 selector.select(BIND_MS);
             }
@@ -222,7 +224,7 @@
         caller.register(selector, SelectionKey.OP_READ);
         views = new ViewRecord(identity.record());
         double now = nowMs();
-        // Its own start and clock, not the seed alone: two processes that were given one seed must differ.
+        // Mixes in the clock and the process id: two processes with the same seed must differ.
         SplittableRandom random = new SplittableRandom(seed ^ System.nanoTime() ^ ProcessHandle.current().pid() << 40);
         Notice self = new Notice(identity.name(), identity.advertise(), new Life(startMs, random.nextLong()), 0, Notice.State.ALIVE, 0);
         membership = new Membership(identity.terms(), self, this, random, now);
@@ -231,8 +233,8 @@
         if (left != null) {
             try {
                 known.addAll(KnownFile.read(left, identity.fleet()));
-            } catch (IOException | RuntimeException e) { // it was worth a try
-                LOG.log(Level.DEBUG, "fleet: nobody is known from before: {0}", e.toString());
+            } catch (IOException | RuntimeException e) { // the file is optional
+                LOG.log(Level.DEBUG, "fleet: no known peers from an earlier process: {0}", e.toString());
             }
         }
         LOG.log(Level.INFO, "fleet: {0} of {1} listens on {2}", identity.name(), identity.fleet(), identity.bind());
@@ -253,7 +255,7 @@
         for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
             task.run();
         }
-        receive(socket); // before time is looked at: what came while this process stood still is no silence
+        receive(socket); // before the clock is read: datagrams that came during a stall of this process must not count as silence
         hearCalled();
         double now = nowMs();
         if (now >= wakeAt) {
@@ -283,7 +285,7 @@
                     membership.refused(nowMs(), called);
                 }
                 continue;
-            } catch (IOException e) { // of one datagram
+            } catch (IOException e) { // concerns one datagram only
                 LOG.log(Level.DEBUG, "fleet: {0}", e.toString());
                 return;
             }
@@ -326,7 +328,7 @@
         try {
             socket.send(ByteBuffer.wrap(envelope.write(letter)), to);
             sent++;
-        } catch (IOException e) { // as if it were lost on its way
+        } catch (IOException e) { // the same as a lost datagram
             LOG.log(Level.DEBUG, "fleet: {0}", e.toString());
         }
     }
@@ -350,7 +352,7 @@
             }
             caller.write(ByteBuffer.wrap(bytes));
             sent++;
-        } catch (PortUnreachableException e) { // the answer to the call before
+        } catch (PortUnreachableException e) { // reported for the previous ping
             membership.refused(nowMs(), peer);
         } catch (IOException e) {
             LOG.log(Level.DEBUG, "fleet: {0}", e.toString());
@@ -406,7 +408,7 @@
         }
     }
 
-    /** What is new of caches since the last look. */
+    /** Records changes of the verdicts on caches since the last call. */
     private void recordWords(double now) {
         Set<NodeId> failing = signals.sightsOfFailing();
         failing.stream().filter(node -> !failingBefore.contains(node)).forEach(node -> views.says(now, node, "FAILS"));
@@ -431,7 +433,7 @@
             try {
                 KnownFile.write(left, identity.fleet(), known);
             } catch (IOException e) {
-                LOG.log(Level.DEBUG, "fleet: nobody is kept for the next process: {0}", e.toString());
+                LOG.log(Level.DEBUG, "fleet: the known peers are not saved for the next process: {0}", e.toString());
             }
         }
     }
@@ -446,7 +448,7 @@
         publish(nowMs());
         if (handsOver) {
             keep();
-            LOG.log(Level.INFO, "fleet: leaves its place to the process that takes over");
+            LOG.log(Level.INFO, "fleet: hands over to the process that takes its place");
         } else {
             membership.leaving(nowMs());
         }
--- a/src/main/java/dappleseam/fleet/peers/Sightings.java
+++ b/src/main/java/dappleseam/fleet/peers/Sightings.java
@@ -5,17 +5,17 @@
 import java.util.Collection;
 import java.util.List;
 
-/** What passes between this proxy's queries and its fleet, on the fleet's thread; none of it may wait. */
+/** What the fleet thread gets from this proxy's router, and passes to it. Called on the fleet thread; no method may block. */
 public interface Sightings {
-    /** What its own executions show of all caches, as it was a moment ago; times of {@link PeerSocket}'s clock. */
+    /** A recent state of what this proxy's own executions show of all caches, in times of {@link FleetAgent}'s clock. */
     Collection<Seen> seen();
 
-    /** Queries it takes a second; NaN before that can be told. */
+    /** Queries per second that this proxy accepts; NaN until it can be determined. */
     double ratePerS();
 
-    /** What others say, where it has changed or from time to time. */
+    /** Verdicts of the other members, after each change and from time to time. */
     void say(List<Said> words);
 
-    /** What this proxy may take of the whole, over 0 to 1, and where it stands among all, 0 to 1; NaN for what is not told. Again and again. */
+    /** This proxy's share of the fleet's limits, over 0 to 1, and its position among the members, 0 to 1; NaN where unknown or turned off. Called repeatedly. */
     void stands(double share, double place);
 }
--- a/src/main/java/dappleseam/fleet/peers/SignalDesk.java
+++ b/src/main/java/dappleseam/fleet/peers/SignalDesk.java
@@ -28,13 +28,16 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 
-/** This process's bulletin, all others', and what comes of them: words on caches, and its share. On the fleet's thread, or in simulated time. */
+/**
+ * Exchanges announcements with the other members, and derives verdicts on caches, this proxy's share and its position from them. Runs on the fleet thread,
+ * or in simulated time.
+ */
 public final class SignalDesk {
-    /** Share of a period between looks, each of which tells so many members. */
+    /** Fraction of a period between gossip rounds, their minimum interval in ms, and the members gossiped to in a round. */
     private static final double LOOK_SHARE = 0.25;
     private static final double LOOK_LEAST_MS = 100;
     private static final int TOLD_AT_ONCE = 2;
-    /** Looks after which words are said again though they are the same: whoever takes them may have begun since. */
+    /** Rounds after which unchanged verdicts are published again: the receiver may have started since. */
     private static final int AGAIN = 4;
 
     private final Membership membership;
@@ -54,6 +57,7 @@
     private double place = Double.NaN;
     private boolean toldAnew;
 
+    /** {@code most}: announcements kept; {@code location}: as in {@link FleetAgent}; {@code out}: sends announcements to a member. */
     public SignalDesk(Membership membership, double periodMs, int most, int location, Choices choices, Sightings sightings, BiConsumer<InetSocketAddress, List<Bulletin>> out,
                RandomGenerator random, double nowMs) {
         this.membership = membership;
@@ -68,22 +72,24 @@
         lookAt = nowMs + random.nextDouble() * lookMs;
     }
 
-    /** From now on; what is off is let go by steps. */
+    /** Takes effect from now on; what is turned off is wound down in steps by its receiver. */
     void choose(Choices other) {
         choices = other;
         share = Double.NaN;
         place = Double.NaN;
     }
 
-    /** When something is due. */
+    /** Time of the next {@link #woken}; infinite while all features are off. */
     public double wakeAt() {
         return choices.any() ? lookAt : Double.POSITIVE_INFINITY;
     }
 
+    /** Handles announcements from another member. */
     public void heard(double nowMs, List<Bulletin> bulletins) {
         board.heard(nowMs, bulletins);
     }
 
+    /** Runs a round: evaluates the announcements, gossips some, and passes the results on. */
     public void woken(double nowMs) {
         lookAt = nowMs + lookMs;
         Collection<Bulletin> now = board.now(nowMs);
@@ -137,17 +143,17 @@
         said = now;
     }
 
-    /** Of those that are present, by rendezvous: views that agree give one order. */
+    /** Rank of this member among the live ones, by rendezvous hashing: members with equal views agree on the order. */
     private int turn(String what) {
         return Ranking.rank(what, membership.self().name(), membership.present().stream().map(Notice::name).toList());
     }
 
-    /** Whoever is thought to run, and by that process of its own. */
+    /** Whether the announcement is of a live member, and of its current process. */
     private boolean runs(Bulletin bulletin) {
         return counts(bulletin) && membership.of(bulletin.who()).state().isPresent();
     }
 
-    /** Whoever takes of the whole as far as anybody could prove, by its last process. */
+    /** Whether the announcement is of a member that may take a share, as far as anyone could prove, and of its latest process. */
     private boolean counts(Bulletin bulletin) {
         Notice known = membership.of(bulletin.who());
         return known != null && known.state().isCounted() && known.life().equals(bulletin.life());
@@ -166,27 +172,27 @@
         }
     }
 
-    /** What others' words came to at the last look; null where they are not heard. */
+    /** Verdicts of the last round; null if they are turned off. */
     List<Said> said() {
         return choices.signals() || choices.turns() ? said : null;
     }
 
-    /** Of what this process says by its own sight. */
+    /** Caches that this process itself announces as failing. */
     Set<NodeId> sightsOfFailing() {
         return own.stream().filter(Sight::fails).map(Sight::node).collect(Collectors.toUnmodifiableSet());
     }
 
-    /** Of what others' words came to. */
+    /** Caches that the other members agree are failing. */
     Set<NodeId> convicted() {
         return said.stream().filter(word -> word.word() == Word.FAILS).map(Said::node).collect(Collectors.toUnmodifiableSet());
     }
 
-    /** Where it stands among all by the last look; NaN where that is by chance. */
+    /** Position among the members, by the last round; NaN if unknown or turned off: a random position applies then. */
     double place() {
         return place;
     }
 
-    /** Of the whole, this process's by the last look; NaN where it goes by its settings. */
+    /** This process's share of the fleet's limits, by the last round; NaN if turned off: the configured share applies then. */
     public double share() {
         return share;
     }
--- a/src/main/java/dappleseam/fleet/peers/Snapshot.java
+++ b/src/main/java/dappleseam/fleet/peers/Snapshot.java
@@ -9,16 +9,18 @@
 import java.util.Map;
 
 /**
- * What a proxy knew of its fleet a moment ago; for any thread. {@code view}: itself first. {@code takenAtMs}: of the monotonic clock that
- * {@code standing} goes by. {@code twin}: another process by its name, or null. {@code said}: others' words on caches, null where they are not heard.
- * {@code share}: of the whole, what this proxy may take; {@code place}: where it stands among all; each NaN where it is not told.
+ * Immutable snapshot of what a proxy knows of its fleet, readable from any thread. {@code takenAtMs}: on the monotonic clock of {@code status}.
+ * {@code view}: this proxy's own entry first. {@code duplicate}: another process under the same name, or null. {@code rateLimited}: datagrams dropped
+ * because too many came in a second. {@code voterActive}: null if this process is not a voter. {@code verdicts}: of the other members on caches, null if
+ * turned off. {@code share}: this proxy's share of the fleet's limits; {@code position}: its position among the members; each NaN if unknown or turned off.
  */
 public record Snapshot(double takenAtMs, List<Notice> view, Standing standing, int counted, int health, Notice twin, long sent,
                        long received, Map<Unreadable.Why, Long> dropped, long flooded, long turnedAway, double busyMs,
                        List<HeldLease> leases, Boolean votes, List<Said> said, double share, double place) {
-    /** A lease that this process holds since that time. */
+    /** A lease that this process holds, and since when. */
     public record HeldLease(LeaseName lease, Token token, double sinceMs) {}
 
+    /** Number of members in that state. */
     public long in(Notice.State state) {
         return view.stream().filter(n -> n.state() == state).count();
     }
--- a/src/main/java/dappleseam/fleet/peers/Unreadable.java
+++ b/src/main/java/dappleseam/fleet/peers/Unreadable.java
@@ -2,21 +2,21 @@
 
 import java.io.IOException;
 
-/** A datagram that is dropped, and why. */
+/** A datagram was rejected, and why. */
 public final class Unreadable extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** As the figures count them. */
+    /** As counted in the metrics. */
     public enum Why {
-        /** Over the size that any proxy sends, or under the least. */
+        /** Larger than any proxy sends, or too short for a header. */
         SIZE,
-        /** Not of this program, or of a version of the format that this build does not read. */
+        /** Not from this program, or in a format version that this build does not read. */
         VERSION,
-        /** Its check sum is another. */
+        /** Wrong checksum. */
         DAMAGED,
-        /** Of a fleet by another name. */
+        /** From a fleet of another name. */
         FOREIGN,
-        /** Sound on its way, but not what any proxy sends. */
+        /** Correct checksum, but not a message that a proxy sends. */
         MALFORMED
     }
 
@@ -33,6 +33,6 @@
 
     @Override
     public synchronized Throwable fillInStackTrace() {
-        return this; // garbage may come fast
+        return this; // no stack trace: invalid datagrams may arrive at a high rate
     }
 }
--- a/src/main/java/dappleseam/fleet/peers/ViewRecord.java
+++ b/src/main/java/dappleseam/fleet/peers/ViewRecord.java
@@ -15,7 +15,7 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** Changes of a view, one JSON object a line, each with the machine's monotonic clock in ms. Ends at its bound, or where it cannot be written. */
+/** Records changes of the view, one JSON object per line, each with the machine's monotonic clock in ms. Stops at its maximum size or on a write error. */
 final class ViewRecord {
     private static final Logger LOG = System.getLogger(ViewRecord.class.getName());
     private static final long MOST_BYTES = 64L << 20;
@@ -31,7 +31,7 @@
                 json = new JsonFactory().createGenerator(out);
                 json.setRootValueSeparator(null);
             } catch (IOException e) {
-                LOG.log(Level.WARNING, "fleet: no record of views: {0}", e.toString());
+                LOG.log(Level.WARNING, "fleet: changes of the view are not recorded: {0}", e.toString());
             }
         }
     }
@@ -56,7 +56,7 @@
                 close();
             }
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "fleet: the record of views ends here: {0}", e.toString());
+            LOG.log(Level.WARNING, "fleet: recording of view changes stops: {0}", e.toString());
             close();
         }
     }
@@ -70,7 +70,7 @@
 
     void saw(double nowMs, Notice before, Notice now) {
         if (before != null && before.state() == now.state() && before.life().equals(now.life())) {
-            return; // an incarnation only
+            return; // only the incarnation changed
         }
         line(nowMs, to -> {
             to.writeStringField("saw", now.name().text());
@@ -88,7 +88,7 @@
         });
     }
 
-    /** The process was not run for so many ms, up to now. */
+    /** The process did not run for {@code ms} up to now. */
     void stoodStill(double nowMs, double ms) {
         line(nowMs, to -> to.writeNumberField("stood_still", ms));
     }
@@ -101,7 +101,7 @@
         line(nowMs, to -> to.writeNumberField("share", share));
     }
 
-    /** {@code FAILS}, {@code CLEARED}: what is said of a cache by own sight from now on; {@code CONVICTED}: what others' words have come to. */
+    /** {@code FAILS}, {@code CLEARED}: this process's own observation of a cache from now on; {@code CONVICTED}: the verdict of the other members. */
     void says(double nowMs, NodeId cache, String verdict) {
         line(nowMs, to -> {
             to.writeStringField("cache", Long.toHexString(cache.value()));
--- a/src/main/java/dappleseam/fleet/peers/VoterFile.java
+++ b/src/main/java/dappleseam/fleet/peers/VoterFile.java
@@ -11,7 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A voter's promises in a file, replaced as a whole and forced to the disk; a line with the format's version and a sum proves it. */
+/** A voter's state in a file that is replaced as a whole and forced to the disk, with a header line of format version and checksum. */
 public final class VoterFile implements VoterDisk {
     private static final String VERSION = "dappleseam-voter-1";
 
@@ -34,7 +34,7 @@
             return new Kept(new MemberName(root.path("voter").asText()), root.path("set").asInt(), root.path("start").asLong(),
                     root.path("closed").asBoolean(), votes);
         } catch (IllegalArgumentException e) {
-            throw new IOException("damaged: " + e.getMessage(), e);
+            throw new IOException("invalid content: " + e.getMessage(), e);
         }
     }
 
--- a/src/main/java/dappleseam/fleet/peers/VoterSeat.java
+++ b/src/main/java/dappleseam/fleet/peers/VoterSeat.java
@@ -19,14 +19,14 @@
 import java.util.function.Consumer;
 
 /**
- * A voter's place in its process. One with a disk has a thread of its own: a disk that takes a second to force a promise must hold up neither the membership nor the leases that
- * this process holds itself. What finds no room before a slow disk counts as lost on its way.
+ * Runs a voter. With storage, the voter has its own thread: a disk that takes a second to force a promise must not delay the membership, nor the leases
+ * that this process holds itself. Requests that find the queue of a slow disk full are dropped, like lost datagrams.
  */
 final class VoterSeat implements Answers {
     private static final Logger LOG = System.getLogger(VoterSeat.class.getName());
-    /** Ballots that wait for the disk at most: candidates ask again, and an answer much later than its question is none. */
+    /** Maximum number of requests that wait for the disk: candidates resend, and a reply that comes too late does not count anyway. */
     private static final int WAITING = 256;
-    /** Time in ms that an end waits for the file to be closed; a voter whose file is not is silent for a lease. */
+    /** Time in ms that a shutdown waits for the file to be closed; a voter whose file is not cleanly closed abstains for one lease time. */
     private static final long CLOSE_MS = 1000;
 
     private final BiConsumer<MemberName, Ballot> out;
@@ -35,7 +35,10 @@
     private Voter voter;
     private volatile boolean speaks;
 
-    /** {@code out} is called on the fleet's thread, which {@code onFleets} runs things on; {@code disk}: null for none, and then all is on the caller's thread. */
+    /**
+     * {@code out} sends the voter's messages and is called on the fleet thread, through {@code runOnFleetThread}. {@code storage} may be null; then everything
+     * runs on the caller's thread.
+     */
     VoterSeat(MemberName name, long nonce, LeaseTerms terms, VoterDisk disk, BiConsumer<MemberName, Ballot> out, Consumer<Runnable> onFleets) {
         this.out = out;
         this.onFleets = onFleets;
@@ -47,6 +50,7 @@
         run(() -> voter = new Voter(name, nonce, terms, this, disk, PeerSocket.nowMs(), System.currentTimeMillis()));
     }
 
+    /** Runs on the voter's thread if there is one, otherwise directly. */
     private void run(Runnable work) {
         if (thread == null) {
             work.run();
@@ -59,11 +63,12 @@
         }
     }
 
+    /** Handles a message from a candidate or another voter. */
     void heard(MemberName from, Ballot ballot) {
         run(() -> ballot.tell(PeerSocket.nowMs(), from, voter));
     }
 
-    /** From time to time; {@code twin}: whether another process goes by this one's name. */
+    /** Called periodically; {@code duplicate}: whether another process uses this one's name. */
     void look(boolean twin) {
         run(() -> {
             if (twin) {
@@ -73,26 +78,26 @@
         });
     }
 
-    /** Whether it answered a moment ago. */
+    /** Whether the voter answered requests, as of its last run. */
     boolean speaks() {
         return speaks;
     }
 
-    /** An orderly end. */
+    /** Clean shutdown. */
     void close() {
         CountDownLatch closed = new CountDownLatch(1);
         run(() -> {
             try {
                 voter.close(PeerSocket.nowMs());
             } catch (IOException e) {
-                LOG.log(Level.WARNING, "the voter's file is not closed: {0}", e.toString());
+                LOG.log(Level.WARNING, "fleet: the voter's file was not closed: {0}", e.toString());
             } finally {
                 closed.countDown();
             }
         });
         try {
             if (!closed.await(CLOSE_MS, TimeUnit.MILLISECONDS)) {
-                LOG.log(Level.WARNING, "the voter's file is not closed: the disk is slow");
+                LOG.log(Level.WARNING, "fleet: the voter's file was not closed: the disk is slow");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/test/java/dappleseam/fleet/lease/RankingTest.java
+++ b/src/test/java/dappleseam/fleet/lease/RankingTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Who tries first: spread evenly, and few move. */
+/** Ranks spread evenly over members, and few leases move when a member leaves. */
 class RankingTest {
     private static List<MemberName> members(int count) {
         List<MemberName> members = new ArrayList<>();
--- a/src/test/java/dappleseam/fleet/lease/VoterTest.java
+++ b/src/test/java/dappleseam/fleet/lease/VoterTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One voter, what it says, and what it keeps in a file. */
+/** One voter: its replies, and its state across restarts. */
 class VoterTest {
     private static final MemberName A = new MemberName("a");
     private static final MemberName B = new MemberName("b");
@@ -26,7 +26,7 @@
     Path folder;
     private final List<String> said = new ArrayList<>();
 
-    /** What a voter says, in words; a candidate's calls are none of its. */
+    /** Records each message of the voter as text: the method name and its arguments, with tokens as their rounds. */
     private final Answers out = (Answers) java.lang.reflect.Proxy.newProxyInstance(Answers.class.getClassLoader(), new Class<?>[] {Answers.class},
             (proxy, method, args) -> {
                 StringBuilder words = new StringBuilder(method.getName());
@@ -75,7 +75,7 @@
         voter.ask(2000, ASKS, other.sum(), LEASE);
         assertThat(last()).contains("OTHER_SET");
         assertThat(new LeaseTerms(List.of(A, B, C), 2, 1000, 0.01).sum()).isNotEqualTo(TERMS.sum());
-        assertThat(new LeaseTerms(List.of(A, B, C), 1, 3000, 0.01).sum()).as("a holder that counts longer than its voters").isNotEqualTo(TERMS.sum());
+        assertThat(new LeaseTerms(List.of(A, B, C), 1, 3000, 0.01).sum()).as("a holder with a longer lease time than its voters").isNotEqualTo(TERMS.sum());
         assertThat(new LeaseTerms(List.of(A, B, C), 1, 1000, 0).sum()).isNotEqualTo(TERMS.sum());
     }
 
@@ -95,7 +95,7 @@
         second.prepare(5001, B, TERMS.sum(), LEASE, new Token(4, 2));
         assertThat(last()).contains("refused b l 4 LOWER 5");
         second.prepare(5001, B, TERMS.sum(), LEASE, new Token(6, 2));
-        assertThat(last()).as("held for a whole lease from the start").isEqualTo("promised b l 6 5 x 999.0");
+        assertThat(last()).as("held for a whole lease time from the restart").isEqualTo("promised b l 6 5 x 999.0");
     }
 
     @Test
@@ -108,7 +108,7 @@
         assertThat(second.speaks(5999)).isFalse();
         assertThat(second.speaks(6000)).isTrue();
         second.prepare(6000, B, TERMS.sum(), LEASE, new Token(4, 2));
-        assertThat(last()).as("rounds last").contains("LOWER 5");
+        assertThat(last()).as("promised rounds survive the restart").contains("LOWER 5");
     }
 
     @Test
@@ -163,7 +163,7 @@
         voter.propose(2000, ASKS, TERMS.sum(), LEASE, new Token(5, 1), 0);
         assertThat(last()).contains("NOT_WRITTEN");
         voter.ask(2000, ASKS, TERMS.sum(), LEASE);
-        assertThat(last()).startsWith("told x l 0 0");
+        assertThat(last()).startsWith("status x l 0 0");
     }
 
     @Test
--- a/src/test/java/dappleseam/fleet/peers/EnvelopeTest.java
+++ b/src/test/java/dappleseam/fleet/peers/EnvelopeTest.java
@@ -34,7 +34,7 @@
 import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams as they go out, and whatever may come in. */
+/** Encoding and decoding of datagrams, and rejection of invalid ones. */
 class EnvelopeTest {
     private static final int HEAD = 6;
 
@@ -105,7 +105,7 @@
             assertThat(bytes.length).isLessThanOrEqualTo(Envelope.LONGEST);
             Letter read = envelope.read(bytes, bytes.length);
             assertThat(read).usingRecursiveComparison().isEqualTo(letter);
-            assertThat(letter.news().stream().mapToInt(Notice::bytes).sum()).as("what is reckoned with").isLessThanOrEqualTo(Membership.NEWS_BYTES);
+            assertThat(letter.news().stream().mapToInt(Notice::bytes).sum()).as("size by maxEncodedBytes()").isLessThanOrEqualTo(Membership.NEWS_BYTES);
         }
     }
 
@@ -152,7 +152,7 @@
         assertThatThrownBy(() -> new Notice(self.name(), self.address(), self.life(), -1, State.ALIVE, 0)).isInstanceOf(IllegalArgumentException.class);
     }
 
-    /** Whatever bytes come behind a right check sum: a letter or a reason, nothing else, and what is read can be told to a membership. */
+    /** Any bytes with a correct checksum either decode to a message, which the membership can handle, or are rejected with a reason. */
     @Test
     void noBytesDoAnythingElse() {
         SimulatedFleet fleet = new SimulatedFleet(SimulatedFleet.Module.SHIPPED, Terms.usual(2), 2, 1);
--- a/src/test/java/dappleseam/fleet/peers/LeaseDeskTest.java
+++ b/src/test/java/dappleseam/fleet/peers/LeaseDeskTest.java
@@ -26,7 +26,7 @@
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
 
-/** Tasks that go wrong, on their own threads: each loses its lease by rule. One voter, which is the process itself. */
+/** Tasks on their own threads that fail, hang or are fenced lose their leases. The process itself is the only voter. */
 class LeaseDeskTest {
     private static final LeaseName LEASE = new LeaseName("l");
     private static final MemberName SELF = new MemberName("a");
@@ -51,11 +51,11 @@
                 new ViewRecord(null), new SplittableRandom(1), now);
     }
 
-    /** Runs the desk on this thread, as the fleet's would, until that holds. */
+    /** Runs the manager on this thread, in place of the fleet thread, until the condition holds. */
     private void until(BooleanSupplier what) throws InterruptedException {
         double most = PeerSocket.nowMs() + PATIENCE_MS;
         while (!what.getAsBoolean()) {
-            assertThat(PeerSocket.nowMs()).as("in time").isLessThan(most);
+            assertThat(PeerSocket.nowMs()).as("condition not met in time").isLessThan(most);
             for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
                 task.run();
             }
@@ -105,7 +105,7 @@
         AtomicInteger acts = new AtomicInteger();
         start(new Task(permit -> {
             if (acts.incrementAndGet() <= 3) {
-                throw new IllegalStateException("planted");
+                throw new IllegalStateException("deliberate failure");
             }
         }));
         until(() -> acts.get() >= 3);
@@ -126,7 +126,7 @@
             hangs.countDown();
             double until = PeerSocket.nowMs() + 4 * LEASE_MS;
             while (PeerSocket.nowMs() < until) {
-                Thread.onSpinWait(); // deaf to interrupts
+                Thread.onSpinWait(); // ignores interrupts
             }
             after.add(String.valueOf(permit.token(0)));
         }));
@@ -154,7 +154,7 @@
         desk.end(PeerSocket.nowMs());
     }
 
-    /** A disk that takes long holds up its voter's answers, and nothing else on the fleet's thread. */
+    /** Guards against storage on the fleet thread: a slow disk may delay only the replies of its own voter. */
     @Test
     void aSlowDiskHoldsUpNobodyButItsVoter() throws Exception {
         CountDownLatch slow = new CountDownLatch(1);
@@ -170,14 +170,14 @@
             public void write(Kept kept) throws IOException {
                 try {
                     if (writes.getAndIncrement() > 0 && !slow.await(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
-                        throw new IOException("the fleet's thread never came to say so");
+                        throw new IOException("the fleet thread was blocked");
                     }
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
             }
         });
-        until(() -> writes.get() > 1); // it waits, and this thread does not
+        until(() -> writes.get() > 1); // the write blocks, and this thread does not
         assertThat(tokens).isEmpty();
         slow.countDown();
         until(() -> !tokens.isEmpty());
--- a/src/test/java/dappleseam/fleet/peers/SignalDeskTest.java
+++ b/src/test/java/dappleseam/fleet/peers/SignalDeskTest.java
@@ -20,7 +20,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** One proxy's desk: each choice by itself, and turned off while it runs. */
+/** The signal exchange of one proxy: features on their own, and turned off at run time. */
 class SignalDeskTest {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
