--- a/src/main/java/dappleseam/fleet/peers/PeerSocket.java
+++ b/src/main/java/dappleseam/fleet/peers/PeerSocket.java
@@ -185,7 +185,7 @@
                 busyMs += nowMs() - from;
             }
             last();
-        } catch (IOException | RuntimeException e) { // queries are served without the fleet
+        } catch (IOException | RuntimeException e) { // queries are served without the fleet; the log tells the operator
             LOG.log(Level.ERROR, "fleet: stopped by an error", e);
             snapshot = null;
         } finally {
