--- a/src/main/java/dappleseam/fleet/lease/FleetTask.java
+++ b/src/main/java/dappleseam/fleet/lease/FleetTask.java
@@ -6,7 +6,7 @@
     LeaseName lease();
 
     /** Time in ms from the end of one {@link #run} to the start of the next. */
-    double everyMs();
+    double intervalMs();
 
     /** Permission to act. Ask for the token again right before each action. */
     interface Permit {
@@ -18,5 +18,5 @@
     }
 
     /** Runs the task once. A task that throws three times in a row, or does not return within two lease times, loses its lease. */
-    void act(Permit permit) throws Exception;
+    void run(Permit permit) throws Exception;
 }
--- a/src/main/java/dappleseam/fleet/lease/LeaseTerms.java
+++ b/src/main/java/dappleseam/fleet/lease/LeaseConfig.java
@@ -9,13 +9,13 @@
  * one to nine). {@code number}: version of the voter set, increased by one with each change. {@code leaseMs}: lease time, from a voter's acceptance until
  * it may accept another holder. {@code drift}: by what fraction of true time a clock may run fast or slow, 0 to 0.1.
  */
-public record LeaseTerms(List<MemberName> voters, int number, double leaseMs, double drift) {
-    public static final double LEASE_MS = 10_000;
-    public static final double DRIFT = 0.01;
-    private static final int MOST_VOTERS = 9;
+public record LeaseConfig(List<MemberName> voters, int number, double leaseMs, double drift) {
+    public static final double DEFAULT_LEASE_MS = 10_000;
+    public static final double DEFAULT_DRIFT = 0.01;
+    private static final int MAX_VOTERS = 9;
 
-    public LeaseTerms {
-        if (voters.isEmpty() || voters.size() > MOST_VOTERS || voters.stream().distinct().count() < voters.size()) {
+    public LeaseConfig {
+        if (voters.isEmpty() || voters.size() > MAX_VOTERS || voters.stream().distinct().count() < voters.size()) {
             throw new IllegalArgumentException("a voter set needs 1 to 9 distinct voters");
         }
         voters = List.copyOf(voters);
@@ -30,7 +30,7 @@
      * Lease time as a holder counts it on its own clock, from before its request: shorter than {@link #leaseMs}, so that it is over before the first voter
      * may accept another holder.
      */
-    public double heldMs() {
+    public double holderLeaseMs() {
         return leaseMs * (1 - drift) / (1 + drift);
     }
 
@@ -38,7 +38,7 @@
      * Hash of the whole configuration, the order of the voters included. Voters refuse messages of another configuration: a holder with a longer lease time
      * than its voters would overlap with the next holder.
      */
-    public int sum() {
+    public int fingerprint() {
         return (voters.stream().map(MemberName::text).collect(Collectors.joining("/")) + '/' + number + '/' + leaseMs + '/' + drift).hashCode();
     }
 }
--- a/src/main/java/dappleseam/fleet/lease/Ranking.java
+++ b/src/main/java/dappleseam/fleet/lease/Ranking.java
@@ -33,21 +33,21 @@
     }
 
     /** The same for anything else that members take turns at; {@code key} is ASCII. */
-    public static int rank(String what, MemberName member, List<MemberName> members) {
-        long own = weight(what, member);
+    public static int rank(String key, MemberName member, List<MemberName> members) {
+        long own = weight(key, member);
         int before = 0;
         boolean found = false;
         for (MemberName other : members) {
-            long weight = weight(what, other);
+            long weight = weight(key, other);
             found |= other.equals(member);
             before += weight > own || weight == own && other.text().compareTo(member.text()) > 0 ? 1 : 0;
         }
         return found ? before : -1;
     }
 
-    private static long weight(String what, MemberName member) {
+    private static long weight(String key, MemberName member) {
         try {
-            byte[] hash = MessageDigest.getInstance("SHA-256").digest((what + '/' + member.text()).getBytes(StandardCharsets.US_ASCII));
+            byte[] hash = MessageDigest.getInstance("SHA-256").digest((key + '/' + member.text()).getBytes(StandardCharsets.US_ASCII));
             return ByteBuffer.wrap(hash).getLong();
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("SHA-256 is part of every Java platform", e);
--- a/src/main/java/dappleseam/fleet/lease/Token.java
+++ b/src/main/java/dappleseam/fleet/lease/Token.java
@@ -8,10 +8,10 @@
     /** Lower than every real token. */
     public static final Token NONE = new Token(0, Long.MIN_VALUE);
     /** Enough for a thousand rounds a second for a thousand years; a higher round is invalid. */
-    public static final long LAST = 1L << 45;
+    public static final long MAX_ROUND = 1L << 45;
 
     public Token {
-        if (round < 0 || round > LAST) {
+        if (round < 0 || round > MAX_ROUND) {
             throw new IllegalArgumentException("round out of range");
         }
     }
--- a/src/main/java/dappleseam/fleet/lease/Voter.java
+++ b/src/main/java/dappleseam/fleet/lease/Voter.java
@@ -1,8 +1,8 @@
 package dappleseam.fleet.lease;
 
-import dappleseam.fleet.lease.Answers.Refusal;
-import dappleseam.fleet.lease.VoterDisk.Kept;
-import dappleseam.fleet.lease.VoterDisk.Vote;
+import dappleseam.fleet.lease.VoterMessages.Refusal;
+import dappleseam.fleet.lease.VoterStorage.VoterState;
+import dappleseam.fleet.lease.VoterStorage.Vote;
 import dappleseam.fleet.membership.MemberName;
 import java.io.IOException;
 import java.util.HashMap;
@@ -17,45 +17,45 @@
  */
 public final class Voter {
     /** Maximum number of leases: each takes about 200 bytes, in memory and in the file. */
-    public static final int MOST_LEASES = 2000;
+    public static final int MAX_LEASES = 2000;
 
     private final MemberName name;
-    private final LeaseTerms terms;
-    private final Answers out;
-    private final VoterDisk disk;
-    private final Map<LeaseName, Held> votes = new LinkedHashMap<>();
+    private final LeaseConfig config;
+    private final VoterMessages out;
+    private final VoterStorage storage;
+    private final Map<LeaseName, LeaseState> leases = new LinkedHashMap<>();
     /** Last registered start of each other voter. */
-    private final Map<MemberName, Known> starts = new HashMap<>();
+    private final Map<MemberName, KnownStart> knownStarts = new HashMap<>();
     /** Other voters that have registered this start. */
-    private final Set<MemberName> registered = new HashSet<>();
+    private final Set<MemberName> registeredBy = new HashSet<>();
     /** Of these, the ones that remember an earlier start of this voter, and none as late as this one. */
-    private final Set<MemberName> confirmed = new HashSet<>();
+    private final Set<MemberName> confirmedBy = new HashSet<>();
     private final long nonce;
     /** The promise for a lease without any state. */
     private final Token floor;
     /** Until then the voter abstains after a start, unless its storage can be trusted. */
     private double silentUntil;
-    private long start;
-    private boolean trustsDisk;
+    private long startNumber;
+    private boolean trustsStorage;
     private boolean isClosed;
 
     /** Another voter's last start, the nonce of that process, and the start that was known before it; -1 if none was. */
-    private record Known(long start, long nonce, long before) {}
+    private record KnownStart(long number, long nonce, long previous) {}
 
     /** Promise and acceptance for one lease. */
-    private static final class Held {
+    private static final class LeaseState {
         Token promised;
         Token accepted = Token.NONE;
         MemberName holder;
-        double until = Double.NEGATIVE_INFINITY;
+        double heldUntil = Double.NEGATIVE_INFINITY;
 
-        Held(Token promised) {
+        LeaseState(Token promised) {
             this.promised = promised;
         }
 
         /** Whether the accepted holder's lease is still running. */
-        boolean runsAt(double nowMs) {
-            return until > nowMs;
+        boolean isHeldAt(double nowMs) {
+            return heldUntil > nowMs;
         }
     }
 
@@ -63,15 +63,15 @@
      * Starts the voter. {@code nonce}: the process's. {@code storage}: null if there is no durable storage. {@code wallMs}: wall clock time, the lowest
      * round of new ballots: rounds grow even across starts without any state, as long as fewer ballots are created than ms pass and the clock is not set back.
      */
-    public Voter(MemberName name, long nonce, LeaseTerms terms, Answers out, VoterDisk disk, double nowMs, long wallMs) {
-        floor = new Token(Math.max(0, Math.min(wallMs, Token.LAST)), Long.MIN_VALUE);
+    public Voter(MemberName name, long nonce, LeaseConfig config, VoterMessages out, VoterStorage storage, double nowMs, long wallMs) {
+        floor = new Token(Math.max(0, Math.min(wallMs, Token.MAX_ROUND)), Long.MIN_VALUE);
         this.name = name;
         this.nonce = nonce;
-        this.terms = terms;
+        this.config = config;
         this.out = out;
-        this.disk = disk;
-        silentUntil = nowMs + terms.leaseMs();
-        if (disk != null) {
+        this.storage = storage;
+        silentUntil = nowMs + config.leaseMs();
+        if (storage != null) {
             recover(nowMs);
         }
         woken();
@@ -79,15 +79,15 @@
 
     /** Called periodically: sends the start number to the voters that have not registered it yet. */
     public void woken() {
-        if (disk != null) {
-            terms.voters().stream().filter(v -> !v.equals(name) && !registered.contains(v)).forEach(v -> out.recall(v, terms.sum(), start, nonce));
+        if (storage != null) {
+            config.voters().stream().filter(v -> !v.equals(name) && !registeredBy.contains(v)).forEach(v -> out.registerStart(v, config.fingerprint(), startNumber, nonce));
         }
     }
 
     /** Another process uses this one's name: abstains for one lease time, so that two processes that know of each other do not both answer as one voter. */
-    public void twinSeen(double nowMs) {
-        trustsDisk = false;
-        silentUntil = nowMs + terms.leaseMs();
+    public void duplicateSeen(double nowMs) {
+        trustsStorage = false;
+        silentUntil = nowMs + config.leaseMs();
     }
 
     /**
@@ -96,40 +96,40 @@
      */
     private void recover(double nowMs) {
         try {
-            Kept kept = disk.read();
-            if (kept.voter().equals(name) && kept.set() == terms.sum()) {
-                start = kept.start() + 1;
-                kept.votes().forEach((lease, vote) -> {
-                    Held held = new Held(vote.promised().isBelow(floor) ? floor : vote.promised());
-                    held.accepted = vote.accepted();
-                    held.holder = vote.holder();
-                    held.until = nowMs + terms.leaseMs(); // the monotonic clock does not carry over a restart
-                    votes.put(lease, held);
+            VoterState stored = storage.read();
+            if (stored.voter().equals(name) && stored.configFingerprint() == config.fingerprint()) {
+                startNumber = stored.startNumber() + 1;
+                stored.votes().forEach((lease, vote) -> {
+                    LeaseState state = new LeaseState(vote.promised().isBelow(floor) ? floor : vote.promised());
+                    state.accepted = vote.accepted();
+                    state.holder = vote.holder();
+                    state.heldUntil = nowMs + config.leaseMs(); // the monotonic clock does not carry over a restart
+                    leases.put(lease, state);
                 });
-                trustsDisk = kept.closed();
+                trustsStorage = stored.cleanlyClosed();
             }
         } catch (IOException e) {
-            trustsDisk = false;
+            trustsStorage = false;
         }
         try {
-            keep(false);
+            persist(false);
         } catch (IOException e) {
-            trustsDisk = false; // nothing is promised before a write succeeds
+            trustsStorage = false; // nothing is promised before a write succeeds
         }
     }
 
-    private void keep(boolean closed) throws IOException {
-        if (disk != null) {
+    private void persist(boolean cleanlyClosed) throws IOException {
+        if (storage != null) {
             Map<LeaseName, Vote> all = new LinkedHashMap<>();
-            votes.forEach((lease, held) -> all.put(lease, new Vote(held.promised, held.accepted, held.holder)));
-            disk.write(new Kept(name, terms.sum(), start, closed, all));
+            leases.forEach((lease, state) -> all.put(lease, new Vote(state.promised, state.accepted, state.holder)));
+            storage.write(new VoterState(name, config.fingerprint(), startNumber, cleanlyClosed, all));
         }
     }
 
     /** Clean shutdown: nothing is answered after it, and the next start may answer at once. */
     public void close(double nowMs) throws IOException {
-        if (speaks(nowMs)) {
-            keep(true);
+        if (isActive(nowMs)) {
+            persist(true);
         }
         isClosed = true;
     }
@@ -139,152 +139,152 @@
      * by a majority, itself included, and in addition either that time is over, or the file was cleanly closed and enough other voters remember no later
      * start that at least one of them is in every majority. This detects a file restored from an earlier clean shutdown.
      */
-    public boolean speaks(double nowMs) {
-        boolean over = nowMs >= silentUntil;
-        if (isClosed || disk == null) {
-            return over && !isClosed;
+    public boolean isActive(double nowMs) {
+        boolean silenceOver = nowMs >= silentUntil;
+        if (isClosed || storage == null) {
+            return silenceOver && !isClosed;
         }
-        boolean isKnown = registered.size() + 1 >= terms.majority();
-        return isKnown && (over || trustsDisk && confirmed.size() > terms.voters().size() - terms.majority());
+        boolean isRegistered = registeredBy.size() + 1 >= config.majority();
+        return isRegistered && (silenceOver || trustsStorage && confirmedBy.size() > config.voters().size() - config.majority());
     }
 
     /** Sends a refusal and returns true if the voter cannot handle a request now. */
-    private boolean turnsAway(double nowMs, MemberName from, int set, LeaseName lease, Token ballot) {
-        Refusal why = !terms.voters().contains(name) ? Refusal.NO_VOTER : set != terms.sum() ? Refusal.OTHER_SET
-                : !speaks(nowMs) ? Refusal.ABSTAINS : votes.size() >= MOST_LEASES && !votes.containsKey(lease) ? Refusal.TOO_MANY : null;
-        if (why != null) {
-            out.refused(from, lease, ballot, why, highest(lease));
+    private boolean refuseIfUnable(double nowMs, MemberName from, int configFingerprint, LeaseName lease, Token ballot) {
+        Refusal reason = !config.voters().contains(name) ? Refusal.NO_VOTER : configFingerprint != config.fingerprint() ? Refusal.OTHER_SET
+                : !isActive(nowMs) ? Refusal.ABSTAINS : leases.size() >= MAX_LEASES && !leases.containsKey(lease) ? Refusal.TOO_MANY : null;
+        if (reason != null) {
+            out.refused(from, lease, ballot, reason, highestPromise(lease));
         }
-        return why != null;
+        return reason != null;
     }
 
-    private Token highest(LeaseName lease) {
-        Held held = votes.get(lease);
-        return held == null ? floor : held.promised;
+    private Token highestPromise(LeaseName lease) {
+        LeaseState state = leases.get(lease);
+        return state == null ? floor : state.promised;
     }
 
     /** A candidate asks for a promise. */
-    public void prepare(double nowMs, MemberName from, int set, LeaseName lease, Token ballot) {
-        if (turnsAway(nowMs, from, set, lease, ballot)) {
+    public void prepare(double nowMs, MemberName from, int configFingerprint, LeaseName lease, Token ballot) {
+        if (refuseIfUnable(nowMs, from, configFingerprint, lease, ballot)) {
             return;
         }
-        Held held = votes.computeIfAbsent(lease, l -> new Held(floor));
-        if (ballot.isBelow(held.promised)) {
-            out.refused(from, lease, ballot, Refusal.LOWER, held.promised);
+        LeaseState state = leases.computeIfAbsent(lease, l -> new LeaseState(floor));
+        if (ballot.isBelow(state.promised)) {
+            out.refused(from, lease, ballot, Refusal.LOWER, state.promised);
             return;
         }
-        Token before = held.promised;
-        held.promised = ballot;
-        if (ballot.equals(before) || written(from, lease, ballot)) {
-            boolean runs = held.runsAt(nowMs);
-            out.promised(from, lease, ballot, runs ? held.accepted : Token.NONE, runs ? held.holder : null, runs ? held.until - nowMs : 0);
+        Token previous = state.promised;
+        state.promised = ballot;
+        if (ballot.equals(previous) || persisted(from, lease, ballot)) {
+            boolean isHeld = state.isHeldAt(nowMs);
+            out.promised(from, lease, ballot, isHeld ? state.accepted : Token.NONE, isHeld ? state.holder : null, isHeld ? state.heldUntil - nowMs : 0);
         } else {
-            held.promised = before;
+            state.promised = previous;
         }
     }
 
     /** A candidate asks for the current holder. */
-    public void ask(double nowMs, MemberName from, int set, LeaseName lease) {
-        if (!turnsAway(nowMs, from, set, lease, Token.NONE)) {
-            Held held = votes.get(lease);
-            boolean runs = held != null && held.runsAt(nowMs);
-            out.told(from, lease, highest(lease), runs ? held.accepted : Token.NONE, runs ? held.holder : null, runs ? held.until - nowMs : 0);
+    public void ask(double nowMs, MemberName from, int configFingerprint, LeaseName lease) {
+        if (!refuseIfUnable(nowMs, from, configFingerprint, lease, Token.NONE)) {
+            LeaseState state = leases.get(lease);
+            boolean isHeld = state != null && state.isHeldAt(nowMs);
+            out.status(from, lease, highestPromise(lease), isHeld ? state.accepted : Token.NONE, isHeld ? state.holder : null, isHeld ? state.heldUntil - nowMs : 0);
         }
     }
 
     /** A candidate asks to be accepted as the holder, or renews. */
-    public void propose(double nowMs, MemberName from, int set, LeaseName lease, Token ballot, long turn) {
-        if (turnsAway(nowMs, from, set, lease, ballot)) {
+    public void propose(double nowMs, MemberName from, int configFingerprint, LeaseName lease, Token ballot, long proposalNumber) {
+        if (refuseIfUnable(nowMs, from, configFingerprint, lease, ballot)) {
             return;
         }
-        Held held = votes.computeIfAbsent(lease, l -> new Held(floor));
-        if (ballot.isBelow(held.promised)) {
-            out.refused(from, lease, ballot, Refusal.LOWER, held.promised);
+        LeaseState state = leases.computeIfAbsent(lease, l -> new LeaseState(floor));
+        if (ballot.isBelow(state.promised)) {
+            out.refused(from, lease, ballot, Refusal.LOWER, state.promised);
             return;
         }
-        Held before = new Held(held.promised);
-        before.accepted = held.accepted;
-        before.holder = held.holder;
-        held.promised = ballot;
-        held.accepted = ballot;
-        held.holder = from;
-        if (ballot.equals(before.accepted) || written(from, lease, ballot)) {
-            held.until = nowMs + terms.leaseMs();
-            out.accepted(from, lease, ballot, turn);
+        LeaseState previous = new LeaseState(state.promised);
+        previous.accepted = state.accepted;
+        previous.holder = state.holder;
+        state.promised = ballot;
+        state.accepted = ballot;
+        state.holder = from;
+        if (ballot.equals(previous.accepted) || persisted(from, lease, ballot)) {
+            state.heldUntil = nowMs + config.leaseMs();
+            out.accepted(from, lease, ballot, proposalNumber);
         } else {
-            held.promised = before.promised;
-            held.accepted = before.accepted;
-            held.holder = before.holder;
+            state.promised = previous.promised;
+            state.accepted = previous.accepted;
+            state.holder = previous.holder;
         }
     }
 
     /** The holder gives up its lease. */
-    public void release(double nowMs, MemberName from, int set, LeaseName lease, Token ballot) {
-        Held held = votes.get(lease);
-        if (set == terms.sum() && held != null && held.accepted.equals(ballot) && from.equals(held.holder)) {
-            held.until = nowMs;
+    public void release(double nowMs, MemberName from, int configFingerprint, LeaseName lease, Token ballot) {
+        LeaseState state = leases.get(lease);
+        if (configFingerprint == config.fingerprint() && state != null && state.accepted.equals(ballot) && from.equals(state.holder)) {
+            state.heldUntil = nowMs;
         }
     }
 
     /** Persists the votes; a vote that cannot be persisted is refused, so that no promise is lost by a restart. */
-    private boolean written(MemberName from, LeaseName lease, Token ballot) {
+    private boolean persisted(MemberName from, LeaseName lease, Token ballot) {
         try {
-            keep(false);
+            persist(false);
             return true;
         } catch (IOException e) {
-            out.refused(from, lease, ballot, Refusal.NOT_WRITTEN, highest(lease));
+            out.refused(from, lease, ballot, Refusal.NOT_WRITTEN, highestPromise(lease));
             return false;
         }
     }
 
     /** Another voter registers its start, and asks which one was known before. */
-    public void recall(MemberName from, int set, long itsStart, long itsNonce) {
-        if (set == terms.sum() && terms.voters().contains(from)) {
-            Known known = starts.get(from);
-            if (known == null || known.nonce != itsNonce && itsStart >= known.start) {
-                starts.put(from, new Known(itsStart, itsNonce, known == null ? -1 : known.start));
+    public void registerStart(MemberName from, int configFingerprint, long itsStart, long itsNonce) {
+        if (configFingerprint == config.fingerprint() && config.voters().contains(from)) {
+            KnownStart known = knownStarts.get(from);
+            if (known == null || known.nonce != itsNonce && itsStart >= known.number) {
+                knownStarts.put(from, new KnownStart(itsStart, itsNonce, known == null ? -1 : known.number));
             } else if (known.nonce != itsNonce) {
-                out.recalled(from, itsStart, itsNonce, known.start); // an old copy of its file: it is told of the later start, and not registered
+                out.startRegistered(from, itsStart, itsNonce, known.number); // an old copy of its file: it is told of the later start, and not registered
                 return;
             }
-            out.recalled(from, itsStart, itsNonce, starts.get(from).before);
+            out.startRegistered(from, itsStart, itsNonce, knownStarts.get(from).previous);
         }
     }
 
     /** Another voter has registered this start, or knows of a later one. */
-    public void recalled(MemberName from, long itsStart, long itsNonce, long known) {
-        if (itsStart != start || itsNonce != nonce || !terms.voters().contains(from) || from.equals(name)) {
+    public void startRegistered(MemberName from, long itsStart, long itsNonce, long previousStart) {
+        if (itsStart != startNumber || itsNonce != nonce || !config.voters().contains(from) || from.equals(name)) {
             return;
         }
-        if (known >= start) { // the file is an old copy, or another process runs as this voter
-            trustsDisk = false;
-            start = known + 1;
-            registered.clear();
+        if (previousStart >= startNumber) { // the file is an old copy, or another process runs as this voter
+            trustsStorage = false;
+            startNumber = previousStart + 1;
+            registeredBy.clear();
             try {
-                keep(false);
+                persist(false);
             } catch (IOException e) {
                 return; // woken() sends it again, and the next vote persists it
             }
             woken();
         } else {
-            registered.add(from);
-            if (known >= 0) {
-                confirmed.add(from);
+            registeredBy.add(from);
+            if (previousStart >= 0) {
+                confirmedBy.add(from);
             }
         }
     }
 
     /** Number of leases with a state. */
-    public int leases() {
-        return votes.size();
+    public int leaseCount() {
+        return leases.size();
     }
 
     /** Everything that determines future behaviour, with times relative to now. Lets a model checker compare states. */
     public String state(double nowMs) {
-        StringBuilder text = new StringBuilder().append(start).append(trustsDisk).append(isClosed).append(registered).append(confirmed).append(starts)
+        StringBuilder text = new StringBuilder().append(startNumber).append(trustsStorage).append(isClosed).append(registeredBy).append(confirmedBy).append(knownStarts)
                 .append(Math.round(Math.max(-1, silentUntil - nowMs)));
-        votes.forEach((lease, held) -> text.append(lease).append(held.promised).append(held.accepted).append(held.holder)
-                .append(Math.round(Math.max(-1, held.until - nowMs))));
+        leases.forEach((lease, state) -> text.append(lease).append(state.promised).append(state.accepted).append(state.holder)
+                .append(Math.round(Math.max(-1, state.heldUntil - nowMs))));
         return text.toString();
     }
 }
--- a/src/main/java/dappleseam/fleet/lease/VoterDisk.java
+++ b/src/main/java/dappleseam/fleet/lease/VoterStorage.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** Durable storage of a voter's state across restarts. */
-public interface VoterDisk {
+public interface VoterStorage {
     /** What a voter has promised and accepted for one lease; {@code holder} is null if nothing was accepted. */
     record Vote(Token promised, Token accepted, MemberName holder) {}
 
@@ -13,11 +13,11 @@
      * The whole state. {@code configFingerprint}: {@link LeaseConfig#fingerprint}; {@code startNumber} counts the voter's starts; {@code cleanlyClosed}:
      * written as the last step of a clean shutdown, so nothing was promised after it.
      */
-    record Kept(MemberName voter, int set, long start, boolean closed, Map<LeaseName, Vote> votes) {}
+    record VoterState(MemberName voter, int configFingerprint, long startNumber, boolean cleanlyClosed, Map<LeaseName, Vote> votes) {}
 
     /** Reads the state and verifies its checksum; throws if there is no state that can be trusted. */
-    Kept read() throws IOException;
+    VoterState read() throws IOException;
 
     /** Writes the state, and returns once it is durable. */
-    void write(Kept kept) throws IOException;
+    void write(VoterState state) throws IOException;
 }
--- a/src/main/java/dappleseam/fleet/peers/Unreadable.java
+++ b/src/main/java/dappleseam/fleet/peers/InvalidDatagramException.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 
 /** A datagram was rejected, and why. */
-public final class Unreadable extends IOException {
+public final class InvalidDatagramException extends IOException {
     private static final long serialVersionUID = 1L;
 
     /** As counted in the metrics. */
-    public enum Why {
+    public enum Reason {
         /** Larger than any proxy sends, or too short for a header. */
         SIZE,
         /** Not from this program, or in a format version that this build does not read. */
@@ -20,15 +20,15 @@
         MALFORMED
     }
 
-    private final transient Why why;
+    private final transient Reason reason;
 
-    Unreadable(Why why) {
-        super(why.name(), null);
-        this.why = why;
+    InvalidDatagramException(Reason reason) {
+        super(reason.name(), null);
+        this.reason = reason;
     }
 
-    public Why why() {
-        return why;
+    public Reason reason() {
+        return reason;
     }
 
     @Override
--- a/src/main/java/dappleseam/fleet/peers/ViewRecord.java
+++ b/src/main/java/dappleseam/fleet/peers/ViewRecorder.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import dappleseam.fleet.lease.LeaseName;
 import dappleseam.fleet.lease.Token;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Standing;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MembershipStatus;
 import dappleseam.router.NodeId;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -16,15 +16,15 @@
 import java.nio.file.StandardOpenOption;
 
 /** Records changes of the view, one JSON object per line, each with the machine's monotonic clock in ms. Stops at its maximum size or on a write error. */
-final class ViewRecord {
-    private static final Logger LOG = System.getLogger(ViewRecord.class.getName());
-    private static final long MOST_BYTES = 64L << 20;
+final class ViewRecorder {
+    private static final Logger LOG = System.getLogger(ViewRecorder.class.getName());
+    private static final long MAX_BYTES = 64L << 20;
 
     private JsonGenerator json;
     private OutputStream out;
-    private long left = MOST_BYTES;
+    private long remainingBytes = MAX_BYTES;
 
-    ViewRecord(Path file) {
+    ViewRecorder(Path file) {
         if (file != null) {
             try {
                 out = Files.newOutputStream(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
@@ -36,23 +36,23 @@
         }
     }
 
-    private interface Fields {
+    private interface FieldWriter {
         void write(JsonGenerator json) throws IOException;
     }
 
-    private void line(double nowMs, Fields fields) {
+    private void writeLine(double nowMs, FieldWriter fieldWriter) {
         if (json == null) {
             return;
         }
         try {
             json.writeStartObject();
             json.writeNumberField("ms", nowMs);
-            fields.write(json);
+            fieldWriter.write(json);
             json.writeEndObject();
             json.writeRaw('\n');
-            left -= json.getOutputBuffered();
+            remainingBytes -= json.getOutputBuffered();
             json.flush();
-            if (left <= 0) {
+            if (remainingBytes <= 0) {
                 close();
             }
         } catch (IOException e) {
@@ -61,68 +61,68 @@
         }
     }
 
-    void began(double nowMs, Notice self) {
-        line(nowMs, to -> {
+    void started(double nowMs, MemberEntry self) {
+        writeLine(nowMs, to -> {
             to.writeStringField("began", self.name().text());
-            to.writeNumberField("nonce", self.life().nonce());
+            to.writeNumberField("nonce", self.generation().nonce());
         });
     }
 
-    void saw(double nowMs, Notice before, Notice now) {
-        if (before != null && before.state() == now.state() && before.life().equals(now.life())) {
+    void memberChanged(double nowMs, MemberEntry previous, MemberEntry current) {
+        if (previous != null && previous.state() == current.state() && previous.generation().equals(current.generation())) {
             return; // only the incarnation changed
         }
-        line(nowMs, to -> {
-            to.writeStringField("saw", now.name().text());
-            to.writeNumberField("nonce", now.life().nonce());
-            to.writeNumberField("incarnation", now.incarnation());
-            to.writeStringField("state", now.state().name());
+        writeLine(nowMs, to -> {
+            to.writeStringField("saw", current.name().text());
+            to.writeNumberField("nonce", current.generation().nonce());
+            to.writeNumberField("incarnation", current.incarnation());
+            to.writeStringField("state", current.state().name());
         });
     }
 
-    void stands(double nowMs, Standing standing, int counted) {
-        line(nowMs, to -> {
-            to.writeStringField("stands", standing.kind().name());
-            to.writeNumberField("counted", counted);
-            to.writeNumberField("missing", standing.missing().size());
+    void statusChanged(double nowMs, MembershipStatus status, int fleetSize) {
+        writeLine(nowMs, to -> {
+            to.writeStringField("stands", status.kind().name());
+            to.writeNumberField("counted", fleetSize);
+            to.writeNumberField("missing", status.missing().size());
         });
     }
 
     /** The process did not run for {@code ms} up to now. */
-    void stoodStill(double nowMs, double ms) {
-        line(nowMs, to -> to.writeNumberField("stood_still", ms));
+    void stalled(double nowMs, double ms) {
+        writeLine(nowMs, to -> to.writeNumberField("stood_still", ms));
     }
 
-    void counts(double nowMs, int counted) {
-        line(nowMs, to -> to.writeNumberField("counted", counted));
+    void fleetSizeChanged(double nowMs, int fleetSize) {
+        writeLine(nowMs, to -> to.writeNumberField("counted", fleetSize));
     }
 
-    void takes(double nowMs, double share) {
-        line(nowMs, to -> to.writeNumberField("share", share));
+    void shareChanged(double nowMs, double share) {
+        writeLine(nowMs, to -> to.writeNumberField("share", share));
     }
 
     /** {@code FAILS}, {@code CLEARED}: this process's own observation of a cache from now on; {@code CONVICTED}: the verdict of the other members. */
-    void says(double nowMs, NodeId cache, String verdict) {
-        line(nowMs, to -> {
+    void verdictChanged(double nowMs, NodeId cache, String verdict) {
+        writeLine(nowMs, to -> {
             to.writeStringField("cache", Long.toHexString(cache.value()));
             to.writeStringField("verdict", verdict);
         });
     }
 
-    void twin(double nowMs, Notice twin) {
-        line(nowMs, to -> to.writeNumberField("twin", twin.life().nonce()));
+    void duplicateSeen(double nowMs, MemberEntry duplicate) {
+        writeLine(nowMs, to -> to.writeNumberField("twin", duplicate.generation().nonce()));
     }
 
-    void held(double nowMs, LeaseName lease, Token token, double untilMs) {
-        line(nowMs, to -> {
+    void leaseHeld(double nowMs, LeaseName lease, Token token, double untilMs) {
+        writeLine(nowMs, to -> {
             to.writeStringField("held", lease.text());
             to.writeNumberField("round", token.round());
             to.writeNumberField("until", untilMs);
         });
     }
 
-    void lost(double nowMs, LeaseName lease, Token token) {
-        line(nowMs, to -> {
+    void leaseLost(double nowMs, LeaseName lease, Token token) {
+        writeLine(nowMs, to -> {
             to.writeStringField("lost", lease.text());
             to.writeNumberField("round", token.round());
         });
--- a/src/test/java/dappleseam/fleet/peers/LeaseDeskTest.java
+++ b/src/test/java/dappleseam/fleet/peers/LeaseManagerTest.java
@@ -4,15 +4,15 @@
 
 import dappleseam.fleet.lease.FleetTask;
 import dappleseam.fleet.lease.LeaseName;
-import dappleseam.fleet.lease.LeaseTerms;
+import dappleseam.fleet.lease.LeaseConfig;
 import dappleseam.fleet.lease.Token;
-import dappleseam.fleet.lease.VoterDisk;
-import dappleseam.fleet.membership.FleetHost;
-import dappleseam.fleet.membership.Life;
+import dappleseam.fleet.lease.VoterStorage;
+import dappleseam.fleet.membership.MembershipHost;
+import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
 import dappleseam.fleet.membership.Membership;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.membership.Terms;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.membership.MembershipConfig;
 import dappleseam.lab.fleet.SimulatedFleet;
 import java.io.IOException;
 import java.nio.file.NoSuchFileException;
@@ -27,48 +27,48 @@
 import org.junit.jupiter.api.Test;
 
 /** Tasks on their own threads that fail, hang or are fenced lose their leases. The process itself is the only voter. */
-class LeaseDeskTest {
+class LeaseManagerTest {
     private static final LeaseName LEASE = new LeaseName("l");
     private static final MemberName SELF = new MemberName("a");
     private static final double LEASE_MS = 300;
-    private static final long PATIENCE_MS = 20_000;
+    private static final long TIMEOUT_MS = 20_000;
 
     private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
-    private LeaseDesk desk;
+    private LeaseManager manager;
 
     private void start(FleetTask task) {
         start(task, null);
     }
 
-    private void start(FleetTask task, VoterDisk disk) {
-        double now = PeerSocket.nowMs();
-        Notice self = new Notice(SELF, SimulatedFleet.address(1), new Life(1, 1), 0, Notice.State.ALIVE, 0);
-        FleetHost nobody = (FleetHost) java.lang.reflect.Proxy.newProxyInstance(FleetHost.class.getClassLoader(), new Class<?>[] {FleetHost.class},
+    private void start(FleetTask task, VoterStorage storage) {
+        double now = FleetAgent.nowMs();
+        MemberEntry self = new MemberEntry(SELF, SimulatedFleet.address(1), new Generation(1, 1), 0, MemberEntry.State.ALIVE, 0);
+        MembershipHost host = (MembershipHost) java.lang.reflect.Proxy.newProxyInstance(MembershipHost.class.getClassLoader(), new Class<?>[] {MembershipHost.class},
                 (proxy, method, args) -> null);
-        Membership membership = new Membership(Terms.usual(1), self, nobody, new SplittableRandom(1), now);
+        Membership membership = new Membership(MembershipConfig.defaults(1), self, host, new SplittableRandom(1), now);
         membership.begin(now, List.of());
-        desk = new LeaseDesk(membership, new LeaseTerms(List.of(SELF), 1, LEASE_MS, 0.01), disk, List.of(task), (to, ballot) -> { }, posted::add,
-                new ViewRecord(null), new SplittableRandom(1), now);
+        manager = new LeaseManager(membership, new LeaseConfig(List.of(SELF), 1, LEASE_MS, 0.01), storage, List.of(task), (to, ballot) -> { }, posted::add,
+                new ViewRecorder(null), new SplittableRandom(1), now);
     }
 
     /** Runs the manager on this thread, in place of the fleet thread, until the condition holds. */
-    private void until(BooleanSupplier what) throws InterruptedException {
-        double most = PeerSocket.nowMs() + PATIENCE_MS;
-        while (!what.getAsBoolean()) {
-            assertThat(PeerSocket.nowMs()).as("condition not met in time").isLessThan(most);
+    private void runUntil(BooleanSupplier condition) throws InterruptedException {
+        double deadline = FleetAgent.nowMs() + TIMEOUT_MS;
+        while (!condition.getAsBoolean()) {
+            assertThat(FleetAgent.nowMs()).as("condition not met in time").isLessThan(deadline);
             for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
                 task.run();
             }
-            if (PeerSocket.nowMs() >= desk.wakeAt()) {
-                desk.woken(PeerSocket.nowMs());
+            if (FleetAgent.nowMs() >= manager.wakeAt()) {
+                manager.woken(FleetAgent.nowMs());
             }
             Thread.sleep(2);
         }
     }
 
-    private record Task(Acts acts) implements FleetTask {
-        interface Acts {
-            void act(Permit permit) throws Exception;
+    private record Task(Action action) implements FleetTask {
+        interface Action {
+            void run(Permit permit) throws Exception;
         }
 
         @Override
@@ -77,46 +77,46 @@
         }
 
         @Override
-        public double everyMs() {
+        public double intervalMs() {
             return 5;
         }
 
         @Override
-        public void act(Permit permit) throws Exception {
-            acts.act(permit);
+        public void run(Permit permit) throws Exception {
+            action.run(permit);
         }
     }
 
     @Test
-    void aTaskActsWithItsTokenForLongerThanALease() throws Exception {
+    void aTaskKeepsItsTokenAcrossRenewals() throws Exception {
         Queue<Token> tokens = new ConcurrentLinkedQueue<>();
         start(new Task(permit -> tokens.add(permit.token(1))));
-        until(() -> tokens.size() > 5);
-        double from = PeerSocket.nowMs();
-        until(() -> PeerSocket.nowMs() > from + 3 * LEASE_MS);
+        runUntil(() -> tokens.size() > 5);
+        double from = FleetAgent.nowMs();
+        runUntil(() -> FleetAgent.nowMs() > from + 3 * LEASE_MS);
         assertThat(tokens.stream().distinct()).hasSize(1).doesNotContainNull();
-        assertThat(desk.held()).hasSize(1);
-        desk.end(PeerSocket.nowMs());
-        assertThat(desk.held()).isEmpty();
+        assertThat(manager.held()).hasSize(1);
+        manager.stop(FleetAgent.nowMs());
+        assertThat(manager.held()).isEmpty();
     }
 
     @Test
-    void oneThatThrowsLosesItsLeaseAndComesBackAfterARest() throws Exception {
-        AtomicInteger acts = new AtomicInteger();
+    void aFailingTaskLosesItsLeaseAndRetriesAfterBackoff() throws Exception {
+        AtomicInteger runs = new AtomicInteger();
         start(new Task(permit -> {
-            if (acts.incrementAndGet() <= 3) {
+            if (runs.incrementAndGet() <= 3) {
                 throw new IllegalStateException("deliberate failure");
             }
         }));
-        until(() -> acts.get() >= 3);
-        until(() -> desk.held().isEmpty());
-        until(() -> acts.get() > 5);
-        assertThat(desk.held()).hasSize(1);
-        desk.end(PeerSocket.nowMs());
+        runUntil(() -> runs.get() >= 3);
+        runUntil(() -> manager.held().isEmpty());
+        runUntil(() -> runs.get() > 5);
+        assertThat(manager.held()).hasSize(1);
+        manager.stop(FleetAgent.nowMs());
     }
 
     @Test
-    void oneThatHangsLosesItsLeaseAndItsPermit() throws Exception {
+    void aHangingTaskLosesItsLeaseAndItsPermit() throws Exception {
         CountDownLatch hangs = new CountDownLatch(1);
         Queue<String> after = new ConcurrentLinkedQueue<>();
         start(new Task(permit -> {
@@ -124,23 +124,23 @@
                 return;
             }
             hangs.countDown();
-            double until = PeerSocket.nowMs() + 4 * LEASE_MS;
-            while (PeerSocket.nowMs() < until) {
+            double until = FleetAgent.nowMs() + 4 * LEASE_MS;
+            while (FleetAgent.nowMs() < until) {
                 Thread.onSpinWait(); // ignores interrupts
             }
             after.add(String.valueOf(permit.token(0)));
         }));
-        until(() -> hangs.getCount() == 0);
-        until(() -> desk.held().isEmpty());
-        until(() -> !after.isEmpty());
+        runUntil(() -> hangs.getCount() == 0);
+        runUntil(() -> manager.held().isEmpty());
+        runUntil(() -> !after.isEmpty());
         assertThat(after).containsExactly("null");
-        desk.end(PeerSocket.nowMs());
+        manager.stop(FleetAgent.nowMs());
     }
 
     @Test
-    void aTaskThatIsFencedStopsAndAnotherTokenIsAboveTheOneSeen() throws Exception {
+    void aFencedTaskGetsAHigherTokenThanTheOneSeen() throws Exception {
         Queue<Token> tokens = new ConcurrentLinkedQueue<>();
-        Token seen = new Token(Token.LAST / 2, 7);
+        Token seen = new Token(Token.MAX_ROUND / 2, 7);
         start(new Task(permit -> {
             Token token = permit.token(0);
             if (token != null) {
@@ -150,26 +150,26 @@
                 }
             }
         }));
-        until(() -> tokens.stream().anyMatch(seen::isBelow));
-        desk.end(PeerSocket.nowMs());
+        runUntil(() -> tokens.stream().anyMatch(seen::isBelow));
+        manager.stop(FleetAgent.nowMs());
     }
 
     /** Guards against storage on the fleet thread: a slow disk may delay only the replies of its own voter. */
     @Test
-    void aSlowDiskHoldsUpNobodyButItsVoter() throws Exception {
+    void slowVoterStorageDoesNotBlockTheFleetThread() throws Exception {
         CountDownLatch slow = new CountDownLatch(1);
         AtomicInteger writes = new AtomicInteger();
         Queue<Token> tokens = new ConcurrentLinkedQueue<>();
-        start(new Task(permit -> tokens.add(permit.token(1))), new VoterDisk() {
+        start(new Task(permit -> tokens.add(permit.token(1))), new VoterStorage() {
             @Override
-            public Kept read() throws IOException {
+            public VoterState read() throws IOException {
                 throw new NoSuchFileException("none");
             }
 
             @Override
-            public void write(Kept kept) throws IOException {
+            public void write(VoterState kept) throws IOException {
                 try {
-                    if (writes.getAndIncrement() > 0 && !slow.await(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
+                    if (writes.getAndIncrement() > 0 && !slow.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
                         throw new IOException("the fleet thread was blocked");
                     }
                 } catch (InterruptedException e) {
@@ -177,10 +177,10 @@
                 }
             }
         });
-        until(() -> writes.get() > 1); // the write blocks, and this thread does not
+        runUntil(() -> writes.get() > 1); // the write blocks, and this thread does not
         assertThat(tokens).isEmpty();
         slow.countDown();
-        until(() -> !tokens.isEmpty());
-        desk.end(PeerSocket.nowMs());
+        runUntil(() -> !tokens.isEmpty());
+        manager.stop(FleetAgent.nowMs());
     }
 }
