--- a/src/main/java/dappleseam/fleet/peers/FleetAgent.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetAgent.java
@@ -389,7 +389,7 @@
         snapshotAt = now + SNAPSHOT_INTERVAL_MS;
         snapshot = new FleetSnapshot(now, membership.view(), membership.status(), membership.fleetSize(), membership.healthScore(), membership.duplicate(),
                 sent, received, Map.copyOf(dropped), rateLimited, membership.droppedForCapacity(), busyMs,
-                leaseManager == null ? List.of() : leaseManager.held(), leaseManager == null ? null : leaseManager.isVoterActive(), signalExchange == null ? null : signalExchange.verdicts(), signalExchange == null ? Double.NaN : signalExchange.share(), signalExchange == null ? Double.NaN : signalExchange.position());
+                leaseManager == null ? List.of() : leaseManager.heldLeases(), leaseManager == null ? null : leaseManager.isVoterActive(), signalExchange == null ? null : signalExchange.verdicts(), signalExchange == null ? Double.NaN : signalExchange.share(), signalExchange == null ? Double.NaN : signalExchange.position());
         if (membership.fleetSize() != recordedFleetSize) {
             recordedFleetSize = membership.fleetSize();
             recorder.fleetSizeChanged(now, recordedFleetSize);
--- a/src/main/java/dappleseam/fleet/peers/FleetMessage.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetMessage.java
@@ -9,7 +9,9 @@
 
 /**
  * The content of one datagram: a lease message or announcements (docs/fleet-design.md), or a call of {@link MembershipProtocol}. Every message carries the
- * sender's own entry. Fields that a kind does not use are null or empty.
+ * sender's own entry. {@code sequence}: number of a probe, by which its reply is matched; {@code subject}: the member to probe, or the one that was probed
+ * by request; {@code updates}: membership entries sent along; {@code isReply}: whether digests answer those of the recipient. Fields that a kind does not
+ * use are null or empty.
  */
 public record FleetMessage(Kind kind, MemberEntry sender, long sequence, MemberName target, MemberEntry subject, List<MemberEntry> updates, boolean isReply, int[] digests,
                      LeaseMessage leaseMessage, List<Announcement> announcements) {
@@ -24,10 +26,12 @@
         this(kind, sender, sequence, target, subject, updates, isReply, digests, null, null);
     }
 
+    /** A lease message. */
     public static FleetMessage of(MemberEntry sender, LeaseMessage leaseMessage) {
         return new FleetMessage(Kind.BALLOT, sender, 0, null, null, List.of(), false, null, leaseMessage, null);
     }
 
+    /** Announcements. */
     public static FleetMessage of(MemberEntry sender, List<Announcement> announcements) {
         return new FleetMessage(Kind.BULLETINS, sender, 0, null, null, List.of(), false, null, null, announcements);
     }
--- a/src/main/java/dappleseam/fleet/peers/LeaseManager.java
+++ b/src/main/java/dappleseam/fleet/peers/LeaseManager.java
@@ -240,7 +240,7 @@
     }
 
     /** The leases held now. */
-    List<FleetSnapshot.HeldLease> held() {
+    List<FleetSnapshot.HeldLease> heldLeases() {
         List<FleetSnapshot.HeldLease> held = new ArrayList<>();
         runners.forEach((lease, runner) -> {
             Token token = runner.currentToken();
--- a/src/main/java/dappleseam/fleet/peers/LeaseMessage.java
+++ b/src/main/java/dappleseam/fleet/peers/LeaseMessage.java
@@ -10,8 +10,10 @@
 import dappleseam.fleet.membership.MemberName;
 
 /**
- * One message between candidates and voters, as one datagram carries it: a call of {@link CandidateMessages} or {@link VoterMessages}. Fields that an
- * operation does not use have neutral values.
+ * One message between candidates and voters, as one datagram carries it: a call of {@link CandidateMessages} or {@link VoterMessages}.
+ * {@code otherToken}: the held token, or the highest promise in a refusal; {@code number}: of a proposal, or of a voter's start; {@code previousStart}: the
+ * start known before that one. In messages about a start, {@code ballot} carries the nonce of the voter's process. Fields that an operation does not use
+ * have neutral values.
  */
 public record LeaseMessage(Op op, int configFingerprint, LeaseName lease, Token ballot, Token otherToken, MemberName holder, double remainingMs, long number, long previousStart, Refusal reason) {
     /**
@@ -23,14 +25,17 @@
     /** Placeholder in messages about a start, which belong to no lease. */
     private static final LeaseName NO_LEASE = new LeaseName("-");
 
+    /** A message with a proposal number or without one. */
     static LeaseMessage numbered(Op op, int configFingerprint, LeaseName lease, Token ballot, long number) {
         return new LeaseMessage(op, configFingerprint, lease, ballot, Token.NONE, null, 0, number, 0, Refusal.LOWER);
     }
 
+    /** A reply that reports the holder. */
     static LeaseMessage withHolder(Op op, LeaseName lease, Token ballot, Token otherToken, MemberName holder, double remainingMs) {
         return new LeaseMessage(op, 0, lease, ballot, otherToken, holder, remainingMs, 0, 0, Refusal.LOWER);
     }
 
+    /** A message between voters about a start. */
     static LeaseMessage aboutStart(Op op, int configFingerprint, long startNumber, long nonce, long previousStart) {
         return new LeaseMessage(op, configFingerprint, NO_LEASE, new Token(0, nonce), Token.NONE, null, 0, startNumber, previousStart, Refusal.LOWER);
     }
--- a/src/main/java/dappleseam/fleet/peers/MessageCodec.java
+++ b/src/main/java/dappleseam/fleet/peers/MessageCodec.java
@@ -65,6 +65,7 @@
         this.fleetHash = fleet.hashCode();
     }
 
+    /** Encodes a message as a whole datagram. */
     public byte[] encode(FleetMessage message) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(MAX_BYTES);
         out.writeBytes(new byte[HEADER_BYTES]);
--- a/src/main/java/dappleseam/fleet/peers/SignalExchange.java
+++ b/src/main/java/dappleseam/fleet/peers/SignalExchange.java
@@ -57,7 +57,7 @@
     private double position = Double.NaN;
     private boolean reannounced;
 
-    /** {@code most}: announcements kept; {@code location}: as in {@link FleetAgent}; {@code out}: sends announcements to a member. */
+    /** {@code maxMembers}: maximum number of announcements kept; {@code location}: as in {@link FleetAgent}; {@code out}: sends announcements to a member. */
     public SignalExchange(Membership membership, double periodMs, int maxMembers, int location, FleetFeatures features, RouterAdapter routerAdapter, BiConsumer<InetSocketAddress, List<Announcement>> out,
                RandomGenerator random, double nowMs) {
         this.membership = membership;
--- a/src/main/java/dappleseam/fleet/peers/ViewRecorder.java
+++ b/src/main/java/dappleseam/fleet/peers/ViewRecorder.java
@@ -36,6 +36,7 @@
         }
     }
 
+    /** Writes the fields of one line. */
     private interface FieldWriter {
         void write(JsonGenerator json) throws IOException;
     }
--- a/src/test/java/dappleseam/fleet/lease/VoterTest.java
+++ b/src/test/java/dappleseam/fleet/lease/VoterTest.java
@@ -134,9 +134,9 @@
         byte[] whole = Files.readAllBytes(folder.resolve("voter"));
         Files.write(folder.resolve("voter"), java.util.Arrays.copyOf(whole, whole.length / 2));
         assertThatThrownBy(() -> storage().read()).isInstanceOf(IOException.class);
-        Voter torn = voter(storage(), 5000);
-        registerStart(torn, 0, 0);
-        assertThat(torn.isActive(5500)).isFalse();
+        Voter truncated = voter(storage(), 5000);
+        registerStart(truncated, 0, 0);
+        assertThat(truncated.isActive(5500)).isFalse();
         Files.write(folder.resolve("voter"), whole);
         Voter foreign = new Voter(B, 1, CONFIG, out, storage(), 5000, 0);
         assertThat(foreign.isActive(5500)).isFalse();
@@ -152,7 +152,7 @@
             }
 
             @Override
-            public void write(VoterState kept) throws IOException {
+            public void write(VoterState state) throws IOException {
                 throw new IOException("no space left");
             }
         };
--- a/src/test/java/dappleseam/fleet/peers/LeaseManagerTest.java
+++ b/src/test/java/dappleseam/fleet/peers/LeaseManagerTest.java
@@ -47,7 +47,7 @@
                 (proxy, method, args) -> null);
         Membership membership = new Membership(MembershipConfig.defaults(1), self, host, new SplittableRandom(1), now);
         membership.begin(now, List.of());
-        manager = new LeaseManager(membership, new LeaseConfig(List.of(SELF), 1, LEASE_MS, 0.01), storage, List.of(task), (to, ballot) -> { }, posted::add,
+        manager = new LeaseManager(membership, new LeaseConfig(List.of(SELF), 1, LEASE_MS, 0.01), storage, List.of(task), (to, message) -> { }, posted::add,
                 new ViewRecorder(null), new SplittableRandom(1), now);
     }
 
@@ -95,9 +95,9 @@
         double from = FleetAgent.nowMs();
         runUntil(() -> FleetAgent.nowMs() > from + 3 * LEASE_MS);
         assertThat(tokens.stream().distinct()).hasSize(1).doesNotContainNull();
-        assertThat(manager.held()).hasSize(1);
+        assertThat(manager.heldLeases()).hasSize(1);
         manager.stop(FleetAgent.nowMs());
-        assertThat(manager.held()).isEmpty();
+        assertThat(manager.heldLeases()).isEmpty();
     }
 
     @Test
@@ -109,9 +109,9 @@
             }
         }));
         runUntil(() -> runs.get() >= 3);
-        runUntil(() -> manager.held().isEmpty());
+        runUntil(() -> manager.heldLeases().isEmpty());
         runUntil(() -> runs.get() > 5);
-        assertThat(manager.held()).hasSize(1);
+        assertThat(manager.heldLeases()).hasSize(1);
         manager.stop(FleetAgent.nowMs());
     }
 
@@ -131,7 +131,7 @@
             after.add(String.valueOf(permit.token(0)));
         }));
         runUntil(() -> hangs.getCount() == 0);
-        runUntil(() -> manager.held().isEmpty());
+        runUntil(() -> manager.heldLeases().isEmpty());
         runUntil(() -> !after.isEmpty());
         assertThat(after).containsExactly("null");
         manager.stop(FleetAgent.nowMs());
@@ -167,7 +167,7 @@
             }
 
             @Override
-            public void write(VoterState kept) throws IOException {
+            public void write(VoterState state) throws IOException {
                 try {
                     if (writes.getAndIncrement() > 0 && !slow.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
                         throw new IOException("the fleet thread was blocked");
--- a/src/test/java/dappleseam/fleet/peers/MessageCodecTest.java
+++ b/src/test/java/dappleseam/fleet/peers/MessageCodecTest.java
@@ -83,9 +83,9 @@
     }
 
     private static byte[] withChecksum(byte[] bytes, int length) {
-        CRC32C sum = new CRC32C();
-        sum.update(bytes, HEADER_BYTES, length - HEADER_BYTES);
-        ByteBuffer.wrap(bytes).putInt(2, (int) sum.getValue());
+        CRC32C crc = new CRC32C();
+        crc.update(bytes, HEADER_BYTES, length - HEADER_BYTES);
+        ByteBuffer.wrap(bytes).putInt(2, (int) crc.getValue());
         return bytes;
     }
 
--- a/src/test/java/dappleseam/fleet/peers/SignalExchangeTest.java
+++ b/src/test/java/dappleseam/fleet/peers/SignalExchangeTest.java
@@ -33,7 +33,7 @@
                 (proxy, method, args) -> null);
         Membership membership = new Membership(MembershipConfig.defaults(4), self, host, new SplittableRandom(1), now);
         membership.begin(now, List.of());
-        RouterAdapter bridge = new RouterAdapter() {
+        RouterAdapter adapter = new RouterAdapter() {
             @Override
             public Collection<LocalObservation> observations() {
                 return List.of(new LocalObservation(new NodeId(7), 5, true, now, NEVER), new LocalObservation(ListRetrySchedule.LIST_SERVICE, 0, true, now, NEVER));
@@ -45,14 +45,14 @@
             }
 
             @Override
-            public void onVerdicts(List<PeerVerdict> words) { }
+            public void onVerdicts(List<PeerVerdict> verdicts) { }
 
             @Override
-            public void onShare(double share, double place) {
+            public void onShare(double share, double position) {
                 shares.add(share);
             }
         };
-        return new SignalExchange(membership, 1000, 100, 2, features, bridge, (to, news) -> { }, new SplittableRandom(1), now);
+        return new SignalExchange(membership, 1000, 100, 2, features, adapter, (to, announcements) -> { }, new SplittableRandom(1), now);
     }
 
     private void runRound(SignalExchange exchange) {
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void disablingAChoiceTakesEffectAtOnce() {
+    void disablingAFeatureTakesEffectAtOnce() {
         SignalExchange exchange = exchange(new FleetFeatures(true, true, false, false));
         runRound(exchange);
         assertThat(shares).singleElement().satisfies(share -> assertThat(share).isBetween(0.0, 0.25 + 1e-9));
