--- a/src/main/java/dappleseam/fleet/lease/Candidate.java
+++ b/src/main/java/dappleseam/fleet/lease/Candidate.java
@@ -54,7 +54,7 @@
         /** Start of the holder's lease time: before the first request was sent. */
         double startedAt;
         /** Voters that reported the lease free, promised or accepted, by stage. */
-        final Set<MemberName> granted = new HashSet<>();
+        final Set<MemberName> approvedBy = new HashSet<>();
         /** Voters that replied to the open request. */
         final Set<MemberName> replied = new HashSet<>();
         /** Latest time until which another member may hold the lease. */
@@ -183,7 +183,7 @@
         claim.resendsLeft--;
         scheduleResend(nowMs, claim);
         for (MemberName voter : config.voters()) {
-            if (!claim.replied.contains(voter) && !claim.granted.contains(voter)) {
+            if (!claim.replied.contains(voter) && !claim.approvedBy.contains(voter)) {
                 switch (claim.stage) {
                     case ASKING -> host.ask(voter, config.fingerprint(), claim.lease);
                     case PREPARING -> host.prepare(voter, config.fingerprint(), claim.lease, claim.ballot);
@@ -201,7 +201,7 @@
 
     private void enterStage(double nowMs, Claim claim, Stage stage) {
         claim.stage = stage;
-        claim.granted.clear();
+        claim.approvedBy.clear();
         claim.replied.clear();
         claim.heldByOtherUntil = Double.NEGATIVE_INFINITY;
         claim.resendsLeft = RESENDS;
@@ -221,11 +221,11 @@
             return;
         }
         if (held.equals(Token.NONE)) {
-            claim.granted.add(voter);
+            claim.approvedBy.add(voter);
         } else {
             claim.heldByOtherUntil = Math.max(claim.heldByOtherUntil, nowMs + remainingMs);
         }
-        if (claim.granted.size() >= config.majority()) {
+        if (claim.approvedBy.size() >= config.majority()) {
             claim.failures = 0;
             claim.freeSince = Double.isNaN(claim.freeSince) ? nowMs : claim.freeSince;
             double turnAt = claim.freeSince + Math.max(0, host.rank(lease)) * leaseShare(RANK_DELAY_SHARE);
@@ -234,7 +234,7 @@
             } else { // members of lower rank try first
                 waitFor(nowMs, claim, turnAt - nowMs);
             }
-        } else if (claim.replied.size() - claim.granted.size() >= config.majority()
+        } else if (claim.replied.size() - claim.approvedBy.size() >= config.majority()
                 || claim.replied.size() == config.voters().size()) {
             claim.failures = 0;
             claim.freeSince = Double.NaN;
@@ -274,13 +274,13 @@
             return;
         }
         if (held.equals(Token.NONE) || held.nonce() == nonce) {
-            claim.granted.add(voter);
+            claim.approvedBy.add(voter);
         } else {
             claim.heldByOtherUntil = Math.max(claim.heldByOtherUntil, nowMs + remainingMs);
         }
-        if (claim.granted.size() >= config.majority()) {
+        if (claim.approvedBy.size() >= config.majority()) {
             claim.stage = Stage.PROPOSING;
-            claim.granted.clear();
+            claim.approvedBy.clear();
             claim.replied.clear();
             claim.resendsLeft = RESENDS;
             scheduleResend(nowMs, claim);
@@ -295,8 +295,8 @@
     /** A voter accepted the proposal. */
     public void accepted(double nowMs, MemberName voter, LeaseName lease, Token ballot, long proposalNumber) {
         Claim claim = claimFor(voter, lease, ballot);
-        boolean isCurrent = claim != null && ballot.equals(claim.ballot) && proposalNumber == claim.proposalNumber && (claim.stage == Stage.PROPOSING || claim.stage == Stage.HOLDING);
-        if (!isCurrent || !claim.granted.add(voter) || claim.granted.size() != config.majority() || nowMs >= claim.startedAt + config.holderLeaseMs()) {
+        boolean isExpected = claim != null && ballot.equals(claim.ballot) && proposalNumber == claim.proposalNumber && (claim.stage == Stage.PROPOSING || claim.stage == Stage.HOLDING);
+        if (!isExpected || !claim.approvedBy.add(voter) || claim.approvedBy.size() != config.majority() || nowMs >= claim.startedAt + config.holderLeaseMs()) {
             return;
         }
         claim.heldUntil = Math.max(claim.heldUntil, claim.startedAt + config.holderLeaseMs());
@@ -310,7 +310,7 @@
     }
 
     private void renew(double nowMs, Claim claim) {
-        claim.granted.clear();
+        claim.approvedBy.clear();
         claim.replied.clear();
         claim.startedAt = nowMs;
         claim.resendsLeft = RESENDS;
@@ -345,7 +345,7 @@
     /** Everything but the random generator that determines future behaviour, with times relative to now. Lets a model checker compare states. */
     public String state(double nowMs) {
         StringBuilder text = new StringBuilder().append(lastRound);
-        claims.values().forEach(c -> text.append(c.lease).append(c.stage).append(c.ballot).append(c.proposalNumber).append(c.granted).append(c.replied).append(c.highestSeen)
+        claims.values().forEach(c -> text.append(c.lease).append(c.stage).append(c.ballot).append(c.proposalNumber).append(c.approvedBy).append(c.replied).append(c.highestSeen)
                 .append(Math.round(c.dueAt - nowMs)).append(' ').append(Math.round(c.startedAt - nowMs)).append(' ')
                 .append(Math.round(Math.max(-1, c.heldUntil - nowMs))).append(' ').append(Math.round(c.freeSince - nowMs)).append(c.failures).append(c.resendsLeft));
         return text.toString();
--- a/src/main/java/dappleseam/fleet/lease/Voter.java
+++ b/src/main/java/dappleseam/fleet/lease/Voter.java
@@ -100,11 +100,11 @@
             if (stored.voter().equals(name) && stored.configFingerprint() == config.fingerprint()) {
                 startNumber = stored.startNumber() + 1;
                 stored.votes().forEach((lease, vote) -> {
-                    LeaseState state = new LeaseState(vote.promised().isBelow(floor) ? floor : vote.promised());
-                    state.accepted = vote.accepted();
-                    state.holder = vote.holder();
-                    state.heldUntil = nowMs + config.leaseMs(); // the monotonic clock does not carry over a restart
-                    leases.put(lease, state);
+                    LeaseState leaseState = new LeaseState(vote.promised().isBelow(floor) ? floor : vote.promised());
+                    leaseState.accepted = vote.accepted();
+                    leaseState.holder = vote.holder();
+                    leaseState.heldUntil = nowMs + config.leaseMs(); // the monotonic clock does not carry over a restart
+                    leases.put(lease, leaseState);
                 });
                 trustsStorage = stored.cleanlyClosed();
             }
@@ -121,7 +121,7 @@
     private void persist(boolean cleanlyClosed) throws IOException {
         if (storage != null) {
             Map<LeaseName, Vote> all = new LinkedHashMap<>();
-            leases.forEach((lease, state) -> all.put(lease, new Vote(state.promised, state.accepted, state.holder)));
+            leases.forEach((lease, leaseState) -> all.put(lease, new Vote(leaseState.promised, leaseState.accepted, leaseState.holder)));
             storage.write(new VoterState(name, config.fingerprint(), startNumber, cleanlyClosed, all));
         }
     }
@@ -159,8 +159,8 @@
     }
 
     private Token highestPromise(LeaseName lease) {
-        LeaseState state = leases.get(lease);
-        return state == null ? floor : state.promised;
+        LeaseState leaseState = leases.get(lease);
+        return leaseState == null ? floor : leaseState.promised;
     }
 
     /** A candidate asks for a promise. */
@@ -168,27 +168,27 @@
         if (refuseIfUnable(nowMs, from, configFingerprint, lease, ballot)) {
             return;
         }
-        LeaseState state = leases.computeIfAbsent(lease, l -> new LeaseState(floor));
-        if (ballot.isBelow(state.promised)) {
-            out.refused(from, lease, ballot, Refusal.LOWER, state.promised);
+        LeaseState leaseState = leases.computeIfAbsent(lease, l -> new LeaseState(floor));
+        if (ballot.isBelow(leaseState.promised)) {
+            out.refused(from, lease, ballot, Refusal.LOWER, leaseState.promised);
             return;
         }
-        Token previous = state.promised;
-        state.promised = ballot;
+        Token previous = leaseState.promised;
+        leaseState.promised = ballot;
         if (ballot.equals(previous) || persisted(from, lease, ballot)) {
-            boolean isHeld = state.isHeldAt(nowMs);
-            out.promised(from, lease, ballot, isHeld ? state.accepted : Token.NONE, isHeld ? state.holder : null, isHeld ? state.heldUntil - nowMs : 0);
+            boolean isHeld = leaseState.isHeldAt(nowMs);
+            out.promised(from, lease, ballot, isHeld ? leaseState.accepted : Token.NONE, isHeld ? leaseState.holder : null, isHeld ? leaseState.heldUntil - nowMs : 0);
         } else {
-            state.promised = previous;
+            leaseState.promised = previous;
         }
     }
 
     /** A candidate asks for the current holder. */
     public void ask(double nowMs, MemberName from, int configFingerprint, LeaseName lease) {
         if (!refuseIfUnable(nowMs, from, configFingerprint, lease, Token.NONE)) {
-            LeaseState state = leases.get(lease);
-            boolean isHeld = state != null && state.isHeldAt(nowMs);
-            out.status(from, lease, highestPromise(lease), isHeld ? state.accepted : Token.NONE, isHeld ? state.holder : null, isHeld ? state.heldUntil - nowMs : 0);
+            LeaseState leaseState = leases.get(lease);
+            boolean isHeld = leaseState != null && leaseState.isHeldAt(nowMs);
+            out.status(from, lease, highestPromise(lease), isHeld ? leaseState.accepted : Token.NONE, isHeld ? leaseState.holder : null, isHeld ? leaseState.heldUntil - nowMs : 0);
         }
     }
 
@@ -197,32 +197,32 @@
         if (refuseIfUnable(nowMs, from, configFingerprint, lease, ballot)) {
             return;
         }
-        LeaseState state = leases.computeIfAbsent(lease, l -> new LeaseState(floor));
-        if (ballot.isBelow(state.promised)) {
-            out.refused(from, lease, ballot, Refusal.LOWER, state.promised);
+        LeaseState leaseState = leases.computeIfAbsent(lease, l -> new LeaseState(floor));
+        if (ballot.isBelow(leaseState.promised)) {
+            out.refused(from, lease, ballot, Refusal.LOWER, leaseState.promised);
             return;
         }
-        LeaseState previous = new LeaseState(state.promised);
-        previous.accepted = state.accepted;
-        previous.holder = state.holder;
-        state.promised = ballot;
-        state.accepted = ballot;
-        state.holder = from;
+        LeaseState previous = new LeaseState(leaseState.promised);
+        previous.accepted = leaseState.accepted;
+        previous.holder = leaseState.holder;
+        leaseState.promised = ballot;
+        leaseState.accepted = ballot;
+        leaseState.holder = from;
         if (ballot.equals(previous.accepted) || persisted(from, lease, ballot)) {
-            state.heldUntil = nowMs + config.leaseMs();
+            leaseState.heldUntil = nowMs + config.leaseMs();
             out.accepted(from, lease, ballot, proposalNumber);
         } else {
-            state.promised = previous.promised;
-            state.accepted = previous.accepted;
-            state.holder = previous.holder;
+            leaseState.promised = previous.promised;
+            leaseState.accepted = previous.accepted;
+            leaseState.holder = previous.holder;
         }
     }
 
     /** The holder gives up its lease. */
     public void release(double nowMs, MemberName from, int configFingerprint, LeaseName lease, Token ballot) {
-        LeaseState state = leases.get(lease);
-        if (configFingerprint == config.fingerprint() && state != null && state.accepted.equals(ballot) && from.equals(state.holder)) {
-            state.heldUntil = nowMs;
+        LeaseState leaseState = leases.get(lease);
+        if (configFingerprint == config.fingerprint() && leaseState != null && leaseState.accepted.equals(ballot) && from.equals(leaseState.holder)) {
+            leaseState.heldUntil = nowMs;
         }
     }
 
@@ -283,8 +283,8 @@
     public String state(double nowMs) {
         StringBuilder text = new StringBuilder().append(startNumber).append(trustsStorage).append(isClosed).append(registeredBy).append(confirmedBy).append(knownStarts)
                 .append(Math.round(Math.max(-1, silentUntil - nowMs)));
-        leases.forEach((lease, state) -> text.append(lease).append(state.promised).append(state.accepted).append(state.holder)
-                .append(Math.round(Math.max(-1, state.heldUntil - nowMs))));
+        leases.forEach((lease, leaseState) -> text.append(lease).append(leaseState.promised).append(leaseState.accepted).append(leaseState.holder)
+                .append(Math.round(Math.max(-1, leaseState.heldUntil - nowMs))));
         return text.toString();
     }
 }
--- a/src/main/java/dappleseam/fleet/peers/FleetAgent.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetAgent.java
@@ -277,9 +277,9 @@
     private void receive(DatagramChannel from) {
         for (int i = 0; i < MAX_BATCH; i++) {
             receiveBuffer.clear();
-            InetSocketAddress sender;
+            InetSocketAddress source;
             try {
-                sender = (InetSocketAddress) from.receive(receiveBuffer);
+                source = (InetSocketAddress) from.receive(receiveBuffer);
             } catch (PortUnreachableException e) {
                 if (from == connectedSocket && connectedPeer != null) {
                     membership.connectionRefused(nowMs(), connectedPeer);
@@ -289,7 +289,7 @@
                 LOG.log(Level.DEBUG, "fleet: {0}", e.toString());
                 return;
             }
-            if (sender == null) {
+            if (source == null) {
                 return;
             }
             double now = nowMs();
@@ -304,9 +304,9 @@
             received++;
             try {
                 FleetMessage message = codec.decode(receiveBuffer.array(), receiveBuffer.position());
-                message.deliver(sender, membership.receiver(now));
+                message.deliver(source, membership.receiver(now));
                 if (message.leaseMessage() != null && leaseManager != null) {
-                    leaseManager.receive(now, message.sender().name(), message.leaseMessage());
+                    leaseManager.handle(now, message.sender().name(), message.leaseMessage());
                 }
                 if (message.announcements() != null && signalExchange != null) {
                     signalExchange.receive(now, message.announcements());
@@ -333,10 +333,10 @@
         }
     }
 
-    private void sendLeaseMessage(MemberName to, LeaseMessage message) {
+    private void sendLeaseMessage(MemberName to, LeaseMessage leaseMessage) {
         MemberEntry peer = membership.lookup(to);
         if (peer != null) {
-            send(peer.address(), FleetMessage.of(membership.self(), message));
+            send(peer.address(), FleetMessage.of(membership.self(), leaseMessage));
         }
     }
 
@@ -365,8 +365,8 @@
     }
 
     @Override
-    public void memberChanged(MemberEntry previous, MemberEntry current) {
-        recorder.memberChanged(nowMs(), previous, current);
+    public void memberChanged(MemberEntry previous, MemberEntry updated) {
+        recorder.memberChanged(nowMs(), previous, updated);
     }
 
     @Override
@@ -389,7 +389,7 @@
         snapshotAt = now + SNAPSHOT_INTERVAL_MS;
         snapshot = new FleetSnapshot(now, membership.view(), membership.status(), membership.fleetSize(), membership.healthScore(), membership.duplicate(),
                 sent, received, Map.copyOf(dropped), rateLimited, membership.droppedForCapacity(), busyMs,
-                leaseManager == null ? List.of() : leaseManager.heldLeases(), leaseManager == null ? null : leaseManager.isVoterActive(), signalExchange == null ? null : signalExchange.verdicts(), signalExchange == null ? Double.NaN : signalExchange.share(), signalExchange == null ? Double.NaN : signalExchange.position());
+                leaseManager == null ? List.of() : leaseManager.heldLeases(), leaseManager == null ? null : leaseManager.isVoterActive(), signalExchange == null ? null : signalExchange.latestVerdicts(), signalExchange == null ? Double.NaN : signalExchange.share(), signalExchange == null ? Double.NaN : signalExchange.position());
         if (membership.fleetSize() != recordedFleetSize) {
             recordedFleetSize = membership.fleetSize();
             recorder.fleetSizeChanged(now, recordedFleetSize);
@@ -443,7 +443,7 @@
             return;
         }
         if (leaseManager != null) {
-            leaseManager.stop(nowMs());
+            leaseManager.stopAll(nowMs());
         }
         publishSnapshot(nowMs());
         if (handingOver) {
--- a/src/main/java/dappleseam/fleet/peers/FleetMessage.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetMessage.java
@@ -37,8 +37,8 @@
     }
 
     /** The same message with other membership updates. */
-    public FleetMessage withUpdates(List<MemberEntry> updates) {
-        return new FleetMessage(kind, sender, sequence, target, subject, updates, isReply, digests, leaseMessage, announcements);
+    public FleetMessage withUpdates(List<MemberEntry> newUpdates) {
+        return new FleetMessage(kind, sender, sequence, target, subject, newUpdates, isReply, digests, leaseMessage, announcements);
     }
 
     /** Calls the method for this kind. Of a lease message and of announcements, the membership gets only the sender's entry. */
--- a/src/main/java/dappleseam/fleet/peers/FleetSnapshot.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetSnapshot.java
@@ -21,7 +21,7 @@
     public record HeldLease(LeaseName lease, Token token, double sinceMs) {}
 
     /** Number of members in that state. */
-    public long count(MemberEntry.State state) {
+    public long membersIn(MemberEntry.State state) {
         return view.stream().filter(n -> n.state() == state).count();
     }
 }
--- a/src/main/java/dappleseam/fleet/peers/FleetStatusWriter.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetStatusWriter.java
@@ -27,12 +27,12 @@
         }
         text.append("# TYPE app_fleet_members gauge\n");
         for (MemberEntry.State state : MemberEntry.State.values()) {
-            text.append("app_fleet_members{state=\"").append(lowerCase(state)).append("\"} ").append(snapshot.count(state)).append('\n');
+            text.append("app_fleet_members{state=\"").append(lowerCase(state)).append("\"} ").append(snapshot.membersIn(state)).append('\n');
         }
         text.append("# TYPE app_fleet_standing gauge\n");
-        for (MembershipStatus.Kind kind : MembershipStatus.Kind.values()) {
-            text.append("app_fleet_standing{kind=\"").append(lowerCase(kind)).append("\"} ")
-                    .append(kind == snapshot.status().kind() ? 1 : 0).append('\n');
+        for (MembershipStatus.Kind statusKind : MembershipStatus.Kind.values()) {
+            text.append("app_fleet_standing{kind=\"").append(lowerCase(statusKind)).append("\"} ")
+                    .append(statusKind == snapshot.status().kind() ? 1 : 0).append('\n');
         }
         appendMetric(text, "fleet_counted", "gauge", snapshot.fleetSize());
         if (!Double.isNaN(snapshot.share())) {
@@ -58,8 +58,8 @@
         snapshot.heldLeases().forEach(l -> text.append("app_fleet_lease_held{lease=\"").append(l.lease()).append("\"} 1\n"));
         if (snapshot.verdicts() != null) {
             text.append("# TYPE app_fleet_words gauge\n");
-            for (VerdictKind kind : new VerdictKind[] {VerdictKind.HINT, VerdictKind.FAILS}) {
-                text.append("app_fleet_words{kind=\"").append(lowerCase(kind)).append("\"} ").append(snapshot.verdicts().stream().filter(s -> s.kind() == kind).count()).append('\n');
+            for (VerdictKind verdictKind : new VerdictKind[] {VerdictKind.HINT, VerdictKind.FAILS}) {
+                text.append("app_fleet_words{kind=\"").append(lowerCase(verdictKind)).append("\"} ").append(snapshot.verdicts().stream().filter(s -> s.kind() == verdictKind).count()).append('\n');
             }
         }
         appendMetric(text, "fleet_busy_ms_total", "counter", Math.round(snapshot.busyMs()));
--- a/src/main/java/dappleseam/fleet/peers/LeaseManager.java
+++ b/src/main/java/dappleseam/fleet/peers/LeaseManager.java
@@ -158,7 +158,7 @@
     }
 
     /** Handles a message from another member. */
-    void receive(double nowMs, MemberName from, LeaseMessage message) {
+    void handle(double nowMs, MemberName from, LeaseMessage message) {
         now = nowMs;
         deliver(from, message);
         deliverLocal();
@@ -166,9 +166,9 @@
 
     private void deliver(MemberName from, LeaseMessage message) {
         if (!message.isForVoter()) {
-            message.deliver(now, from, candidate);
+            message.dispatch(now, from, candidate);
         } else if (voter != null) {
-            voter.receive(from, message);
+            voter.handle(from, message);
         } else if (message.expectsReply()) {
             send(from, LeaseMessage.refusal(message.lease(), message.ballot(), VoterMessages.Refusal.NO_VOTER, Token.NONE));
         }
@@ -198,8 +198,8 @@
             voter.check(membership.duplicate() != null);
         }
         for (TaskRunner runner : runners.values()) {
-            double runningSince = runner.runningSince;
-            if (runner.currentToken() != null && runningSince < now - HANG_TIMEOUT_LEASES * config.leaseMs()) {
+            double since = runner.runningSince;
+            if (runner.currentToken() != null && since < now - HANG_TIMEOUT_LEASES * config.leaseMs()) {
                 backOff(runner, "its task hangs");
             } else if (!runner.competing && now >= runner.backoffUntil) {
                 runner.competing = true;
@@ -228,7 +228,7 @@
     }
 
     /** Clean shutdown or hand-over: stops the tasks first, then releases their leases to others. */
-    void stop(double nowMs) {
+    void stopAll(double nowMs) {
         now = nowMs;
         for (TaskRunner runner : List.copyOf(runners.values())) {
             giveUp(runner);
--- a/src/main/java/dappleseam/fleet/peers/LeaseMessage.java
+++ b/src/main/java/dappleseam/fleet/peers/LeaseMessage.java
@@ -55,7 +55,7 @@
     }
 
     /** Calls the voter's method for this operation. */
-    void deliver(double nowMs, MemberName from, Voter voter) {
+    void dispatch(double nowMs, MemberName from, Voter voter) {
         switch (op) {
             case PREPARE -> voter.prepare(nowMs, from, configFingerprint, lease, ballot);
             case ASK -> voter.ask(nowMs, from, configFingerprint, lease);
@@ -68,7 +68,7 @@
     }
 
     /** Calls the candidate's method for this operation. */
-    void deliver(double nowMs, MemberName from, Candidate candidate) {
+    void dispatch(double nowMs, MemberName from, Candidate candidate) {
         switch (op) {
             case PROMISED -> candidate.promised(nowMs, from, lease, ballot, otherToken, remainingMs);
             case TOLD -> candidate.status(nowMs, from, lease, ballot, otherToken, remainingMs);
--- a/src/main/java/dappleseam/fleet/peers/MessageCodec.java
+++ b/src/main/java/dappleseam/fleet/peers/MessageCodec.java
@@ -119,18 +119,18 @@
         return bytes;
     }
 
-    private static void encode(CBORGenerator cbor, LeaseMessage message) throws IOException {
+    private static void encode(CBORGenerator cbor, LeaseMessage leaseMessage) throws IOException {
         cbor.writeStartArray(null, LEASE_MESSAGE_FIELDS);
-        cbor.writeNumber(message.op().ordinal());
-        cbor.writeNumber(message.configFingerprint());
-        cbor.writeString(message.lease().text());
-        encode(cbor, message.ballot());
-        encode(cbor, message.otherToken());
-        cbor.writeString(message.holder() == null ? "" : message.holder().text());
-        cbor.writeNumber(Math.round(message.remainingMs()));
-        cbor.writeNumber(message.number());
-        cbor.writeNumber(message.previousStart());
-        cbor.writeNumber(message.reason().ordinal());
+        cbor.writeNumber(leaseMessage.op().ordinal());
+        cbor.writeNumber(leaseMessage.configFingerprint());
+        cbor.writeString(leaseMessage.lease().text());
+        encode(cbor, leaseMessage.ballot());
+        encode(cbor, leaseMessage.otherToken());
+        cbor.writeString(leaseMessage.holder() == null ? "" : leaseMessage.holder().text());
+        cbor.writeNumber(Math.round(leaseMessage.remainingMs()));
+        cbor.writeNumber(leaseMessage.number());
+        cbor.writeNumber(leaseMessage.previousStart());
+        cbor.writeNumber(leaseMessage.reason().ordinal());
         cbor.writeEndArray();
     }
 
@@ -283,10 +283,10 @@
     }
 
     /** Decodes an integer within a range, both ends included. */
-    private static long decodeInteger(JsonParser cbor, long min, long max) throws IOException {
+    private static long decodeInteger(JsonParser cbor, long lowest, long highest) throws IOException {
         require(cbor.nextToken() == JsonToken.VALUE_NUMBER_INT);
         long number = cbor.getLongValue();
-        require(number >= min && number <= max);
+        require(number >= lowest && number <= highest);
         return number;
     }
 
--- a/src/main/java/dappleseam/fleet/peers/SignalExchange.java
+++ b/src/main/java/dappleseam/fleet/peers/SignalExchange.java
@@ -52,7 +52,7 @@
     private double nextRoundAt;
     private int unchangedRounds;
     private List<NodeObservation> ownObservations = List.of();
-    private List<PeerVerdict> verdicts = List.of();
+    private List<PeerVerdict> latestVerdicts = List.of();
     private double share = Double.NaN;
     private double position = Double.NaN;
     private boolean reannounced;
@@ -92,9 +92,9 @@
     /** Runs a round: evaluates the announcements, gossips some, and passes the results on. */
     public void woken(double nowMs) {
         nextRoundAt = nowMs + roundMs;
-        Collection<Announcement> announcements = announcementStore.current(nowMs);
-        failureVoting.receive(announcements, this::isRunning);
-        shareCalculator.receive(nowMs, announcements.stream().filter(this::isCounted).toList());
+        Collection<Announcement> current = announcementStore.current(nowMs);
+        failureVoting.receive(current, this::isFromLiveMember);
+        shareCalculator.receive(nowMs, current.stream().filter(this::isFromCountedMember).toList());
         Set<MemberName> names = new HashSet<>();
         Set<MemberName> missing = new HashSet<>();
         for (MemberEntry entry : membership.view()) {
@@ -126,8 +126,8 @@
     }
 
     private List<NodeObservation> currentObservations(double nowMs) {
-        MembershipStatus.Kind kind = membership.status().kind();
-        boolean isConnected = kind == MembershipStatus.Kind.WITH_ALL || kind == MembershipStatus.Kind.CUT_OFF;
+        MembershipStatus.Kind statusKind = membership.status().kind();
+        boolean isConnected = statusKind == MembershipStatus.Kind.WITH_ALL || statusKind == MembershipStatus.Kind.CUT_OFF;
         return failureVoting.localObservations(nowMs, routerAdapter.observations().stream().filter(one -> isEnabled(one.node())).toList(), isConnected);
     }
 
@@ -137,10 +137,10 @@
 
     private void publishVerdicts() {
         List<PeerVerdict> current = failureVoting.verdicts(this::retryRank).stream().filter(verdict -> isEnabled(verdict.node())).toList();
-        if (!current.equals(verdicts) || ++unchangedRounds % REPEAT_ROUNDS == 0 && !current.isEmpty()) {
+        if (!current.equals(latestVerdicts) || ++unchangedRounds % REPEAT_ROUNDS == 0 && !current.isEmpty()) {
             routerAdapter.onVerdicts(current);
         }
-        verdicts = current;
+        latestVerdicts = current;
     }
 
     /** Rank of this member among the live ones, by rendezvous hashing: members with equal views agree on the order. */
@@ -149,14 +149,14 @@
     }
 
     /** Whether the announcement is of a live member, and of its current process. */
-    private boolean isRunning(Announcement announcement) {
-        return isCounted(announcement) && membership.lookup(announcement.member()).state().isLive();
+    private boolean isFromLiveMember(Announcement announcement) {
+        return isFromCountedMember(announcement) && membership.lookup(announcement.member()).state().isLive();
     }
 
     /** Whether the announcement is of a member that may take a share, as far as anyone could prove, and of its latest process. */
-    private boolean isCounted(Announcement announcement) {
-        MemberEntry entry = membership.lookup(announcement.member());
-        return entry != null && entry.state().isCounted() && entry.generation().equals(announcement.generation());
+    private boolean isFromCountedMember(Announcement announcement) {
+        MemberEntry known = membership.lookup(announcement.member());
+        return known != null && known.state().isCounted() && known.generation().equals(announcement.generation());
     }
 
     private void gossip(double nowMs) {
@@ -164,17 +164,17 @@
         others.remove(membership.self());
         for (int i = 0; i < FANOUT && !others.isEmpty(); i++) {
             MemberEntry peer = others.remove(random.nextInt(others.size()));
-            List<Announcement> announcements = announcementStore.nextBatch(nowMs, others.size() + 1);
-            if (announcements.isEmpty()) {
+            List<Announcement> batch = announcementStore.nextBatch(nowMs, others.size() + 1);
+            if (batch.isEmpty()) {
                 return;
             }
-            out.accept(peer.address(), announcements);
+            out.accept(peer.address(), batch);
         }
     }
 
     /** Verdicts of the last round; null if they are turned off. */
-    List<PeerVerdict> verdicts() {
-        return features.signals() || features.turns() ? verdicts : null;
+    List<PeerVerdict> latestVerdicts() {
+        return features.signals() || features.turns() ? latestVerdicts : null;
     }
 
     /** Caches that this process itself announces as failing. */
@@ -184,7 +184,7 @@
 
     /** Caches that the other members agree are failing. */
     Set<NodeId> convictedCaches() {
-        return verdicts.stream().filter(verdict -> verdict.kind() == VerdictKind.FAILS).map(PeerVerdict::node).collect(Collectors.toUnmodifiableSet());
+        return latestVerdicts.stream().filter(verdict -> verdict.kind() == VerdictKind.FAILS).map(PeerVerdict::node).collect(Collectors.toUnmodifiableSet());
     }
 
     /** Position among the members, by the last round; NaN if unknown or turned off: a random position applies then. */
--- a/src/main/java/dappleseam/fleet/peers/ViewRecorder.java
+++ b/src/main/java/dappleseam/fleet/peers/ViewRecorder.java
@@ -69,15 +69,15 @@
         });
     }
 
-    void memberChanged(double nowMs, MemberEntry previous, MemberEntry current) {
-        if (previous != null && previous.state() == current.state() && previous.generation().equals(current.generation())) {
+    void memberChanged(double nowMs, MemberEntry previous, MemberEntry updated) {
+        if (previous != null && previous.state() == updated.state() && previous.generation().equals(updated.generation())) {
             return; // only the incarnation changed
         }
         writeLine(nowMs, to -> {
-            to.writeStringField("saw", current.name().text());
-            to.writeNumberField("nonce", current.generation().nonce());
-            to.writeNumberField("incarnation", current.incarnation());
-            to.writeStringField("state", current.state().name());
+            to.writeStringField("saw", updated.name().text());
+            to.writeNumberField("nonce", updated.generation().nonce());
+            to.writeNumberField("incarnation", updated.incarnation());
+            to.writeStringField("state", updated.state().name());
         });
     }
 
--- a/src/main/java/dappleseam/fleet/peers/VoterRunner.java
+++ b/src/main/java/dappleseam/fleet/peers/VoterRunner.java
@@ -64,8 +64,8 @@
     }
 
     /** Handles a message from a candidate or another voter. */
-    void receive(MemberName from, LeaseMessage message) {
-        run(() -> message.deliver(FleetAgent.nowMs(), from, voter));
+    void handle(MemberName from, LeaseMessage message) {
+        run(() -> message.dispatch(FleetAgent.nowMs(), from, voter));
     }
 
     /** Called periodically; {@code duplicate}: whether another process uses this one's name. */
--- a/src/test/java/dappleseam/fleet/peers/LeaseManagerTest.java
+++ b/src/test/java/dappleseam/fleet/peers/LeaseManagerTest.java
@@ -96,7 +96,7 @@
         runUntil(() -> FleetAgent.nowMs() > from + 3 * LEASE_MS);
         assertThat(tokens.stream().distinct()).hasSize(1).doesNotContainNull();
         assertThat(manager.heldLeases()).hasSize(1);
-        manager.stop(FleetAgent.nowMs());
+        manager.stopAll(FleetAgent.nowMs());
         assertThat(manager.heldLeases()).isEmpty();
     }
 
@@ -112,7 +112,7 @@
         runUntil(() -> manager.heldLeases().isEmpty());
         runUntil(() -> runs.get() > 5);
         assertThat(manager.heldLeases()).hasSize(1);
-        manager.stop(FleetAgent.nowMs());
+        manager.stopAll(FleetAgent.nowMs());
     }
 
     @Test
@@ -134,7 +134,7 @@
         runUntil(() -> manager.heldLeases().isEmpty());
         runUntil(() -> !after.isEmpty());
         assertThat(after).containsExactly("null");
-        manager.stop(FleetAgent.nowMs());
+        manager.stopAll(FleetAgent.nowMs());
     }
 
     @Test
@@ -151,7 +151,7 @@
             }
         }));
         runUntil(() -> tokens.stream().anyMatch(seen::isBelow));
-        manager.stop(FleetAgent.nowMs());
+        manager.stopAll(FleetAgent.nowMs());
     }
 
     /** Guards against storage on the fleet thread: a slow disk may delay only the replies of its own voter. */
@@ -181,6 +181,6 @@
         assertThat(tokens).isEmpty();
         slow.countDown();
         runUntil(() -> !tokens.isEmpty());
-        manager.stop(FleetAgent.nowMs());
+        manager.stopAll(FleetAgent.nowMs());
     }
 }
--- a/src/test/java/dappleseam/fleet/peers/MessageCodecTest.java
+++ b/src/test/java/dappleseam/fleet/peers/MessageCodecTest.java
@@ -157,7 +157,7 @@
     void fuzzedDatagramsAreDecodedOrRejected() {
         SimulatedFleet fleet = new SimulatedFleet(SimulatedFleet.Module.SHIPPED, MembershipConfig.defaults(2), 2, 1);
         fleet.node(0).start(List.of());
-        Membership membership = fleet.node(0).membership();
+        Membership receiving = fleet.node(0).membership();
         Set<Reason> seen = EnumSet.noneOf(Reason.class);
         int decoded = 0;
         List<byte[]> valid = messages().stream().map(codec::encode).toList();
@@ -178,7 +178,7 @@
                 }
             }
             try {
-                codec.decode(withChecksum(bytes, length), length).deliver(SimulatedFleet.address(9), membership.receiver(i));
+                codec.decode(withChecksum(bytes, length), length).deliver(SimulatedFleet.address(9), receiving.receiver(i));
                 decoded++;
             } catch (InvalidDatagramException e) {
                 seen.add(e.reason());
@@ -186,6 +186,6 @@
         }
         assertThat(decoded).isPositive();
         assertThat(seen).contains(Reason.MALFORMED, Reason.FOREIGN);
-        assertThat(membership.view().size()).as("bounded").isLessThanOrEqualTo(MembershipConfig.DEFAULT_MAX_MEMBERS + 1);
+        assertThat(receiving.view().size()).as("bounded").isLessThanOrEqualTo(MembershipConfig.DEFAULT_MAX_MEMBERS + 1);
     }
 }
--- a/src/test/java/dappleseam/fleet/peers/SignalExchangeTest.java
+++ b/src/test/java/dappleseam/fleet/peers/SignalExchangeTest.java
@@ -65,14 +65,14 @@
         SignalExchange exchange = exchange(new FleetFeatures(true, true, false, false));
         runRound(exchange);
         assertThat(shares).singleElement().satisfies(share -> assertThat(share).isBetween(0.0, 0.25 + 1e-9));
-        assertThat(exchange.verdicts()).isNotNull();
+        assertThat(exchange.latestVerdicts()).isNotNull();
         exchange.setFeatures(new FleetFeatures(true, false, false, false));
         runRound(exchange);
         assertThat(exchange.share()).isNaN();
         assertThat(shares).hasSize(1);
         assertThat(exchange.wakeAt()).isFinite();
         exchange.setFeatures(FleetFeatures.NONE);
-        assertThat(exchange.verdicts()).isNull();
+        assertThat(exchange.latestVerdicts()).isNull();
         assertThat(exchange.wakeAt()).isInfinite();
     }
 
@@ -80,6 +80,6 @@
     void sharesAloneGiveNoCacheVerdicts() {
         SignalExchange exchange = exchange(new FleetFeatures(false, true, false, false));
         runRound(exchange);
-        assertThat(exchange.verdicts()).isNull();
+        assertThat(exchange.latestVerdicts()).isNull();
     }
 }
