--- a/src/main/java/dappleseam/fleet/lease/Candidate.java
+++ b/src/main/java/dappleseam/fleet/lease/Candidate.java
@@ -10,145 +10,151 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One process's side of all leases that it may take: asks, tries in turn, renews, and acts only while sure. Free of I/O; times are ms of a monotonic
- * clock that runs within {@link LeaseConfig#drift} of true time. Not for several threads.
+ * One process's side of all leases that it competes for: polls the voters, acquires a free lease when its turn comes, renews it, and hands out its token
+ * only while the lease is certain to be valid. Does no I/O; times are ms of a monotonic clock whose rate is within {@link LeaseConfig#drift} of true time.
+ * Not thread-safe.
  */
 public final class Candidate {
-    /** Places in the order of trying that ask the voters; the others only look at their place from time to time. */
-    public static final int ASKING = 3;
-    /** Shares of a lease: between two questions, from a question on in which answers count, between two places' tries, at most by chance on top. */
-    private static final double ASK_SHARE = 0.25;
-    private static final double ANSWER_SHARE = 0.2;
-    /** Times that a question is sent again within that, to those that have not answered: guards a lease against links that lose a third. */
+    /** Members per lease that poll the voters: the first by rank. All others only check their rank from time to time. */
+    public static final int MAX_CONTENDERS = 3;
+    /** Fractions of the lease time: between two polls, and the time in which replies to a request count. */
+    private static final double POLL_SHARE = 0.25;
+    private static final double TIMEOUT_SHARE = 0.2;
+    /** Resends of a request within its timeout, to voters that have not replied: keeps a lease over links that lose a third of the datagrams. */
     private static final int RESENDS = 3;
-    private static final double PLACE_SHARE = 0.05;
-    private static final double CHANCE_SHARE = 0.05;
-    /** Share of its own reckoning after which it renews, and before whose end it stops the task. */
+    /** Fractions of the lease time: the delay of each rank behind the one before it, and the largest random jitter. */
+    private static final double RANK_DELAY_SHARE = 0.05;
+    private static final double JITTER_SHARE = 0.05;
+    /** Fraction of the holder's own lease time after which it renews, and fraction of the lease time before expiry at which it stops the task. */
     private static final double RENEW_SHARE = 0.3;
     private static final double STOP_SHARE = 0.1;
 
     private final long nonce;
-    private final LeaseConfig terms;
+    private final LeaseConfig config;
     private final CandidateHost host;
     private final RandomGenerator random;
     private final Map<LeaseName, Claim> claims = new LinkedHashMap<>();
-    /** Questions in a row without an answer of a majority after which that is said. */
-    private static final int SILENT = 2;
-    private double wokenAt = Double.NaN;
-    /** Last round that this process made. */
-    private long made;
+    /** Consecutive polls without replies from a majority after which a line is logged. */
+    private static final int LOGGED_FAILURES = 2;
+    private double scheduledAt = Double.NaN;
+    /** Highest round used by this process. */
+    private long lastRound;
 
     private enum Stage { WAITING, ASKING, PREPARING, PROPOSING, HOLDING }
 
+    /** State of the competition for one lease. */
     private static final class Claim {
         final LeaseName lease;
         Stage stage = Stage.WAITING;
-        /** When something is due for it. */
+        /** Time of the next action for this lease. */
         double dueAt;
         Token ballot = Token.NONE;
-        /** Of the proposals of that ballot. */
-        long turn;
-        /** From when on a holder reckons: before anything was sent. */
-        double beganAt;
-        final Set<MemberName> yes = new HashSet<>();
-        final Set<MemberName> heard = new HashSet<>();
-        /** Longest time for which somebody else may still hold it. */
-        double takenUntil = Double.NEGATIVE_INFINITY;
-        Token highest = Token.NONE;
-        double until = Double.NEGATIVE_INFINITY;
-        /** Since when it is known to be free; NaN where it is not. */
+        /** Number of the last proposal of {@link #ballot}. */
+        long proposalNumber;
+        /** Start of the holder's lease time: before the first request was sent. */
+        double startedAt;
+        /** Voters that reported the lease free, promised or accepted, by stage. */
+        final Set<MemberName> approvedBy = new HashSet<>();
+        /** Voters that replied to the open request. */
+        final Set<MemberName> replied = new HashSet<>();
+        /** Latest time until which another member may hold the lease. */
+        double heldByOtherUntil = Double.NEGATIVE_INFINITY;
+        Token highestSeen = Token.NONE;
+        double heldUntil = Double.NEGATIVE_INFINITY;
+        /** Since when the lease is known to be free; NaN if it is not. */
         double freeSince = Double.NaN;
         int failures;
-        /** Of the question that is open. */
-        int resends;
+        /** Remaining resends of the open request. */
+        int resendsLeft;
 
         Claim(LeaseName lease) {
             this.lease = lease;
         }
     }
 
-    /** {@code nonce}: this process's, no other's ever. */
-    public Candidate(long nonce, LeaseConfig terms, CandidateHost host, RandomGenerator random) {
+    /** {@code nonce}: unique to this process. */
+    public Candidate(long nonce, LeaseConfig config, CandidateHost host, RandomGenerator random) {
         this.nonce = nonce;
-        this.terms = terms;
+        this.config = config;
         this.host = host;
         this.random = random;
     }
 
-    /** This process would do that task, in its turn. */
+    /** Starts competing for the lease. */
     public void acquire(double nowMs, LeaseName lease) {
         Claim claim = claims.computeIfAbsent(lease, Claim::new);
-        claim.dueAt = nowMs + random.nextDouble() * CHANCE_SHARE * terms.leaseMs();
-        leave();
+        claim.dueAt = nowMs + random.nextDouble() * JITTER_SHARE * config.leaseMs();
+        scheduleWakeUp();
     }
 
-    /** Gives it up, and does not want it any more: the task has been stopped. */
+    /** Stops competing for the lease and releases it if held. The task must have been stopped before. */
     public void release(double nowMs, LeaseName lease) {
         Claim claim = claims.remove(lease);
         if (claim != null && claim.stage == Stage.HOLDING) {
-            terms.voters().forEach(v -> host.release(v, terms.fingerprint(), lease, claim.ballot));
+            config.voters().forEach(v -> host.release(v, config.fingerprint(), lease, claim.ballot));
         }
-        leave();
+        scheduleWakeUp();
     }
 
-    /** The token to act with, where that is allowed for so many ms from now on; null where it is not. To be asked at the instant of acting. */
+    /** The token, if the lease is certain to be held for {@code forMs} from now on; null otherwise. Call it right before each action. */
     public Token validToken(double nowMs, LeaseName lease, double forMs) {
         Claim claim = claims.get(lease);
-        return claim != null && claim.stage == Stage.HOLDING && nowMs + forMs < claim.until ? claim.ballot : null;
+        return claim != null && claim.stage == Stage.HOLDING && nowMs + forMs < claim.heldUntil ? claim.ballot : null;
     }
 
-    /** A resource has seen a higher token than this one's: whoever had it came after. */
+    /** A resource has seen a higher token, so a later holder exists. */
     public void fenced(double nowMs, LeaseName lease, Token seen) {
         Claim claim = claims.get(lease);
         if (claim != null) {
-            raise(claim, seen);
+            raiseHighestSeen(claim, seen);
             if (claim.stage == Stage.HOLDING && claim.ballot.isBelow(seen)) {
-                lose(nowMs, claim, "a resource has seen a later holder");
+                lose(nowMs, claim, "a resource has seen a later holder's token");
             }
-            leave();
+            scheduleWakeUp();
         }
     }
 
+    /** The wake-up requested by {@link CandidateHost#wakeAt}. */
     public void woken(double nowMs) {
-        wokenAt = Double.NaN;
-        for (Claim claim : List.copyOf(claims.values())) { // a task that is stopped may give its lease up
+        scheduledAt = Double.NaN;
+        for (Claim claim : List.copyOf(claims.values())) { // a copy: stopping a task may release its lease and remove the claim
             if (claim.dueAt <= nowMs) {
-                due(nowMs, claim);
+                handleDue(nowMs, claim);
             }
         }
-        leave();
+        scheduleWakeUp();
     }
 
-    private void leave() {
+    private void scheduleWakeUp() {
         double next = claims.values().stream().mapToDouble(c -> c.dueAt).min().orElse(Double.NaN);
-        if (!Double.isNaN(next) && next != wokenAt) {
-            wokenAt = next;
+        if (!Double.isNaN(next) && next != scheduledAt) {
+            scheduledAt = next;
             host.wakeAt(next);
         }
     }
 
-    private double span(double share) {
-        return share * terms.leaseMs();
+    private double leaseShare(double share) {
+        return share * config.leaseMs();
     }
 
-    private void due(double nowMs, Claim claim) {
+    private void handleDue(double nowMs, Claim claim) {
         switch (claim.stage) {
-            case WAITING -> ask(nowMs, claim);
+            case WAITING -> poll(nowMs, claim);
             case ASKING, PREPARING, PROPOSING -> {
-                if (claim.resends > 0) {
+                if (claim.resendsLeft > 0) {
                     resend(nowMs, claim);
                     return;
                 }
                 claim.failures++;
-                if (claim.stage == Stage.ASKING && claim.failures == SILENT) {
-                    host.log("lease " + claim.lease + ": no majority of voters answers");
+                if (claim.stage == Stage.ASKING && claim.failures == LOGGED_FAILURES) {
+                    host.log("lease " + claim.lease + ": no replies from a majority of voters");
                 }
-                waitFor(nowMs, claim, span(ASK_SHARE) * Math.min(4, claim.failures));
+                waitFor(nowMs, claim, leaseShare(POLL_SHARE) * Math.min(4, claim.failures));
             }
             case HOLDING -> {
-                if (nowMs >= claim.until - span(STOP_SHARE)) {
+                if (nowMs >= claim.heldUntil - leaseShare(STOP_SHARE)) {
                     lose(nowMs, claim, "not renewed in time");
-                } else if (claim.resends > 0) {
+                } else if (claim.resendsLeft > 0) {
                     resend(nowMs, claim);
                 } else {
                     renew(nowMs, claim);
@@ -159,186 +165,189 @@
 
     private void waitFor(double nowMs, Claim claim, double ms) {
         claim.stage = Stage.WAITING;
-        claim.dueAt = nowMs + ms + random.nextDouble() * span(CHANCE_SHARE);
+        claim.dueAt = nowMs + ms + random.nextDouble() * leaseShare(JITTER_SHARE);
     }
 
-    private void ask(double nowMs, Claim claim) {
+    private void poll(double nowMs, Claim claim) {
         int rank = host.rank(claim.lease);
-        if (rank < 0 || rank >= ASKING) {
-            waitFor(nowMs, claim, span(ASK_SHARE));
+        if (rank < 0 || rank >= MAX_CONTENDERS) {
+            waitFor(nowMs, claim, leaseShare(POLL_SHARE));
             return;
         }
-        begin(nowMs, claim, Stage.ASKING);
-        terms.voters().forEach(v -> host.ask(v, terms.fingerprint(), claim.lease));
+        enterStage(nowMs, claim, Stage.ASKING);
+        config.voters().forEach(v -> host.ask(v, config.fingerprint(), claim.lease));
     }
 
-    /** The same question: a voter that has it already answers again. */
+    /** Sends the open request again; a voter that has already handled it replies again. */
     private void resend(double nowMs, Claim claim) {
-        claim.resends--;
-        await(nowMs, claim);
-        for (MemberName voter : terms.voters()) {
-            if (!claim.heard.contains(voter) && !claim.yes.contains(voter)) {
+        claim.resendsLeft--;
+        scheduleResend(nowMs, claim);
+        for (MemberName voter : config.voters()) {
+            if (!claim.replied.contains(voter) && !claim.approvedBy.contains(voter)) {
                 switch (claim.stage) {
-                    case ASKING -> host.ask(voter, terms.fingerprint(), claim.lease);
-                    case PREPARING -> host.prepare(voter, terms.fingerprint(), claim.lease, claim.ballot);
-                    default -> host.propose(voter, terms.fingerprint(), claim.lease, claim.ballot, claim.turn);
+                    case ASKING -> host.ask(voter, config.fingerprint(), claim.lease);
+                    case PREPARING -> host.prepare(voter, config.fingerprint(), claim.lease, claim.ballot);
+                    default -> host.propose(voter, config.fingerprint(), claim.lease, claim.ballot, claim.proposalNumber);
                 }
             }
         }
     }
 
-    /** Until the next sending, or the end, of the question that is open. */
-    private void await(double nowMs, Claim claim) {
-        double due = nowMs + span(ANSWER_SHARE) / (1 + RESENDS);
-        claim.dueAt = claim.stage == Stage.HOLDING ? Math.min(due, claim.until - span(STOP_SHARE)) : due;
+    /** Sets the time of the next resend, or of the timeout of the open request. */
+    private void scheduleResend(double nowMs, Claim claim) {
+        double resendAt = nowMs + leaseShare(TIMEOUT_SHARE) / (1 + RESENDS);
+        claim.dueAt = claim.stage == Stage.HOLDING ? Math.min(resendAt, claim.heldUntil - leaseShare(STOP_SHARE)) : resendAt;
     }
 
-    private void begin(double nowMs, Claim claim, Stage stage) {
+    private void enterStage(double nowMs, Claim claim, Stage stage) {
         claim.stage = stage;
-        claim.yes.clear();
-        claim.heard.clear();
-        claim.takenUntil = Double.NEGATIVE_INFINITY;
-        claim.resends = RESENDS;
-        await(nowMs, claim);
+        claim.approvedBy.clear();
+        claim.replied.clear();
+        claim.heldByOtherUntil = Double.NEGATIVE_INFINITY;
+        claim.resendsLeft = RESENDS;
+        scheduleResend(nowMs, claim);
     }
 
-    private static void raise(Claim claim, Token seen) {
-        if (claim.highest.isBelow(seen)) {
-            claim.highest = seen;
+    private static void raiseHighestSeen(Claim claim, Token seen) {
+        if (claim.highestSeen.isBelow(seen)) {
+            claim.highestSeen = seen;
         }
     }
 
-    /** What a voter says of who holds it. */
-    public void status(double nowMs, MemberName voter, LeaseName lease, Token highest, Token held, double leftMs) {
-        Claim claim = heard(voter, lease, highest);
-        if (claim == null || claim.stage != Stage.ASKING || !claim.heard.add(voter)) {
+    /** A voter's reply to a poll: the current holder, if there is one. */
+    public void status(double nowMs, MemberName voter, LeaseName lease, Token highest, Token held, double remainingMs) {
+        Claim claim = claimFor(voter, lease, highest);
+        if (claim == null || claim.stage != Stage.ASKING || !claim.replied.add(voter)) {
             return;
         }
         if (held.equals(Token.NONE)) {
-            claim.yes.add(voter);
+            claim.approvedBy.add(voter);
         } else {
-            claim.takenUntil = Math.max(claim.takenUntil, nowMs + leftMs);
+            claim.heldByOtherUntil = Math.max(claim.heldByOtherUntil, nowMs + remainingMs);
         }
-        if (claim.yes.size() >= terms.majority()) {
+        if (claim.approvedBy.size() >= config.majority()) {
             claim.failures = 0;
             claim.freeSince = Double.isNaN(claim.freeSince) ? nowMs : claim.freeSince;
-            double turn = claim.freeSince + Math.max(0, host.rank(lease)) * span(PLACE_SHARE);
-            if (nowMs >= turn) {
+            double turnAt = claim.freeSince + Math.max(0, host.rank(lease)) * leaseShare(RANK_DELAY_SHARE);
+            if (nowMs >= turnAt) {
                 prepare(nowMs, claim);
-            } else { // those before it try first; it looks again then
-                waitFor(nowMs, claim, turn - nowMs);
+            } else { // members of lower rank try first
+                waitFor(nowMs, claim, turnAt - nowMs);
             }
-        } else if (claim.heard.size() - claim.yes.size() >= terms.majority()
-                || claim.heard.size() == terms.voters().size()) {
+        } else if (claim.replied.size() - claim.approvedBy.size() >= config.majority()
+                || claim.replied.size() == config.voters().size()) {
             claim.failures = 0;
             claim.freeSince = Double.NaN;
-            waitFor(nowMs, claim, Math.min(span(ASK_SHARE), Math.max(0, claim.takenUntil - nowMs)));
+            waitFor(nowMs, claim, Math.min(leaseShare(POLL_SHARE), Math.max(0, claim.heldByOtherUntil - nowMs)));
         }
-        leave();
+        scheduleWakeUp();
     }
 
-    /** The claim that an answer is for, or null. */
-    private Claim heard(MemberName voter, LeaseName lease, Token highest) {
+    /** The claim that a reply belongs to, or null; takes note of the highest ballot. */
+    private Claim claimFor(MemberName voter, LeaseName lease, Token highest) {
         Claim claim = claims.get(lease);
-        if (claim == null || !terms.voters().contains(voter)) {
+        if (claim == null || !config.voters().contains(voter)) {
             return null;
         }
-        raise(claim, highest);
+        raiseHighestSeen(claim, highest);
         return claim;
     }
 
     private void prepare(double nowMs, Claim claim) {
-        if (Math.max(made, claim.highest.round()) >= Token.MAX_ROUND) {
-            waitFor(nowMs, claim, span(1));
+        if (Math.max(lastRound, claim.highestSeen.round()) >= Token.MAX_ROUND) {
+            waitFor(nowMs, claim, leaseShare(1));
             return;
         }
-        begin(nowMs, claim, Stage.PREPARING);
-        made = Math.max(made, claim.highest.round()) + 1; // never the same twice, whatever the voters forgot
-        claim.ballot = new Token(made, nonce);
-        raise(claim, claim.ballot);
-        // From here on, not from the proposal: a voter that forgets its promise is silent until no answer to this ballot counts any more.
-        claim.beganAt = nowMs;
-        terms.voters().forEach(v -> host.prepare(v, terms.fingerprint(), claim.lease, claim.ballot));
+        enterStage(nowMs, claim, Stage.PREPARING);
+        lastRound = Math.max(lastRound, claim.highestSeen.round()) + 1; // a round is never reused, even if voters have lost their state
+        claim.ballot = new Token(lastRound, nonce);
+        raiseHighestSeen(claim, claim.ballot);
+        // Counted from here, not from the proposal: a voter that loses its promise abstains until replies to this ballot no longer count.
+        claim.startedAt = nowMs;
+        config.voters().forEach(v -> host.prepare(v, config.fingerprint(), claim.lease, claim.ballot));
     }
 
-    public void promised(double nowMs, MemberName voter, LeaseName lease, Token ballot, Token held, double leftMs) {
-        Claim claim = heard(voter, lease, held);
-        if (claim == null || claim.stage != Stage.PREPARING || !ballot.equals(claim.ballot) || !claim.heard.add(voter)) {
+    /** A voter promised the ballot; {@code held} is a token that is still valid there, or {@link Token#NONE}. */
+    public void promised(double nowMs, MemberName voter, LeaseName lease, Token ballot, Token held, double remainingMs) {
+        Claim claim = claimFor(voter, lease, held);
+        if (claim == null || claim.stage != Stage.PREPARING || !ballot.equals(claim.ballot) || !claim.replied.add(voter)) {
             return;
         }
         if (held.equals(Token.NONE) || held.nonce() == nonce) {
-            claim.yes.add(voter);
+            claim.approvedBy.add(voter);
         } else {
-            claim.takenUntil = Math.max(claim.takenUntil, nowMs + leftMs);
+            claim.heldByOtherUntil = Math.max(claim.heldByOtherUntil, nowMs + remainingMs);
         }
-        if (claim.yes.size() >= terms.majority()) {
+        if (claim.approvedBy.size() >= config.majority()) {
             claim.stage = Stage.PROPOSING;
-            claim.yes.clear();
-            claim.heard.clear();
-            claim.resends = RESENDS;
-            await(nowMs, claim);
-            terms.voters().forEach(v -> host.propose(v, terms.fingerprint(), lease, claim.ballot, claim.turn));
-        } else if (claim.heard.size() == terms.voters().size()) {
+            claim.approvedBy.clear();
+            claim.replied.clear();
+            claim.resendsLeft = RESENDS;
+            scheduleResend(nowMs, claim);
+            config.voters().forEach(v -> host.propose(v, config.fingerprint(), lease, claim.ballot, claim.proposalNumber));
+        } else if (claim.replied.size() == config.voters().size()) {
             claim.freeSince = Double.NaN;
-            waitFor(nowMs, claim, Math.min(span(ASK_SHARE), Math.max(0, claim.takenUntil - nowMs)));
+            waitFor(nowMs, claim, Math.min(leaseShare(POLL_SHARE), Math.max(0, claim.heldByOtherUntil - nowMs)));
         }
-        leave();
+        scheduleWakeUp();
     }
 
-    public void accepted(double nowMs, MemberName voter, LeaseName lease, Token ballot, long turn) {
-        Claim claim = heard(voter, lease, ballot);
-        boolean counts = claim != null && ballot.equals(claim.ballot) && turn == claim.turn && (claim.stage == Stage.PROPOSING || claim.stage == Stage.HOLDING);
-        if (!counts || !claim.yes.add(voter) || claim.yes.size() != terms.majority() || nowMs >= claim.beganAt + terms.heldMs()) {
+    /** A voter accepted the proposal. */
+    public void accepted(double nowMs, MemberName voter, LeaseName lease, Token ballot, long proposalNumber) {
+        Claim claim = claimFor(voter, lease, ballot);
+        boolean isExpected = claim != null && ballot.equals(claim.ballot) && proposalNumber == claim.proposalNumber && (claim.stage == Stage.PROPOSING || claim.stage == Stage.HOLDING);
+        if (!isExpected || !claim.approvedBy.add(voter) || claim.approvedBy.size() != config.majority() || nowMs >= claim.startedAt + config.holderLeaseMs()) {
             return;
         }
-        claim.until = Math.max(claim.until, claim.beganAt + terms.heldMs());
+        claim.heldUntil = Math.max(claim.heldUntil, claim.startedAt + config.holderLeaseMs());
         claim.failures = 0;
-        claim.resends = 0;
+        claim.resendsLeft = 0;
         claim.freeSince = Double.NaN;
-        claim.dueAt = Math.min(nowMs + terms.heldMs() * RENEW_SHARE, claim.until - span(STOP_SHARE));
+        claim.dueAt = Math.min(nowMs + config.holderLeaseMs() * RENEW_SHARE, claim.heldUntil - leaseShare(STOP_SHARE));
         claim.stage = Stage.HOLDING;
-        host.granted(lease, ballot, claim.until);
-        leave();
+        host.granted(lease, ballot, claim.heldUntil);
+        scheduleWakeUp();
     }
 
     private void renew(double nowMs, Claim claim) {
-        claim.yes.clear();
-        claim.heard.clear();
-        claim.beganAt = nowMs;
-        claim.resends = RESENDS;
-        await(nowMs, claim);
-        claim.turn++;
-        terms.voters().forEach(v -> host.propose(v, terms.fingerprint(), claim.lease, claim.ballot, claim.turn));
+        claim.approvedBy.clear();
+        claim.replied.clear();
+        claim.startedAt = nowMs;
+        claim.resendsLeft = RESENDS;
+        scheduleResend(nowMs, claim);
+        claim.proposalNumber++;
+        config.voters().forEach(v -> host.propose(v, config.fingerprint(), claim.lease, claim.ballot, claim.proposalNumber));
     }
 
-    public void refused(double nowMs, MemberName voter, LeaseName lease, Token ballot, Refusal why, Token highest) {
-        Claim claim = heard(voter, lease, highest);
+    /** A voter refused the ballot; {@code highest} is what it has promised. */
+    public void refused(double nowMs, MemberName voter, LeaseName lease, Token ballot, Refusal reason, Token highest) {
+        Claim claim = claimFor(voter, lease, highest);
         if (claim == null) {
             return;
         }
-        if (why == Refusal.OTHER_SET || why == Refusal.NO_VOTER) {
-            host.log("lease " + lease + ": " + voter + " is of another set of voters: " + why);
+        if (reason == Refusal.OTHER_SET || reason == Refusal.NO_VOTER) {
+            host.log("lease " + lease + ": voter " + voter + " has another lease configuration: " + reason);
         }
-        boolean current = ballot.equals(claim.ballot) && (claim.stage == Stage.PREPARING || claim.stage == Stage.PROPOSING);
-        if (current && why == Refusal.LOWER) {
+        boolean isCurrent = ballot.equals(claim.ballot) && (claim.stage == Stage.PREPARING || claim.stage == Stage.PROPOSING);
+        if (isCurrent && reason == Refusal.LOWER) {
             claim.failures++;
-            waitFor(nowMs, claim, random.nextDouble() * span(PLACE_SHARE) * Math.min(8, claim.failures));
-            leave();
+            waitFor(nowMs, claim, random.nextDouble() * leaseShare(RANK_DELAY_SHARE) * Math.min(8, claim.failures));
+            scheduleWakeUp();
         }
     }
 
-    private void lose(double nowMs, Claim claim, String why) {
-        claim.until = Double.NEGATIVE_INFINITY;
-        host.lost(claim.lease, claim.ballot, why);
-        waitFor(nowMs, claim, span(ASK_SHARE));
+    private void lose(double nowMs, Claim claim, String reason) {
+        claim.heldUntil = Double.NEGATIVE_INFINITY;
+        host.lost(claim.lease, claim.ballot, reason);
+        waitFor(nowMs, claim, leaseShare(POLL_SHARE));
     }
 
-    /** All that decides what it does next but chance, times from now on: for a checker that has to tell states apart. */
+    /** Everything but the random generator that determines future behaviour, with times relative to now. Lets a model checker compare states. */
     public String state(double nowMs) {
-        StringBuilder text = new StringBuilder().append(made);
-        claims.values().forEach(c -> text.append(c.lease).append(c.stage).append(c.ballot).append(c.turn).append(c.yes).append(c.heard).append(c.highest)
-                .append(Math.round(c.dueAt - nowMs)).append(' ').append(Math.round(c.beganAt - nowMs)).append(' ')
-                .append(Math.round(Math.max(-1, c.until - nowMs))).append(' ').append(Math.round(c.freeSince - nowMs)).append(c.failures).append(c.resends));
+        StringBuilder text = new StringBuilder().append(lastRound);
+        claims.values().forEach(c -> text.append(c.lease).append(c.stage).append(c.ballot).append(c.proposalNumber).append(c.approvedBy).append(c.replied).append(c.highestSeen)
+                .append(Math.round(c.dueAt - nowMs)).append(' ').append(Math.round(c.startedAt - nowMs)).append(' ')
+                .append(Math.round(Math.max(-1, c.heldUntil - nowMs))).append(' ').append(Math.round(c.freeSince - nowMs)).append(c.failures).append(c.resendsLeft));
         return text.toString();
     }
 }
--- a/src/main/java/dappleseam/fleet/lease/Voter.java
+++ b/src/main/java/dappleseam/fleet/lease/Voter.java
@@ -12,270 +12,279 @@
 import java.util.Set;
 
 /**
- * One voter's side of all leases: promises, acceptances, and silence after a start (PaxosLease, Trencseni, Gazso, Reinhardt 2012; what differs stands in
- * docs/fleet-design.md). Free of I/O but for the disk it is given; times are ms of a monotonic clock. Not for several threads.
+ * One voter's side of all leases: promises, acceptances, and abstention after a start (PaxosLease, Trencseni, Gazso, Reinhardt 2012; docs/fleet-design.md
+ * lists the differences). Does no I/O but through its {@link VoterStorage}; times are ms of a monotonic clock. Not thread-safe.
  */
 public final class Voter {
-    /** Leases kept: each takes some two hundred bytes, in memory and in the file. */
-    public static final int MOST_LEASES = 2000;
+    /** Maximum number of leases: each takes about 200 bytes, in memory and in the file. */
+    public static final int MAX_LEASES = 2000;
 
     private final MemberName name;
-    private final LeaseConfig terms;
+    private final LeaseConfig config;
     private final VoterMessages out;
-    private final VoterStorage disk;
-    private final Map<LeaseName, Held> votes = new LinkedHashMap<>();
-    /** Of other voters, what they told of their starts. */
-    private final Map<MemberName, Known> starts = new HashMap<>();
-    /** Other voters that know of this start, and those that remember an earlier one and none as late. */
-    private final Set<MemberName> registered = new HashSet<>();
-    private final Set<MemberName> confirmed = new HashSet<>();
+    private final VoterStorage storage;
+    private final Map<LeaseName, LeaseState> leases = new LinkedHashMap<>();
+    /** Last registered start of each other voter. */
+    private final Map<MemberName, KnownStart> knownStarts = new HashMap<>();
+    /** Other voters that have registered this start. */
+    private final Set<MemberName> registeredBy = new HashSet<>();
+    /** Of these, the ones that remember an earlier start of this voter, and none as late as this one. */
+    private final Set<MemberName> confirmedBy = new HashSet<>();
     private final long nonce;
-    /** What is promised for a lease of which nothing is known. */
+    /** The promise for a lease without any state. */
     private final Token floor;
+    /** Until then the voter abstains after a start, unless its storage can be trusted. */
     private double silentUntil;
-    private long start;
-    private boolean trustsDisk;
+    private long startNumber;
+    private boolean trustsStorage;
     private boolean isClosed;
 
-    /** A voter's last start, by which of its processes, and what was known before that one told. */
-    private record Known(long start, long nonce, long before) {}
+    /** Another voter's last start, the nonce of that process, and the start that was known before it; -1 if none was. */
+    private record KnownStart(long number, long nonce, long previous) {}
 
-    private static final class Held {
+    /** Promise and acceptance for one lease. */
+    private static final class LeaseState {
         Token promised;
         Token accepted = Token.NONE;
         MemberName holder;
-        double until = Double.NEGATIVE_INFINITY;
+        double heldUntil = Double.NEGATIVE_INFINITY;
 
-        Held(Token promised) {
+        LeaseState(Token promised) {
             this.promised = promised;
         }
 
-        /** What was accepted still holds. */
-        boolean runsAt(double nowMs) {
-            return until > nowMs;
+        /** Whether the accepted holder's lease is still running. */
+        boolean isHeldAt(double nowMs) {
+            return heldUntil > nowMs;
         }
     }
 
     /**
-     * Starts at that time; {@code nonce} is its process's, {@code disk} is null where none lasts. {@code wallMs}: the wall clock, from which rounds
-     * begin: as long as fewer ballots are made than ms pass, and it is not set back, they grow over starts at which all was forgotten.
+     * Starts the voter. {@code nonce}: the process's. {@code storage}: null if there is no durable storage. {@code wallMs}: wall clock time, the lowest
+     * round of new ballots: rounds grow even across starts without any state, as long as fewer ballots are created than ms pass and the clock is not set back.
      */
-    public Voter(MemberName name, long nonce, LeaseConfig terms, VoterMessages out, VoterStorage disk, double nowMs, long wallMs) {
+    public Voter(MemberName name, long nonce, LeaseConfig config, VoterMessages out, VoterStorage storage, double nowMs, long wallMs) {
         floor = new Token(Math.max(0, Math.min(wallMs, Token.MAX_ROUND)), Long.MIN_VALUE);
         this.name = name;
         this.nonce = nonce;
-        this.terms = terms;
+        this.config = config;
         this.out = out;
-        this.disk = disk;
-        silentUntil = nowMs + terms.leaseMs();
-        if (disk != null) {
+        this.storage = storage;
+        silentUntil = nowMs + config.leaseMs();
+        if (storage != null) {
             recover(nowMs);
         }
         woken();
     }
 
-    /** From time to time: tells its start to those who have not said that they know it. */
+    /** Called periodically: sends the start number to the voters that have not registered it yet. */
     public void woken() {
-        if (disk != null) {
-            terms.voters().stream().filter(v -> !v.equals(name) && !registered.contains(v)).forEach(v -> out.registerStart(v, terms.fingerprint(), start, nonce));
+        if (storage != null) {
+            config.voters().stream().filter(v -> !v.equals(name) && !registeredBy.contains(v)).forEach(v -> out.registerStart(v, config.fingerprint(), startNumber, nonce));
         }
     }
 
-    /** Another process goes by this one's name: guards against two that answer for one voter, as far as they know of each other. */
-    public void twinSeen(double nowMs) {
-        trustsDisk = false;
-        silentUntil = nowMs + terms.leaseMs();
+    /** Another process uses this one's name: abstains for one lease time, so that two processes that know of each other do not both answer as one voter. */
+    public void duplicateSeen(double nowMs) {
+        trustsStorage = false;
+        silentUntil = nowMs + config.leaseMs();
     }
 
     /**
-     * Guards promises against a file that is torn, another's, or of another set: with none of it the voter is as one without a disk. Rounds are taken from
-     * any sound file; to speak at once takes one that was closed, for a copy from before the end lacks the last promises.
+     * Reads the stored promises. A file that is truncated, another voter's or of another configuration is ignored, and the voter starts as if it had no
+     * storage. Rounds are taken from any valid file; answering at once also requires a cleanly closed one, because a copy made earlier lacks the last promises.
      */
     private void recover(double nowMs) {
         try {
-            VoterState kept = disk.read();
-            if (kept.voter().equals(name) && kept.configFingerprint() == terms.fingerprint()) {
-                start = kept.startNumber() + 1;
-                kept.votes().forEach((lease, vote) -> {
-                    Held held = new Held(vote.promised().isBelow(floor) ? floor : vote.promised());
-                    held.accepted = vote.accepted();
-                    held.holder = vote.holder();
-                    held.until = nowMs + terms.leaseMs(); // no clock lasts over a start
-                    votes.put(lease, held);
+            VoterState stored = storage.read();
+            if (stored.voter().equals(name) && stored.configFingerprint() == config.fingerprint()) {
+                startNumber = stored.startNumber() + 1;
+                stored.votes().forEach((lease, vote) -> {
+                    LeaseState leaseState = new LeaseState(vote.promised().isBelow(floor) ? floor : vote.promised());
+                    leaseState.accepted = vote.accepted();
+                    leaseState.holder = vote.holder();
+                    leaseState.heldUntil = nowMs + config.leaseMs(); // the monotonic clock does not carry over a restart
+                    leases.put(lease, leaseState);
                 });
-                trustsDisk = kept.cleanlyClosed();
+                trustsStorage = stored.cleanlyClosed();
             }
         } catch (IOException e) {
-            trustsDisk = false;
+            trustsStorage = false;
         }
         try {
-            keep(false);
+            persist(false);
         } catch (IOException e) {
-            trustsDisk = false; // nor is anything promised before a write succeeds
+            trustsStorage = false; // nothing is promised before a write succeeds
         }
     }
 
-    private void keep(boolean closed) throws IOException {
-        if (disk != null) {
+    private void persist(boolean cleanlyClosed) throws IOException {
+        if (storage != null) {
             Map<LeaseName, Vote> all = new LinkedHashMap<>();
-            votes.forEach((lease, held) -> all.put(lease, new Vote(held.promised, held.accepted, held.holder)));
-            disk.write(new VoterState(name, terms.fingerprint(), start, closed, all));
+            leases.forEach((lease, leaseState) -> all.put(lease, new Vote(leaseState.promised, leaseState.accepted, leaseState.holder)));
+            storage.write(new VoterState(name, config.fingerprint(), startNumber, cleanlyClosed, all));
         }
     }
 
-    /** An orderly end: nothing is answered after it, and the next start may speak at once. */
+    /** Clean shutdown: nothing is answered after it, and the next start may answer at once. */
     public void close(double nowMs) throws IOException {
-        if (speaks(nowMs)) {
-            keep(true);
+        if (isActive(nowMs)) {
+            persist(true);
         }
         isClosed = true;
     }
 
     /**
-     * Whether it answers yet. Without a disk: once all that it could have promised before its start has run out. With one, its start is known to
-     * a majority, itself among them, and either the same time is over, or the file was closed and so many others remember no later start that one
-     * of any majority is among them: guards against a file that was closed at an earlier end.
+     * Whether the voter answers yet. Without storage: once every promise from before its start has expired. With storage, its start has to be registered
+     * by a majority, itself included, and in addition either that time is over, or the file was cleanly closed and enough other voters remember no later
+     * start that at least one of them is in every majority. This detects a file restored from an earlier clean shutdown.
      */
-    public boolean speaks(double nowMs) {
-        boolean over = nowMs >= silentUntil;
-        if (isClosed || disk == null) {
-            return over && !isClosed;
+    public boolean isActive(double nowMs) {
+        boolean silenceOver = nowMs >= silentUntil;
+        if (isClosed || storage == null) {
+            return silenceOver && !isClosed;
         }
-        boolean isKnown = registered.size() + 1 >= terms.majority();
-        return isKnown && (over || trustsDisk && confirmed.size() > terms.voters().size() - terms.majority());
+        boolean isRegistered = registeredBy.size() + 1 >= config.majority();
+        return isRegistered && (silenceOver || trustsStorage && confirmedBy.size() > config.voters().size() - config.majority());
     }
 
-    private boolean turnsAway(double nowMs, MemberName from, int set, LeaseName lease, Token ballot) {
-        Refusal why = !terms.voters().contains(name) ? Refusal.NO_VOTER : set != terms.fingerprint() ? Refusal.OTHER_SET
-                : !speaks(nowMs) ? Refusal.ABSTAINS : votes.size() >= MOST_LEASES && !votes.containsKey(lease) ? Refusal.TOO_MANY : null;
-        if (why != null) {
-            out.refused(from, lease, ballot, why, highest(lease));
+    /** Sends a refusal and returns true if the voter cannot handle a request now. */
+    private boolean refuseIfUnable(double nowMs, MemberName from, int configFingerprint, LeaseName lease, Token ballot) {
+        Refusal reason = !config.voters().contains(name) ? Refusal.NO_VOTER : configFingerprint != config.fingerprint() ? Refusal.OTHER_SET
+                : !isActive(nowMs) ? Refusal.ABSTAINS : leases.size() >= MAX_LEASES && !leases.containsKey(lease) ? Refusal.TOO_MANY : null;
+        if (reason != null) {
+            out.refused(from, lease, ballot, reason, highestPromise(lease));
         }
-        return why != null;
+        return reason != null;
     }
 
-    private Token highest(LeaseName lease) {
-        Held held = votes.get(lease);
-        return held == null ? floor : held.promised;
+    private Token highestPromise(LeaseName lease) {
+        LeaseState leaseState = leases.get(lease);
+        return leaseState == null ? floor : leaseState.promised;
     }
 
-    public void prepare(double nowMs, MemberName from, int set, LeaseName lease, Token ballot) {
-        if (turnsAway(nowMs, from, set, lease, ballot)) {
+    /** A candidate asks for a promise. */
+    public void prepare(double nowMs, MemberName from, int configFingerprint, LeaseName lease, Token ballot) {
+        if (refuseIfUnable(nowMs, from, configFingerprint, lease, ballot)) {
             return;
         }
-        Held held = votes.computeIfAbsent(lease, l -> new Held(floor));
-        if (ballot.isBelow(held.promised)) {
-            out.refused(from, lease, ballot, Refusal.LOWER, held.promised);
+        LeaseState leaseState = leases.computeIfAbsent(lease, l -> new LeaseState(floor));
+        if (ballot.isBelow(leaseState.promised)) {
+            out.refused(from, lease, ballot, Refusal.LOWER, leaseState.promised);
             return;
         }
-        Token before = held.promised;
-        held.promised = ballot;
-        if (ballot.equals(before) || written(from, lease, ballot)) {
-            boolean runs = held.runsAt(nowMs);
-            out.promised(from, lease, ballot, runs ? held.accepted : Token.NONE, runs ? held.holder : null, runs ? held.until - nowMs : 0);
+        Token previous = leaseState.promised;
+        leaseState.promised = ballot;
+        if (ballot.equals(previous) || persisted(from, lease, ballot)) {
+            boolean isHeld = leaseState.isHeldAt(nowMs);
+            out.promised(from, lease, ballot, isHeld ? leaseState.accepted : Token.NONE, isHeld ? leaseState.holder : null, isHeld ? leaseState.heldUntil - nowMs : 0);
         } else {
-            held.promised = before;
+            leaseState.promised = previous;
         }
     }
 
-    public void ask(double nowMs, MemberName from, int set, LeaseName lease) {
-        if (!turnsAway(nowMs, from, set, lease, Token.NONE)) {
-            Held held = votes.get(lease);
-            boolean runs = held != null && held.runsAt(nowMs);
-            out.status(from, lease, highest(lease), runs ? held.accepted : Token.NONE, runs ? held.holder : null, runs ? held.until - nowMs : 0);
+    /** A candidate asks for the current holder. */
+    public void ask(double nowMs, MemberName from, int configFingerprint, LeaseName lease) {
+        if (!refuseIfUnable(nowMs, from, configFingerprint, lease, Token.NONE)) {
+            LeaseState leaseState = leases.get(lease);
+            boolean isHeld = leaseState != null && leaseState.isHeldAt(nowMs);
+            out.status(from, lease, highestPromise(lease), isHeld ? leaseState.accepted : Token.NONE, isHeld ? leaseState.holder : null, isHeld ? leaseState.heldUntil - nowMs : 0);
         }
     }
 
-    public void propose(double nowMs, MemberName from, int set, LeaseName lease, Token ballot, long turn) {
-        if (turnsAway(nowMs, from, set, lease, ballot)) {
+    /** A candidate asks to be accepted as the holder, or renews. */
+    public void propose(double nowMs, MemberName from, int configFingerprint, LeaseName lease, Token ballot, long proposalNumber) {
+        if (refuseIfUnable(nowMs, from, configFingerprint, lease, ballot)) {
             return;
         }
-        Held held = votes.computeIfAbsent(lease, l -> new Held(floor));
-        if (ballot.isBelow(held.promised)) {
-            out.refused(from, lease, ballot, Refusal.LOWER, held.promised);
+        LeaseState leaseState = leases.computeIfAbsent(lease, l -> new LeaseState(floor));
+        if (ballot.isBelow(leaseState.promised)) {
+            out.refused(from, lease, ballot, Refusal.LOWER, leaseState.promised);
             return;
         }
-        Held before = new Held(held.promised);
-        before.accepted = held.accepted;
-        before.holder = held.holder;
-        held.promised = ballot;
-        held.accepted = ballot;
-        held.holder = from;
-        if (ballot.equals(before.accepted) || written(from, lease, ballot)) {
-            held.until = nowMs + terms.leaseMs();
-            out.accepted(from, lease, ballot, turn);
+        LeaseState previous = new LeaseState(leaseState.promised);
+        previous.accepted = leaseState.accepted;
+        previous.holder = leaseState.holder;
+        leaseState.promised = ballot;
+        leaseState.accepted = ballot;
+        leaseState.holder = from;
+        if (ballot.equals(previous.accepted) || persisted(from, lease, ballot)) {
+            leaseState.heldUntil = nowMs + config.leaseMs();
+            out.accepted(from, lease, ballot, proposalNumber);
         } else {
-            held.promised = before.promised;
-            held.accepted = before.accepted;
-            held.holder = before.holder;
+            leaseState.promised = previous.promised;
+            leaseState.accepted = previous.accepted;
+            leaseState.holder = previous.holder;
         }
     }
 
-    public void release(double nowMs, MemberName from, int set, LeaseName lease, Token ballot) {
-        Held held = votes.get(lease);
-        if (set == terms.fingerprint() && held != null && held.accepted.equals(ballot) && from.equals(held.holder)) {
-            held.until = nowMs;
+    /** The holder gives up its lease. */
+    public void release(double nowMs, MemberName from, int configFingerprint, LeaseName lease, Token ballot) {
+        LeaseState leaseState = leases.get(lease);
+        if (configFingerprint == config.fingerprint() && leaseState != null && leaseState.accepted.equals(ballot) && from.equals(leaseState.holder)) {
+            leaseState.heldUntil = nowMs;
         }
     }
 
-    /** Guards promises against a start: what is not on the disk was not promised. */
-    private boolean written(MemberName from, LeaseName lease, Token ballot) {
+    /** Persists the votes; a vote that cannot be persisted is refused, so that no promise is lost by a restart. */
+    private boolean persisted(MemberName from, LeaseName lease, Token ballot) {
         try {
-            keep(false);
+            persist(false);
             return true;
         } catch (IOException e) {
-            out.refused(from, lease, ballot, Refusal.NOT_WRITTEN, highest(lease));
+            out.refused(from, lease, ballot, Refusal.NOT_WRITTEN, highestPromise(lease));
             return false;
         }
     }
 
-    /** Another voter tells its start, and asks which was known before. */
-    public void registerStart(MemberName from, int set, long itsStart, long itsNonce) {
-        if (set == terms.fingerprint() && terms.voters().contains(from)) {
-            Known known = starts.get(from);
-            if (known == null || known.nonce != itsNonce && itsStart >= known.start) {
-                starts.put(from, new Known(itsStart, itsNonce, known == null ? -1 : known.start));
+    /** Another voter registers its start, and asks which one was known before. */
+    public void registerStart(MemberName from, int configFingerprint, long itsStart, long itsNonce) {
+        if (configFingerprint == config.fingerprint() && config.voters().contains(from)) {
+            KnownStart known = knownStarts.get(from);
+            if (known == null || known.nonce != itsNonce && itsStart >= known.number) {
+                knownStarts.put(from, new KnownStart(itsStart, itsNonce, known == null ? -1 : known.number));
             } else if (known.nonce != itsNonce) {
-                out.startRegistered(from, itsStart, itsNonce, known.start); // an old copy: it is told, and not taken for the last
+                out.startRegistered(from, itsStart, itsNonce, known.number); // an old copy of its file: it is told of the later start, and not registered
                 return;
             }
-            out.startRegistered(from, itsStart, itsNonce, starts.get(from).before);
+            out.startRegistered(from, itsStart, itsNonce, knownStarts.get(from).previous);
         }
     }
 
-    public void startRegistered(MemberName from, long itsStart, long itsNonce, long known) {
-        if (itsStart != start || itsNonce != nonce || !terms.voters().contains(from) || from.equals(name)) {
+    /** Another voter has registered this start, or knows of a later one. */
+    public void startRegistered(MemberName from, long itsStart, long itsNonce, long previousStart) {
+        if (itsStart != startNumber || itsNonce != nonce || !config.voters().contains(from) || from.equals(name)) {
             return;
         }
-        if (known >= start) { // the file is an old copy, or of a process beside this one
-            trustsDisk = false;
-            start = known + 1;
-            registered.clear();
+        if (previousStart >= startNumber) { // the file is an old copy, or another process runs as this voter
+            trustsStorage = false;
+            startNumber = previousStart + 1;
+            registeredBy.clear();
             try {
-                keep(false);
+                persist(false);
             } catch (IOException e) {
-                return; // it is said again, and written then
+                return; // woken() sends it again, and the next vote persists it
             }
             woken();
         } else {
-            registered.add(from);
-            if (known >= 0) {
-                confirmed.add(from);
+            registeredBy.add(from);
+            if (previousStart >= 0) {
+                confirmedBy.add(from);
             }
         }
     }
 
-    /** Leases it keeps. */
-    public int leases() {
-        return votes.size();
+    /** Number of leases with a state. */
+    public int leaseCount() {
+        return leases.size();
     }
 
-    /** All that decides what it does next, times from now on: for a checker that has to tell states apart. */
+    /** Everything that determines future behaviour, with times relative to now. Lets a model checker compare states. */
     public String state(double nowMs) {
-        StringBuilder text = new StringBuilder().append(start).append(trustsDisk).append(isClosed).append(registered).append(confirmed).append(starts)
+        StringBuilder text = new StringBuilder().append(startNumber).append(trustsStorage).append(isClosed).append(registeredBy).append(confirmedBy).append(knownStarts)
                 .append(Math.round(Math.max(-1, silentUntil - nowMs)));
-        votes.forEach((lease, held) -> text.append(lease).append(held.promised).append(held.accepted).append(held.holder)
-                .append(Math.round(Math.max(-1, held.until - nowMs))));
+        leases.forEach((lease, leaseState) -> text.append(lease).append(leaseState.promised).append(leaseState.accepted).append(leaseState.holder)
+                .append(Math.round(Math.max(-1, leaseState.heldUntil - nowMs))));
         return text.toString();
     }
 }
--- a/src/main/java/dappleseam/fleet/peers/FleetAgent.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetAgent.java
@@ -32,85 +32,87 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The membership's thread and its datagrams. Nothing here runs on the I/O thread, and nothing waits for it: others read {@link #snapshot}.
- * Of two processes of one proxy the second waits until the address is free.
+ * Runs the membership, the leases and the signals of this proxy on a thread of their own, and exchanges datagrams with the other members. Nothing here
+ * runs on the I/O thread or blocks it: other threads read {@link #snapshot}. Of two processes of one proxy, the second waits until the address is free.
  */
 public final class FleetAgent extends MessagingHost {
-    /** Share by which what it may take has to be another to be recorded. */
-    private static final double SHARE_NEWS = 0.01;
-    /** Descriptors: two sockets, a selector with two, a record. */
+    /** Relative change of this proxy's share from which it is recorded. */
+    private static final double SHARE_CHANGE = 0.01;
+    /** File descriptors used: two sockets, a selector with two, a record file. */
     public static final int DESCRIPTORS = 6;
     private static final Logger LOG = System.getLogger(FleetAgent.class.getName());
     private static final double NANOS_PER_MS = 1e6;
-    /** Time in ms between tries of an address that another process has. */
-    private static final long BIND_MS = 100;
-    /** Time in ms between snapshots, and between writings for the next process. */
-    private static final double PUBLISH_MS = 250;
-    private static final double KEEP_MS = 5000;
-    /** Longest sleep in ms: nothing is missed by more than that, whatever is wrong with a wake-up. */
-    private static final long LONGEST_SLEEP_MS = 250;
-    /** Datagrams taken in one go, and in a second: a flood must not take the core. */
-    private static final int AT_ONCE = 256;
-    private static final int A_SECOND = 2000;
-    private static final int BUFFER_BYTES = 256 << 10;
-    /** Time in ms that an end waits for the last words to go out: well under what the program has left then. */
-    private static final long LAST_WORDS_MS = 50;
+    /** Time in ms between attempts to bind an address that another process uses. */
+    private static final long BIND_RETRY_MS = 100;
+    /** Time in ms between snapshots, and between writes of the known peers for the next process. */
+    private static final double SNAPSHOT_INTERVAL_MS = 250;
+    private static final double SAVE_INTERVAL_MS = 5000;
+    /** Maximum sleep in ms: bounds the delay if a wake-up is missed. */
+    private static final long MAX_SLEEP_MS = 250;
+    /** Maximum number of datagrams read in one batch, and in one second: a flood must not occupy a processor core. */
+    private static final int MAX_BATCH = 256;
+    private static final int MAX_PER_SECOND = 2000;
+    private static final int RECEIVE_BUFFER_BYTES = 256 << 10;
+    /** Time in ms that {@link #stop} waits for the last messages to be sent: well under the time that the program has left then. */
+    private static final long STOP_TIMEOUT_MS = 50;
 
-    private final Path left;
+    private final Path knownPeersFile;
     private final long seed;
     private final int location;
     private final long startMs = System.currentTimeMillis();
-    private volatile FleetConfig identity;
-    private MessageCodec envelope;
+    private volatile FleetConfig config;
+    private MessageCodec codec;
     private Selector selector;
     private DatagramChannel socket;
-    private DatagramChannel caller;
-    private InetSocketAddress called;
+    private DatagramChannel connectedSocket;
+    private InetSocketAddress connectedPeer;
     private Membership membership;
-    private LeaseDesk leases;
-    private SignalExchange signals;
+    private LeaseManager leaseManager;
+    private SignalExchange signalExchange;
     private final List<FleetTask> tasks;
-    private final RouterAdapter sightings;
-    private ViewRecord views;
+    private final RouterAdapter routerAdapter;
+    private ViewRecorder recorder;
     private double wakeAt = Double.POSITIVE_INFINITY;
-    private final ByteBuffer in = ByteBuffer.allocate(MessageCodec.LONGEST + 1);
-    private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private volatile boolean ending;
-    private volatile boolean handsOver;
-    private volatile Snapshot snapshot;
-    private final Map<InvalidDatagramException.Why, Long> dropped = new EnumMap<>(InvalidDatagramException.Why.class);
+    private final ByteBuffer receiveBuffer = ByteBuffer.allocate(MessageCodec.MAX_BYTES + 1);
+    private final Queue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
+    private final CountDownLatch stopped = new CountDownLatch(1);
+    private volatile boolean stopping;
+    private volatile boolean handingOver;
+    private volatile FleetSnapshot snapshot;
+    private final Map<InvalidDatagramException.Reason, Long> dropped = new EnumMap<>(InvalidDatagramException.Reason.class);
     private long sent;
     private long received;
-    private long flooded;
-    private int thisSecond;
+    private long rateLimited;
+    private int receivedThisSecond;
     private double secondEndsAt;
-    private double publishAt;
-    private double keepAt;
+    private double snapshotAt;
+    private double saveAt;
     private double busyMs;
-    private int countedBefore;
-    private double shareBefore;
-    private MemberEntry twinBefore;
-    private Set<NodeId> failingBefore = Set.of();
-    private Set<NodeId> convictedBefore = Set.of();
+    private int recordedFleetSize;
+    private double recordedShare;
+    private MemberEntry recordedDuplicate;
+    private Set<NodeId> recordedFailing = Set.of();
+    private Set<NodeId> recordedConvicted = Set.of();
     private Thread thread;
 
     /**
-     * {@code location}: where this proxy is, by the platform's number, -1 without locations. {@code tasks}: what it would do for the whole fleet. {@code left}: what one process leaves for the next; null for nothing. {@code sightings}: what is told of
-     * caches, where the file says so. Runs from {@link #start} on.
+     * {@code location}: the platform's number of this proxy's location, -1 without locations. {@code tasks}: tasks that this proxy runs for the whole fleet
+     * while it holds their leases. {@code knownPeersFile}: addresses that one process saves for the next, or null. {@code routerAdapter}: used for the
+     * features that the fleet file turns on. Runs from {@link #start} on.
      */
-    public FleetAgent(FleetConfig identity, int location, long seed, Path left, List<FleetTask> tasks, RouterAdapter sightings) {
+    public FleetAgent(FleetConfig config, int location, long seed, Path knownPeersFile, List<FleetTask> tasks, RouterAdapter routerAdapter) {
         this.tasks = tasks;
-        this.sightings = sightings;
-        this.identity = identity;
+        this.routerAdapter = routerAdapter;
+        this.config = config;
         this.location = location;
         this.seed = seed;
-        this.left = left;
+        this.knownPeersFile = knownPeersFile;
     }
 
+    /** Starts the fleet thread. */
     public void start() throws IOException {
         selector = Selector.open();
-        envelope = new MessageCodec(identity.fleet());
+        codec = new MessageCodec(config.fleet());
         thread = new Thread(this::run, "fleet");
         thread.setDaemon(true);
         thread.start();
@@ -120,25 +122,25 @@
         return System.nanoTime() / NANOS_PER_MS;
     }
 
-    /** What was known a moment ago; null until the address was free. */
-    public Snapshot snapshot() {
+    /** The latest snapshot; null before the address was free. */
+    public FleetSnapshot snapshot() {
         return snapshot;
     }
 
-    /** New terms, seeds and choices, these where one was on at the start; all else needs a new start. */
-    public void reconfigure(FleetConfig now) {
-        identity = now;
+    /** Applies new membership settings and seeds, and new features if any was on at the start. All other changes need a restart. */
+    public void reconfigure(FleetConfig newConfig) {
+        config = newConfig;
         post(() -> {
             if (membership != null) {
-                membership.configChanged(nowMs(), now.membershipConfig(), now.seeds());
+                membership.configChanged(nowMs(), newConfig.membershipConfig(), newConfig.seeds());
             }
-            if (signals != null) {
-                signals.choose(now.features());
+            if (signalExchange != null) {
+                signalExchange.setFeatures(newConfig.features());
             }
         });
     }
 
-    /** An operator's word that a member will not come back. */
+    /** An operator declares that a member has ended and will not come back. */
     public void markEnded(MemberName name) {
         post(() -> {
             if (membership != null) {
@@ -149,18 +151,18 @@
     }
 
     private void post(Runnable task) {
-        posted.add(task);
+        postedTasks.add(task);
         selector.wakeup();
     }
 
-    /** Says goodbye, or leaves its place to the process that takes over; returns soon. */
+    /** Stops, and either announces that this proxy leaves, or hands over to the process that takes its place. Returns soon. */
     public void stop(boolean handOver) {
-        handsOver = handOver;
-        ending = true;
+        handingOver = handOver;
+        stopping = true;
         selector.wakeup();
         try {
-            if (!ended.await(LAST_WORDS_MS, TimeUnit.MILLISECONDS)) {
-                LOG.log(Level.WARNING, "fleet: still busy at the end");
+            if (!stopped.await(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+                LOG.log(Level.WARNING, "fleet: still busy when the process ends");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -170,187 +172,187 @@
     private void run() {
         try {
             bind();
-            while (!ending) {
-                double due = Math.min(wakeAt, Math.min(leases == null ? wakeAt : leases.wakeAt(), signals == null ? wakeAt : signals.wakeAt()));
-                long sleep = (long) Math.ceil(Math.min(LONGEST_SLEEP_MS, due - nowMs()));
+            while (!stopping) {
+                double due = Math.min(wakeAt, Math.min(leaseManager == null ? wakeAt : leaseManager.wakeAt(), signalExchange == null ? wakeAt : signalExchange.wakeAt()));
+                long sleep = (long) Math.ceil(Math.min(MAX_SLEEP_MS, due - nowMs()));
                 if (sleep > 0) {
                     selector.select(sleep);
                 } else {
                     selector.selectNow();
                 }
                 double from = nowMs();
-                turn();
+                runOnce();
                 busyMs += nowMs() - from;
             }
-            last();
-        } catch (IOException | RuntimeException e) { // queries do without; the line tells whom to ask
-            LOG.log(Level.ERROR, "fleet: it runs no more", e);
+            shutDown();
+        } catch (IOException | RuntimeException e) { // queries are served without the fleet; the log tells the operator
+            LOG.log(Level.ERROR, "fleet: stopped by an error", e);
             snapshot = null;
         } finally {
             close();
-            ended.countDown();
+            stopped.countDown();
         }
     }
 
     private void bind() throws IOException {
-        boolean waits = false;
-        while (!ending && socket == null) {
-            DatagramChannel tried = DatagramChannel.open();
+        boolean isWaiting = false;
+        while (!stopping && socket == null) {
+            DatagramChannel channel = DatagramChannel.open();
             try {
-                tried.setOption(StandardSocketOptions.SO_RCVBUF, BUFFER_BYTES);
-                tried.bind(identity.bind());
-                tried.configureBlocking(false);
-                tried.register(selector, SelectionKey.OP_READ);
-                socket = tried;
+                channel.setOption(StandardSocketOptions.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
+                channel.bind(config.bind());
+                channel.configureBlocking(false);
+                channel.register(selector, SelectionKey.OP_READ);
+                socket = channel;
             } catch (SocketException e) {
-                tried.close();
-                if (!waits) {
-                    waits = true;
-                    LOG.log(Level.INFO, "fleet: waits for {0}, which another process has", identity.bind());
+                channel.close();
+                if (!isWaiting) {
+                    isWaiting = true;
+                    LOG.log(Level.INFO, "fleet: waiting for {0}, which another process uses", config.bind());
                 }
-                selector.select(BIND_MS);
+                selector.select(BIND_RETRY_MS);
             }
         }
         if (socket != null) {
-            begin();
+            join();
         }
     }
 
-    private void begin() throws IOException {
-        caller = DatagramChannel.open();
-        caller.configureBlocking(false);
-        caller.register(selector, SelectionKey.OP_READ);
-        views = new ViewRecord(identity.recordFile());
+    private void join() throws IOException {
+        connectedSocket = DatagramChannel.open();
+        connectedSocket.configureBlocking(false);
+        connectedSocket.register(selector, SelectionKey.OP_READ);
+        recorder = new ViewRecorder(config.recordFile());
         double now = nowMs();
-        // Its own start and clock, not the seed alone: two processes that were given one seed must differ.
+        // Mixes in the clock and the process id: two processes with the same seed must differ.
         SplittableRandom random = new SplittableRandom(seed ^ System.nanoTime() ^ ProcessHandle.current().pid() << 40);
-        MemberEntry self = new MemberEntry(identity.name(), identity.advertise(), new Generation(startMs, random.nextLong()), 0, MemberEntry.State.ALIVE, 0);
-        membership = new Membership(identity.membershipConfig(), self, this, random, now);
-        views.began(now, self);
-        Set<InetSocketAddress> known = new LinkedHashSet<>(identity.seeds());
-        if (left != null) {
+        MemberEntry self = new MemberEntry(config.name(), config.advertise(), new Generation(startMs, random.nextLong()), 0, MemberEntry.State.ALIVE, 0);
+        membership = new Membership(config.membershipConfig(), self, this, random, now);
+        recorder.started(now, self);
+        Set<InetSocketAddress> peers = new LinkedHashSet<>(config.seeds());
+        if (knownPeersFile != null) {
             try {
-                known.addAll(KnownFile.read(left, identity.fleet()));
-            } catch (IOException | RuntimeException e) { // it was worth a try
-                LOG.log(Level.DEBUG, "fleet: nobody is known from before: {0}", e.toString());
+                peers.addAll(KnownPeersFile.read(knownPeersFile, config.fleet()));
+            } catch (IOException | RuntimeException e) { // the file is optional
+                LOG.log(Level.DEBUG, "fleet: no known peers from an earlier process: {0}", e.toString());
             }
         }
-        LOG.log(Level.INFO, "fleet: {0} of {1} listens on {2}", identity.name(), identity.fleet(), identity.bind());
-        membership.begin(now, List.copyOf(known));
-        if (identity.leases() != null) {
-            leases = new LeaseDesk(membership, identity.leases(), identity.voterFile() == null ? null : new VoterFile(identity.voterFile()), tasks,
-                    this::sendBallot, this::post, views, random.split(), now);
+        LOG.log(Level.INFO, "fleet: {0} of {1} listens on {2}", config.name(), config.fleet(), config.bind());
+        membership.begin(now, List.copyOf(peers));
+        if (config.leases() != null) {
+            leaseManager = new LeaseManager(membership, config.leases(), config.voterFile() == null ? null : new VoterFile(config.voterFile()), tasks,
+                    this::sendLeaseMessage, this::post, recorder, random.split(), now);
         }
-        if (identity.features().any()) {
-            signals = new SignalExchange(membership, identity.membershipConfig().periodMs(), identity.membershipConfig().maxMembers(), location, identity.features(), sightings,
-                    (to, bulletins) -> send(to, FleetMessage.of(membership.self(), bulletins)), random.split(), now);
+        if (config.features().any()) {
+            signalExchange = new SignalExchange(membership, config.membershipConfig().periodMs(), config.membershipConfig().maxMembers(), location, config.features(), routerAdapter,
+                    (to, announcements) -> send(to, FleetMessage.of(membership.self(), announcements)), random.split(), now);
         }
-        publish(now);
+        publishSnapshot(now);
     }
 
-    private void turn() {
+    private void runOnce() {
         selector.selectedKeys().clear();
-        for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
+        for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
             task.run();
         }
-        receive(socket); // before time is looked at: what came while this process stood still is no silence
-        hearCalled();
+        receive(socket); // before the clock is read: datagrams that came during a stall of this process must not count as silence
+        receiveFromConnected();
         double now = nowMs();
         if (now >= wakeAt) {
             wakeAt = Double.POSITIVE_INFINITY;
             membership.woken(now);
         }
-        if (leases != null && now >= leases.wakeAt()) {
-            leases.woken(now);
+        if (leaseManager != null && now >= leaseManager.wakeAt()) {
+            leaseManager.woken(now);
         }
-        if (signals != null && now >= signals.wakeAt()) {
-            signals.woken(now);
-            recordWords(now);
+        if (signalExchange != null && now >= signalExchange.wakeAt()) {
+            signalExchange.woken(now);
+            recordVerdicts(now);
         }
-        if (now >= publishAt) {
-            publish(now);
+        if (now >= snapshotAt) {
+            publishSnapshot(now);
         }
     }
 
     private void receive(DatagramChannel from) {
-        for (int i = 0; i < AT_ONCE; i++) {
-            in.clear();
-            InetSocketAddress sender;
+        for (int i = 0; i < MAX_BATCH; i++) {
+            receiveBuffer.clear();
+            InetSocketAddress source;
             try {
-                sender = (InetSocketAddress) from.receive(in);
+                source = (InetSocketAddress) from.receive(receiveBuffer);
             } catch (PortUnreachableException e) {
-                if (from == caller && called != null) {
-                    membership.connectionRefused(nowMs(), called);
+                if (from == connectedSocket && connectedPeer != null) {
+                    membership.connectionRefused(nowMs(), connectedPeer);
                 }
                 continue;
-            } catch (IOException e) { // of one datagram
+            } catch (IOException e) { // concerns one datagram only
                 LOG.log(Level.DEBUG, "fleet: {0}", e.toString());
                 return;
             }
-            if (sender == null) {
+            if (source == null) {
                 return;
             }
             double now = nowMs();
             if (now >= secondEndsAt) {
                 secondEndsAt = now + TimeUnit.SECONDS.toMillis(1);
-                thisSecond = 0;
+                receivedThisSecond = 0;
             }
-            if (++thisSecond > A_SECOND) {
-                flooded++;
+            if (++receivedThisSecond > MAX_PER_SECOND) {
+                rateLimited++;
                 continue;
             }
             received++;
             try {
-                FleetMessage letter = envelope.decode(in.array(), in.position());
-                letter.deliver(sender, membership.receiver(now));
-                if (letter.leaseMessage() != null && leases != null) {
-                    leases.heard(now, letter.sender().name(), letter.leaseMessage());
+                FleetMessage message = codec.decode(receiveBuffer.array(), receiveBuffer.position());
+                message.deliver(source, membership.receiver(now));
+                if (message.leaseMessage() != null && leaseManager != null) {
+                    leaseManager.handle(now, message.sender().name(), message.leaseMessage());
                 }
-                if (letter.announcements() != null && signals != null) {
-                    signals.receive(now, letter.announcements());
+                if (message.announcements() != null && signalExchange != null) {
+                    signalExchange.receive(now, message.announcements());
                 }
             } catch (InvalidDatagramException e) {
-                dropped.merge(e.why(), 1L, Long::sum);
+                dropped.merge(e.reason(), 1L, Long::sum);
             }
         }
     }
 
-    private void hearCalled() {
-        if (called != null) {
-            receive(caller);
+    private void receiveFromConnected() {
+        if (connectedPeer != null) {
+            receive(connectedSocket);
         }
     }
 
     @Override
-    protected void send(InetSocketAddress to, FleetMessage letter) {
+    protected void send(InetSocketAddress to, FleetMessage message) {
         try {
-            socket.send(ByteBuffer.wrap(envelope.encode(letter)), to);
+            socket.send(ByteBuffer.wrap(codec.encode(message)), to);
             sent++;
-        } catch (IOException e) { // as if it were lost on its way
+        } catch (IOException e) { // the same as a lost datagram
             LOG.log(Level.DEBUG, "fleet: {0}", e.toString());
         }
     }
 
-    private void sendBallot(MemberName to, LeaseMessage ballot) {
+    private void sendLeaseMessage(MemberName to, LeaseMessage leaseMessage) {
         MemberEntry peer = membership.lookup(to);
         if (peer != null) {
-            send(peer.address(), FleetMessage.of(membership.self(), ballot));
+            send(peer.address(), FleetMessage.of(membership.self(), leaseMessage));
         }
     }
 
     @Override
-    public void pingConnected(InetSocketAddress peer, MemberEntry self, long number, MemberName target, List<MemberEntry> news) {
-        byte[] bytes = envelope.encode(pingMessage(self, number, target, news));
+    public void pingConnected(InetSocketAddress peer, MemberEntry self, long sequence, MemberName target, List<MemberEntry> updates) {
+        byte[] bytes = codec.encode(pingMessage(self, sequence, target, updates));
         try {
-            if (!peer.equals(called)) {
-                caller.disconnect();
-                called = null;
-                caller.connect(peer);
-                called = peer;
+            if (!peer.equals(connectedPeer)) {
+                connectedSocket.disconnect();
+                connectedPeer = null;
+                connectedSocket.connect(peer);
+                connectedPeer = peer;
             }
-            caller.write(ByteBuffer.wrap(bytes));
+            connectedSocket.write(ByteBuffer.wrap(bytes));
             sent++;
-        } catch (PortUnreachableException e) { // the answer to the call before
+        } catch (PortUnreachableException e) { // reported for the previous ping
             membership.connectionRefused(nowMs(), peer);
         } catch (IOException e) {
             LOG.log(Level.DEBUG, "fleet: {0}", e.toString());
@@ -363,19 +365,19 @@
     }
 
     @Override
-    public void memberChanged(MemberEntry before, MemberEntry now) {
-        views.saw(nowMs(), before, now);
+    public void memberChanged(MemberEntry previous, MemberEntry updated) {
+        recorder.memberChanged(nowMs(), previous, updated);
     }
 
     @Override
-    public void statusChanged(MembershipStatus standing) {
-        views.stands(nowMs(), standing, membership.fleetSize());
+    public void statusChanged(MembershipStatus status) {
+        recorder.statusChanged(nowMs(), status, membership.fleetSize());
     }
 
     @Override
     public void stalled(double ms) {
         super.stalled(ms);
-        views.stoodStill(nowMs(), ms);
+        recorder.stalled(nowMs(), ms);
     }
 
     @Override
@@ -383,70 +385,70 @@
         LOG.log(Level.INFO, text);
     }
 
-    private void publish(double now) {
-        publishAt = now + PUBLISH_MS;
-        snapshot = new Snapshot(now, membership.view(), membership.status(), membership.fleetSize(), membership.healthScore(), membership.duplicate(),
-                sent, received, Map.copyOf(dropped), flooded, membership.droppedForCapacity(), busyMs,
-                leases == null ? List.of() : leases.held(), leases == null ? null : leases.votes(), signals == null ? null : signals.said(), signals == null ? Double.NaN : signals.share(), signals == null ? Double.NaN : signals.place());
-        if (membership.fleetSize() != countedBefore) {
-            countedBefore = membership.fleetSize();
-            views.counts(now, countedBefore);
+    private void publishSnapshot(double now) {
+        snapshotAt = now + SNAPSHOT_INTERVAL_MS;
+        snapshot = new FleetSnapshot(now, membership.view(), membership.status(), membership.fleetSize(), membership.healthScore(), membership.duplicate(),
+                sent, received, Map.copyOf(dropped), rateLimited, membership.droppedForCapacity(), busyMs,
+                leaseManager == null ? List.of() : leaseManager.heldLeases(), leaseManager == null ? null : leaseManager.isVoterActive(), signalExchange == null ? null : signalExchange.latestVerdicts(), signalExchange == null ? Double.NaN : signalExchange.share(), signalExchange == null ? Double.NaN : signalExchange.position());
+        if (membership.fleetSize() != recordedFleetSize) {
+            recordedFleetSize = membership.fleetSize();
+            recorder.fleetSizeChanged(now, recordedFleetSize);
         }
-        if (Math.abs(snapshot.share() - shareBefore) > SHARE_NEWS * shareBefore) {
-            shareBefore = snapshot.share();
-            views.takes(now, shareBefore);
+        if (Math.abs(snapshot.share() - recordedShare) > SHARE_CHANGE * recordedShare) {
+            recordedShare = snapshot.share();
+            recorder.shareChanged(now, recordedShare);
         }
-        if (membership.duplicate() != null && membership.duplicate() != twinBefore) {
-            twinBefore = membership.duplicate();
-            views.twin(now, twinBefore);
+        if (membership.duplicate() != null && membership.duplicate() != recordedDuplicate) {
+            recordedDuplicate = membership.duplicate();
+            recorder.duplicateSeen(now, recordedDuplicate);
         }
-        if (now >= keepAt) {
-            keepAt = now + KEEP_MS;
-            keep();
+        if (now >= saveAt) {
+            saveAt = now + SAVE_INTERVAL_MS;
+            saveKnownPeers();
         }
     }
 
-    /** What is new of caches since the last look. */
-    private void recordWords(double now) {
-        Set<NodeId> failing = signals.sightsOfFailing();
-        failing.stream().filter(node -> !failingBefore.contains(node)).forEach(node -> views.says(now, node, "FAILS"));
-        failingBefore.stream().filter(node -> !failing.contains(node)).forEach(node -> views.says(now, node, "CLEARED"));
-        failingBefore = failing;
-        Set<NodeId> convicted = signals.convicted();
-        convicted.stream().filter(node -> !convictedBefore.contains(node)).forEach(node -> views.says(now, node, "CONVICTED"));
-        convictedBefore = convicted;
+    /** Records changes of the verdicts on caches since the last call. */
+    private void recordVerdicts(double now) {
+        Set<NodeId> failing = signalExchange.failingCaches();
+        failing.stream().filter(node -> !recordedFailing.contains(node)).forEach(node -> recorder.verdictChanged(now, node, "FAILS"));
+        recordedFailing.stream().filter(node -> !failing.contains(node)).forEach(node -> recorder.verdictChanged(now, node, "CLEARED"));
+        recordedFailing = failing;
+        Set<NodeId> convicted = signalExchange.convictedCaches();
+        convicted.stream().filter(node -> !recordedConvicted.contains(node)).forEach(node -> recorder.verdictChanged(now, node, "CONVICTED"));
+        recordedConvicted = convicted;
     }
 
-    private void keep() {
-        if (left == null) {
+    private void saveKnownPeers() {
+        if (knownPeersFile == null) {
             return;
         }
-        List<InetSocketAddress> known = new ArrayList<>();
-        for (MemberEntry notice : snapshot.view()) {
-            if (notice.state().isLive() && !notice.name().equals(identity.name()) && known.size() < KnownFile.MOST) {
-                known.add(notice.address());
+        List<InetSocketAddress> peers = new ArrayList<>();
+        for (MemberEntry entry : snapshot.view()) {
+            if (entry.state().isLive() && !entry.name().equals(config.name()) && peers.size() < KnownPeersFile.MAX_PEERS) {
+                peers.add(entry.address());
             }
         }
-        if (!known.isEmpty()) {
+        if (!peers.isEmpty()) {
             try {
-                KnownFile.write(left, identity.fleet(), known);
+                KnownPeersFile.write(knownPeersFile, config.fleet(), peers);
             } catch (IOException e) {
-                LOG.log(Level.DEBUG, "fleet: nobody is kept for the next process: {0}", e.toString());
+                LOG.log(Level.DEBUG, "fleet: the known peers are not saved for the next process: {0}", e.toString());
             }
         }
     }
 
-    private void last() {
+    private void shutDown() {
         if (membership == null) {
             return;
         }
-        if (leases != null) {
-            leases.end(nowMs());
+        if (leaseManager != null) {
+            leaseManager.stopAll(nowMs());
         }
-        publish(nowMs());
-        if (handsOver) {
-            keep();
-            LOG.log(Level.INFO, "fleet: leaves its place to the process that takes over");
+        publishSnapshot(nowMs());
+        if (handingOver) {
+            saveKnownPeers();
+            LOG.log(Level.INFO, "fleet: hands over to the process that takes its place");
         } else {
             membership.announceLeave(nowMs());
         }
@@ -454,14 +456,14 @@
 
     private void close() {
         try {
-            if (views != null) {
-                views.close();
+            if (recorder != null) {
+                recorder.close();
             }
             if (socket != null) {
                 socket.close();
             }
-            if (caller != null) {
-                caller.close();
+            if (connectedSocket != null) {
+                connectedSocket.close();
             }
             selector.close();
         } catch (IOException e) {
--- a/src/main/java/dappleseam/fleet/peers/InvalidDatagramException.java
+++ b/src/main/java/dappleseam/fleet/peers/InvalidDatagramException.java
@@ -2,37 +2,37 @@
 
 import java.io.IOException;
 
-/** A datagram that is dropped, and why. */
+/** A datagram was rejected, and why. */
 public final class InvalidDatagramException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    /** As the figures count them. */
-    public enum Why {
-        /** Over the size that any proxy sends, or under the least. */
+    /** As counted in the metrics. */
+    public enum Reason {
+        /** Larger than any proxy sends, or too short for a header. */
         SIZE,
-        /** Not of this program, or of a version of the format that this build does not read. */
+        /** Not from this program, or in a format version that this build does not read. */
         VERSION,
-        /** Its check sum is another. */
+        /** Wrong checksum. */
         DAMAGED,
-        /** Of a fleet by another name. */
+        /** From a fleet of another name. */
         FOREIGN,
-        /** Sound on its way, but not what any proxy sends. */
+        /** Correct checksum, but not a message that a proxy sends. */
         MALFORMED
     }
 
-    private final transient Why why;
+    private final transient Reason reason;
 
-    InvalidDatagramException(Why why) {
-        super(why.name(), null);
-        this.why = why;
+    InvalidDatagramException(Reason reason) {
+        super(reason.name(), null);
+        this.reason = reason;
     }
 
-    public Why why() {
-        return why;
+    public Reason reason() {
+        return reason;
     }
 
     @Override
     public synchronized Throwable fillInStackTrace() {
-        return this; // garbage may come fast
+        return this; // no stack trace: invalid datagrams may arrive at a high rate
     }
 }
--- a/src/main/java/dappleseam/fleet/peers/MessageCodec.java
+++ b/src/main/java/dappleseam/fleet/peers/MessageCodec.java
@@ -13,7 +13,7 @@
 import dappleseam.fleet.membership.Membership;
 import dappleseam.fleet.membership.MemberEntry;
 import dappleseam.fleet.peers.FleetMessage.Kind;
-import dappleseam.fleet.peers.InvalidDatagramException.Why;
+import dappleseam.fleet.peers.InvalidDatagramException.Reason;
 import dappleseam.fleet.share.Announcement;
 import dappleseam.fleet.share.NodeObservation;
 import dappleseam.fleet.share.AnnouncedTraffic;
@@ -28,109 +28,109 @@
 import java.util.zip.CRC32C;
 
 /**
- * Letters as datagrams: a byte that tells this program, one of the version, CRC-32C of what follows, and one CBOR array (RFC 8949). Not for
- * several threads.
+ * Encodes and decodes datagrams: a magic byte, a version byte, the CRC-32C of the rest, and one CBOR array (RFC 8949). Not thread-safe.
  */
 public final class MessageCodec {
-    /** Bytes of the longest datagram: it passes every usual link in one piece. */
-    public static final int LONGEST = 1400;
-    private static final int HEAD = 6;
-    private static final byte PROGRAM = (byte) 0xD5;
+    /** Maximum datagram size in bytes: passes every usual link without fragmentation. */
+    public static final int MAX_BYTES = 1400;
+    private static final int HEADER_BYTES = 6;
+    private static final byte MAGIC = (byte) 0xD5;
     private static final byte VERSION = 2;
-    private static final int NESTING = 3;
-    /** Of a letter without bulletins. */
-    private static final int FIELDS = 10;
-    private static final int LONGEST_NAME = 48;
+    private static final int MAX_NESTING = 3;
+    /** Fields of a message without announcements. */
+    private static final int MESSAGE_FIELDS = 10;
+    private static final int MAX_NAME_LENGTH = 48;
     private static final int ADDRESS_BYTES = 6;
-    /** Notices in a datagram at most: each takes over thirty bytes. */
-    private static final int MOST_NOTICES = 64;
-    private static final int BALLOT_FIELDS = 12;
-    private static final int BULLETIN_FIELDS = 8;
-    private static final int SIGHT_FIELDS = 4;
-    /** Bulletins in a datagram at most: each takes over thirty bytes. */
-    private static final int MOST_BULLETINS = 48;
-    /** A day: longer than any lease. */
-    private static final long LONGEST_LEFT_MS = 86_400_000;
+    /** Maximum number of membership updates in a datagram: each takes over 30 bytes. */
+    private static final int MAX_UPDATES = 64;
+    private static final int LEASE_MESSAGE_FIELDS = 12;
+    private static final int ANNOUNCEMENT_FIELDS = 8;
+    private static final int OBSERVATION_FIELDS = 4;
+    /** Maximum number of announcements in a datagram: each takes over 30 bytes. */
+    private static final int MAX_ANNOUNCEMENTS = 48;
+    /** Maximum of remaining lease times and ages: one day, longer than any lease. */
+    private static final long MAX_DURATION_MS = 86_400_000;
     private static final LeaseMessage.Op[] OPS = LeaseMessage.Op.values();
     private static final VoterMessages.Refusal[] REFUSALS = VoterMessages.Refusal.values();
     private static final Kind[] KINDS = Kind.values();
     private static final MemberEntry.State[] STATES = MemberEntry.State.values();
 
     private final CBORFactory format = CBORFactory.builder().streamReadConstraints(StreamReadConstraints.builder()
-            .maxNestingDepth(NESTING).maxStringLength(LONGEST_NAME).maxNumberLength(20).maxDocumentLength(LONGEST).build()).build();
-    private final CRC32C sum = new CRC32C();
-    private final int fleet;
+            .maxNestingDepth(MAX_NESTING).maxStringLength(MAX_NAME_LENGTH).maxNumberLength(20).maxDocumentLength(MAX_BYTES).build()).build();
+    private final CRC32C crc = new CRC32C();
+    private final int fleetHash;
 
-    /** Of one fleet, by its name. */
+    /** A codec for the datagrams of one fleet; those of another fleet are rejected. */
     public MessageCodec(String fleet) {
-        this.fleet = fleet.hashCode();
+        this.fleetHash = fleet.hashCode();
     }
 
-    public byte[] encode(FleetMessage letter) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(LONGEST);
-        out.writeBytes(new byte[HEAD]);
+    /** Encodes a message as a whole datagram. */
+    public byte[] encode(FleetMessage message) {
+        ByteArrayOutputStream out = new ByteArrayOutputStream(MAX_BYTES);
+        out.writeBytes(new byte[HEADER_BYTES]);
         try (CBORGenerator cbor = format.createGenerator(out)) {
-            cbor.writeStartArray(null, letter.announcements() == null ? FIELDS : FIELDS + 1);
-            cbor.writeNumber(fleet);
-            cbor.writeNumber(letter.kind().ordinal());
-            encode(cbor, letter.sender());
-            cbor.writeNumber(letter.number());
-            if (letter.target() == null) {
+            cbor.writeStartArray(null, message.announcements() == null ? MESSAGE_FIELDS : MESSAGE_FIELDS + 1);
+            cbor.writeNumber(fleetHash);
+            cbor.writeNumber(message.kind().ordinal());
+            encode(cbor, message.sender());
+            cbor.writeNumber(message.sequence());
+            if (message.target() == null) {
                 cbor.writeNull();
             } else {
-                cbor.writeString(letter.target().text());
+                cbor.writeString(message.target().text());
             }
-            if (letter.subject() == null) {
+            if (message.subject() == null) {
                 cbor.writeNull();
             } else {
-                encode(cbor, letter.subject());
+                encode(cbor, message.subject());
             }
-            cbor.writeStartArray(null, letter.updates().size());
-            for (MemberEntry notice : letter.updates()) {
-                encode(cbor, notice);
+            cbor.writeStartArray(null, message.updates().size());
+            for (MemberEntry entry : message.updates()) {
+                encode(cbor, entry);
             }
             cbor.writeEndArray();
-            cbor.writeBoolean(letter.answer());
-            if (letter.digests() == null) {
+            cbor.writeBoolean(message.isReply());
+            if (message.digests() == null) {
                 cbor.writeNull();
             } else {
-                ByteBuffer bytes = ByteBuffer.allocate(Integer.BYTES * letter.digests().length);
-                bytes.asIntBuffer().put(letter.digests());
+                ByteBuffer bytes = ByteBuffer.allocate(Integer.BYTES * message.digests().length);
+                bytes.asIntBuffer().put(message.digests());
                 cbor.writeBinary(bytes.array());
             }
-            if (letter.leaseMessage() == null) {
+            if (message.leaseMessage() == null) {
                 cbor.writeNull();
             } else {
-                encode(cbor, letter.leaseMessage());
+                encode(cbor, message.leaseMessage());
             }
-            if (letter.announcements() != null) { // older programs drop these letters, and understand all others
-                cbor.writeStartArray(null, letter.announcements().size());
-                for (Announcement bulletin : letter.announcements()) {
-                    encode(cbor, bulletin);
+            if (message.announcements() != null) { // older versions drop messages with this field, and read all others
+                cbor.writeStartArray(null, message.announcements().size());
+                for (Announcement announcement : message.announcements()) {
+                    encode(cbor, announcement);
                 }
                 cbor.writeEndArray();
             }
             cbor.writeEndArray();
         } catch (IOException e) {
-            throw new IllegalStateException("memory cannot be written to", e);
+            throw new IllegalStateException("writing to memory failed", e);
         }
         byte[] bytes = out.toByteArray();
-        ByteBuffer.wrap(bytes).put(PROGRAM).put(VERSION).putInt(sum(bytes, bytes.length));
+        ByteBuffer.wrap(bytes).put(MAGIC).put(VERSION).putInt(checksum(bytes, bytes.length));
         return bytes;
     }
 
-    private static void encode(CBORGenerator cbor, LeaseMessage ballot) throws IOException {
-        cbor.writeStartArray(null, BALLOT_FIELDS);
-        cbor.writeNumber(ballot.op().ordinal());
-        cbor.writeNumber(ballot.set());
-        cbor.writeString(ballot.lease().text());
-        encode(cbor, ballot.ballot());
-        encode(cbor, ballot.other());
-        cbor.writeString(ballot.holder() == null ? "" : ballot.holder().text());
-        cbor.writeNumber(Math.round(ballot.leftMs()));
-        cbor.writeNumber(ballot.number());
-        cbor.writeNumber(ballot.known());
-        cbor.writeNumber(ballot.reason().ordinal());
+    private static void encode(CBORGenerator cbor, LeaseMessage leaseMessage) throws IOException {
+        cbor.writeStartArray(null, LEASE_MESSAGE_FIELDS);
+        cbor.writeNumber(leaseMessage.op().ordinal());
+        cbor.writeNumber(leaseMessage.configFingerprint());
+        cbor.writeString(leaseMessage.lease().text());
+        encode(cbor, leaseMessage.ballot());
+        encode(cbor, leaseMessage.otherToken());
+        cbor.writeString(leaseMessage.holder() == null ? "" : leaseMessage.holder().text());
+        cbor.writeNumber(Math.round(leaseMessage.remainingMs()));
+        cbor.writeNumber(leaseMessage.number());
+        cbor.writeNumber(leaseMessage.previousStart());
+        cbor.writeNumber(leaseMessage.reason().ordinal());
         cbor.writeEndArray();
     }
 
@@ -139,187 +139,188 @@
         cbor.writeNumber(token.nonce());
     }
 
-    private static LeaseMessage ballot(JsonParser cbor) throws IOException {
-        need(cbor.currentToken() == JsonToken.START_ARRAY);
-        LeaseMessage.Op op = OPS[(int) whole(cbor, 0, OPS.length - 1)];
-        int set = (int) whole(cbor, Integer.MIN_VALUE, Integer.MAX_VALUE);
-        need(cbor.nextToken() == JsonToken.VALUE_STRING);
+    private static LeaseMessage decodeLeaseMessage(JsonParser cbor) throws IOException {
+        require(cbor.currentToken() == JsonToken.START_ARRAY);
+        LeaseMessage.Op op = OPS[(int) decodeInteger(cbor, 0, OPS.length - 1)];
+        int configFingerprint = (int) decodeInteger(cbor, Integer.MIN_VALUE, Integer.MAX_VALUE);
+        require(cbor.nextToken() == JsonToken.VALUE_STRING);
         LeaseName lease = new LeaseName(cbor.getText());
-        Token ballot = token(cbor);
-        Token other = token(cbor);
-        need(cbor.nextToken() == JsonToken.VALUE_STRING);
+        Token ballot = decodeToken(cbor);
+        Token otherToken = decodeToken(cbor);
+        require(cbor.nextToken() == JsonToken.VALUE_STRING);
         MemberName holder = cbor.getText().isEmpty() ? null : new MemberName(cbor.getText());
-        long left = whole(cbor, 0, LONGEST_LEFT_MS);
-        long count = whole(cbor, 0, Long.MAX_VALUE);
-        long known = whole(cbor, -1, Long.MAX_VALUE);
-        VoterMessages.Refusal why = REFUSALS[(int) whole(cbor, 0, REFUSALS.length - 1)];
-        need(cbor.nextToken() == JsonToken.END_ARRAY);
-        return new LeaseMessage(op, set, lease, ballot, other, holder, left, count, known, why);
+        long remainingMs = decodeInteger(cbor, 0, MAX_DURATION_MS);
+        long number = decodeInteger(cbor, 0, Long.MAX_VALUE);
+        long previousStart = decodeInteger(cbor, -1, Long.MAX_VALUE);
+        VoterMessages.Refusal reason = REFUSALS[(int) decodeInteger(cbor, 0, REFUSALS.length - 1)];
+        require(cbor.nextToken() == JsonToken.END_ARRAY);
+        return new LeaseMessage(op, configFingerprint, lease, ballot, otherToken, holder, remainingMs, number, previousStart, reason);
     }
 
-    private static void encode(CBORGenerator cbor, Announcement bulletin) throws IOException {
-        cbor.writeStartArray(null, BULLETIN_FIELDS + SIGHT_FIELDS * bulletin.observations().size());
-        cbor.writeString(bulletin.member().text());
-        cbor.writeNumber(bulletin.generation().start());
-        cbor.writeNumber(bulletin.generation().nonce());
-        cbor.writeNumber(bulletin.number());
-        cbor.writeNumber(bulletin.location());
-        cbor.writeNumber(bulletin.traffic().previous());
-        cbor.writeNumber(bulletin.traffic().current());
-        cbor.writeNumber(Math.min(bulletin.traffic().ageMs(), LONGEST_LEFT_MS));
-        for (NodeObservation sight : bulletin.observations()) {
-            cbor.writeNumber(sight.node().value());
-            cbor.writeNumber(sight.startedAtMs());
-            cbor.writeBoolean(sight.failing());
-            cbor.writeNumber(Math.min(sight.ageMs(), LONGEST_LEFT_MS));
+    private static void encode(CBORGenerator cbor, Announcement announcement) throws IOException {
+        cbor.writeStartArray(null, ANNOUNCEMENT_FIELDS + OBSERVATION_FIELDS * announcement.observations().size());
+        cbor.writeString(announcement.member().text());
+        cbor.writeNumber(announcement.generation().start());
+        cbor.writeNumber(announcement.generation().nonce());
+        cbor.writeNumber(announcement.number());
+        cbor.writeNumber(announcement.location());
+        cbor.writeNumber(announcement.traffic().previous());
+        cbor.writeNumber(announcement.traffic().current());
+        cbor.writeNumber(Math.min(announcement.traffic().ageMs(), MAX_DURATION_MS));
+        for (NodeObservation observation : announcement.observations()) {
+            cbor.writeNumber(observation.node().value());
+            cbor.writeNumber(observation.startedAtMs());
+            cbor.writeBoolean(observation.failing());
+            cbor.writeNumber(Math.min(observation.ageMs(), MAX_DURATION_MS));
         }
         cbor.writeEndArray();
     }
 
-    /** Its array has been begun. */
-    private static Announcement bulletin(JsonParser cbor) throws IOException {
-        need(cbor.nextToken() == JsonToken.VALUE_STRING);
-        MemberName who = new MemberName(cbor.getText());
-        Generation life = new Generation(whole(cbor, 0, Generation.MAX_START), whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
-        long number = whole(cbor, 0, Long.MAX_VALUE);
-        int location = (int) whole(cbor, Announcement.NO_LOCATION, Announcement.MAX_LOCATION);
-        AnnouncedTraffic traffic = new AnnouncedTraffic((int) whole(cbor, 0, AnnouncedTraffic.MAX_PER_S), (int) whole(cbor, 0, AnnouncedTraffic.MAX_PER_S), whole(cbor, 0, LONGEST_LEFT_MS));
-        List<NodeObservation> sights = new ArrayList<>();
+    /** Decodes an announcement whose start of array was consumed. */
+    private static Announcement decodeAnnouncement(JsonParser cbor) throws IOException {
+        require(cbor.nextToken() == JsonToken.VALUE_STRING);
+        MemberName member = new MemberName(cbor.getText());
+        Generation generation = new Generation(decodeInteger(cbor, 0, Generation.MAX_START), decodeInteger(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
+        long number = decodeInteger(cbor, 0, Long.MAX_VALUE);
+        int location = (int) decodeInteger(cbor, Announcement.NO_LOCATION, Announcement.MAX_LOCATION);
+        AnnouncedTraffic traffic = new AnnouncedTraffic((int) decodeInteger(cbor, 0, AnnouncedTraffic.MAX_PER_S), (int) decodeInteger(cbor, 0, AnnouncedTraffic.MAX_PER_S), decodeInteger(cbor, 0, MAX_DURATION_MS));
+        List<NodeObservation> observations = new ArrayList<>();
         while (cbor.nextToken() == JsonToken.VALUE_NUMBER_INT) {
-            need(sights.size() < Announcement.MAX_OBSERVATIONS);
+            require(observations.size() < Announcement.MAX_OBSERVATIONS);
             NodeId node = new NodeId(cbor.getLongValue());
-            long startedAt = whole(cbor, 0, NodeObservation.MAX_START);
-            boolean fails = cbor.nextToken() == JsonToken.VALUE_TRUE;
-            need(fails || cbor.currentToken() == JsonToken.VALUE_FALSE);
-            sights.add(new NodeObservation(node, startedAt, fails, whole(cbor, 0, LONGEST_LEFT_MS)));
+            long startedAt = decodeInteger(cbor, 0, NodeObservation.MAX_START);
+            boolean failing = cbor.nextToken() == JsonToken.VALUE_TRUE;
+            require(failing || cbor.currentToken() == JsonToken.VALUE_FALSE);
+            observations.add(new NodeObservation(node, startedAt, failing, decodeInteger(cbor, 0, MAX_DURATION_MS)));
         }
-        need(cbor.currentToken() == JsonToken.END_ARRAY);
-        return new Announcement(who, life, number, location, traffic, sights);
+        require(cbor.currentToken() == JsonToken.END_ARRAY);
+        return new Announcement(member, generation, number, location, traffic, observations);
     }
 
-    private static List<Announcement> bulletins(JsonParser cbor) throws IOException {
-        List<Announcement> bulletins = new ArrayList<>();
-        need(cbor.nextToken() == JsonToken.START_ARRAY);
+    private static List<Announcement> decodeAnnouncements(JsonParser cbor) throws IOException {
+        List<Announcement> announcements = new ArrayList<>();
+        require(cbor.nextToken() == JsonToken.START_ARRAY);
         while (cbor.nextToken() == JsonToken.START_ARRAY) {
-            need(bulletins.size() < MOST_BULLETINS);
-            bulletins.add(bulletin(cbor));
+            require(announcements.size() < MAX_ANNOUNCEMENTS);
+            announcements.add(decodeAnnouncement(cbor));
         }
-        need(cbor.currentToken() == JsonToken.END_ARRAY);
-        return bulletins;
+        require(cbor.currentToken() == JsonToken.END_ARRAY);
+        return announcements;
     }
 
-    private static Token token(JsonParser cbor) throws IOException {
-        return new Token(whole(cbor, 0, Token.MAX_ROUND), whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
+    private static Token decodeToken(JsonParser cbor) throws IOException {
+        return new Token(decodeInteger(cbor, 0, Token.MAX_ROUND), decodeInteger(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
     }
 
-    private static void encode(CBORGenerator cbor, MemberEntry notice) throws IOException {
+    private static void encode(CBORGenerator cbor, MemberEntry entry) throws IOException {
         cbor.writeStartArray(null, 7);
-        cbor.writeString(notice.name().text());
-        byte[] address = ByteBuffer.allocate(ADDRESS_BYTES).put(notice.address().getAddress().getAddress())
-                .putShort((short) notice.address().getPort()).array();
+        cbor.writeString(entry.name().text());
+        byte[] address = ByteBuffer.allocate(ADDRESS_BYTES).put(entry.address().getAddress().getAddress())
+                .putShort((short) entry.address().getPort()).array();
         cbor.writeBinary(address);
-        cbor.writeNumber(notice.generation().start());
-        cbor.writeNumber(notice.generation().nonce());
-        cbor.writeNumber(notice.incarnation());
-        cbor.writeNumber(notice.state().ordinal());
-        cbor.writeNumber(notice.accuser());
+        cbor.writeNumber(entry.generation().start());
+        cbor.writeNumber(entry.generation().nonce());
+        cbor.writeNumber(entry.incarnation());
+        cbor.writeNumber(entry.state().ordinal());
+        cbor.writeNumber(entry.accuser());
         cbor.writeEndArray();
     }
 
-    private int sum(byte[] bytes, int length) {
-        sum.reset();
-        sum.update(bytes, HEAD, length - HEAD);
-        return (int) sum.getValue();
+    private int checksum(byte[] bytes, int length) {
+        crc.reset();
+        crc.update(bytes, HEADER_BYTES, length - HEADER_BYTES);
+        return (int) crc.getValue();
     }
 
-    /** Guards the membership against anything that is not exactly what a proxy sends. */
+    /** Decodes a datagram; rejects everything that is not exactly what a proxy sends. */
     public FleetMessage decode(byte[] bytes, int length) throws InvalidDatagramException {
-        if (length <= HEAD || length > LONGEST) {
-            throw new InvalidDatagramException(Why.SIZE);
+        if (length <= HEADER_BYTES || length > MAX_BYTES) {
+            throw new InvalidDatagramException(Reason.SIZE);
         }
-        if (bytes[0] != PROGRAM || bytes[1] != VERSION) {
-            throw new InvalidDatagramException(Why.VERSION);
+        if (bytes[0] != MAGIC || bytes[1] != VERSION) {
+            throw new InvalidDatagramException(Reason.VERSION);
         }
-        if (ByteBuffer.wrap(bytes, 2, Integer.BYTES).getInt() != sum(bytes, length)) {
-            throw new InvalidDatagramException(Why.DAMAGED);
+        if (ByteBuffer.wrap(bytes, 2, Integer.BYTES).getInt() != checksum(bytes, length)) {
+            throw new InvalidDatagramException(Reason.DAMAGED);
         }
-        try (JsonParser cbor = format.createParser(bytes, HEAD, length - HEAD)) {
-            need(cbor.nextToken() == JsonToken.START_ARRAY);
-            if (whole(cbor, Integer.MIN_VALUE, Integer.MAX_VALUE) != fleet) {
-                throw new InvalidDatagramException(Why.FOREIGN);
+        try (JsonParser cbor = format.createParser(bytes, HEADER_BYTES, length - HEADER_BYTES)) {
+            require(cbor.nextToken() == JsonToken.START_ARRAY);
+            if (decodeInteger(cbor, Integer.MIN_VALUE, Integer.MAX_VALUE) != fleetHash) {
+                throw new InvalidDatagramException(Reason.FOREIGN);
             }
-            Kind kind = KINDS[(int) whole(cbor, 0, KINDS.length - 1)];
-            need(cbor.nextToken() == JsonToken.START_ARRAY);
-            MemberEntry self = notice(cbor);
-            long number = whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE);
-            MemberName target = cbor.nextToken() == JsonToken.VALUE_NULL ? null : name(cbor);
-            MemberEntry about = cbor.nextToken() == JsonToken.VALUE_NULL ? null : notice(cbor);
-            List<MemberEntry> news = new ArrayList<>();
-            need(cbor.nextToken() == JsonToken.START_ARRAY);
+            Kind kind = KINDS[(int) decodeInteger(cbor, 0, KINDS.length - 1)];
+            require(cbor.nextToken() == JsonToken.START_ARRAY);
+            MemberEntry sender = decodeEntry(cbor);
+            long sequence = decodeInteger(cbor, Long.MIN_VALUE, Long.MAX_VALUE);
+            MemberName target = cbor.nextToken() == JsonToken.VALUE_NULL ? null : decodeName(cbor);
+            MemberEntry subject = cbor.nextToken() == JsonToken.VALUE_NULL ? null : decodeEntry(cbor);
+            List<MemberEntry> updates = new ArrayList<>();
+            require(cbor.nextToken() == JsonToken.START_ARRAY);
             while (cbor.nextToken() == JsonToken.START_ARRAY) {
-                need(news.size() < MOST_NOTICES);
-                news.add(notice(cbor));
+                require(updates.size() < MAX_UPDATES);
+                updates.add(decodeEntry(cbor));
             }
-            need(cbor.currentToken() == JsonToken.END_ARRAY);
-            boolean answer = cbor.nextToken() == JsonToken.VALUE_TRUE;
-            need(answer || cbor.currentToken() == JsonToken.VALUE_FALSE);
-            int[] sums = cbor.nextToken() == JsonToken.VALUE_NULL ? null : sums(cbor);
-            LeaseMessage ballot = cbor.nextToken() == JsonToken.VALUE_NULL ? null : ballot(cbor);
-            List<Announcement> bulletins = kind == Kind.BULLETINS ? bulletins(cbor) : null;
-            need(cbor.nextToken() == JsonToken.END_ARRAY && cbor.nextToken() == null);
-            need((kind == Kind.BALLOT) == (ballot != null) && (kind == Kind.SUMS) == (sums != null) && (kind != Kind.ASK || about != null));
-            return new FleetMessage(kind, self, number, target, about, news, answer, sums, ballot, bulletins);
+            require(cbor.currentToken() == JsonToken.END_ARRAY);
+            boolean isReply = cbor.nextToken() == JsonToken.VALUE_TRUE;
+            require(isReply || cbor.currentToken() == JsonToken.VALUE_FALSE);
+            int[] digests = cbor.nextToken() == JsonToken.VALUE_NULL ? null : decodeDigests(cbor);
+            LeaseMessage leaseMessage = cbor.nextToken() == JsonToken.VALUE_NULL ? null : decodeLeaseMessage(cbor);
+            List<Announcement> announcements = kind == Kind.BULLETINS ? decodeAnnouncements(cbor) : null;
+            require(cbor.nextToken() == JsonToken.END_ARRAY && cbor.nextToken() == null);
+            require((kind == Kind.BALLOT) == (leaseMessage != null) && (kind == Kind.SUMS) == (digests != null) && (kind != Kind.ASK || subject != null));
+            return new FleetMessage(kind, sender, sequence, target, subject, updates, isReply, digests, leaseMessage, announcements);
         } catch (InvalidDatagramException e) {
             throw e;
-        } catch (IOException | RuntimeException e) { // whatever the parser makes of garbage
-            throw new InvalidDatagramException(Why.MALFORMED);
+        } catch (IOException | RuntimeException e) { // any failure of the parser on malformed input
+            throw new InvalidDatagramException(Reason.MALFORMED);
         }
     }
 
-    private static void need(boolean sound) throws InvalidDatagramException {
-        if (!sound) {
-            throw new InvalidDatagramException(Why.MALFORMED);
+    private static void require(boolean isValid) throws InvalidDatagramException {
+        if (!isValid) {
+            throw new InvalidDatagramException(Reason.MALFORMED);
         }
     }
 
-    private static long whole(JsonParser cbor, long least, long most) throws IOException {
-        need(cbor.nextToken() == JsonToken.VALUE_NUMBER_INT);
+    /** Decodes an integer within a range, both ends included. */
+    private static long decodeInteger(JsonParser cbor, long lowest, long highest) throws IOException {
+        require(cbor.nextToken() == JsonToken.VALUE_NUMBER_INT);
         long number = cbor.getLongValue();
-        need(number >= least && number <= most);
+        require(number >= lowest && number <= highest);
         return number;
     }
 
-    private static MemberName name(JsonParser cbor) throws IOException {
-        need(cbor.currentToken() == JsonToken.VALUE_STRING);
+    private static MemberName decodeName(JsonParser cbor) throws IOException {
+        require(cbor.currentToken() == JsonToken.VALUE_STRING);
         return new MemberName(cbor.getText());
     }
 
-    private static int[] sums(JsonParser cbor) throws IOException {
-        need(cbor.currentToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
+    private static int[] decodeDigests(JsonParser cbor) throws IOException {
+        require(cbor.currentToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
         byte[] bytes = cbor.getBinaryValue();
-        need(bytes.length == Integer.BYTES * Membership.DIGEST_BUCKETS);
-        int[] sums = new int[Membership.DIGEST_BUCKETS];
-        ByteBuffer.wrap(bytes).asIntBuffer().get(sums);
-        return sums;
+        require(bytes.length == Integer.BYTES * Membership.DIGEST_BUCKETS);
+        int[] digests = new int[Membership.DIGEST_BUCKETS];
+        ByteBuffer.wrap(bytes).asIntBuffer().get(digests);
+        return digests;
     }
 
-    /** Its array has been begun. */
-    private static MemberEntry notice(JsonParser cbor) throws IOException {
-        need(cbor.currentToken() == JsonToken.START_ARRAY);
+    /** Decodes a member entry whose start of array was consumed. */
+    private static MemberEntry decodeEntry(JsonParser cbor) throws IOException {
+        require(cbor.currentToken() == JsonToken.START_ARRAY);
         cbor.nextToken();
-        MemberName name = name(cbor);
-        need(cbor.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
+        MemberName name = decodeName(cbor);
+        require(cbor.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT);
         byte[] address = cbor.getBinaryValue();
-        need(address.length == ADDRESS_BYTES);
+        require(address.length == ADDRESS_BYTES);
         ByteBuffer parts = ByteBuffer.wrap(address);
         byte[] host = new byte[ADDRESS_BYTES - Short.BYTES];
         parts.get(host);
         InetSocketAddress at = new InetSocketAddress(InetAddress.getByAddress(host), Short.toUnsignedInt(parts.getShort()));
-        Generation life = new Generation(whole(cbor, 0, Generation.MAX_START), whole(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
-        int incarnation = (int) whole(cbor, 0, MemberEntry.MAX_INCARNATION);
-        MemberEntry.State state = STATES[(int) whole(cbor, 0, STATES.length - 1)];
-        int accuser = (int) whole(cbor, Integer.MIN_VALUE, Integer.MAX_VALUE);
-        need(cbor.nextToken() == JsonToken.END_ARRAY);
-        return new MemberEntry(name, at, life, incarnation, state, accuser);
+        Generation generation = new Generation(decodeInteger(cbor, 0, Generation.MAX_START), decodeInteger(cbor, Long.MIN_VALUE, Long.MAX_VALUE));
+        int incarnation = (int) decodeInteger(cbor, 0, MemberEntry.MAX_INCARNATION);
+        MemberEntry.State state = STATES[(int) decodeInteger(cbor, 0, STATES.length - 1)];
+        int accuser = (int) decodeInteger(cbor, Integer.MIN_VALUE, Integer.MAX_VALUE);
+        require(cbor.nextToken() == JsonToken.END_ARRAY);
+        return new MemberEntry(name, at, generation, incarnation, state, accuser);
     }
 }
--- a/src/main/java/dappleseam/fleet/peers/SignalExchange.java
+++ b/src/main/java/dappleseam/fleet/peers/SignalExchange.java
@@ -28,165 +28,171 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 
-/** This process's bulletin, all others', and what comes of them: words on caches, and its share. On the fleet's thread, or in simulated time. */
+/**
+ * Exchanges announcements with the other members, and derives verdicts on caches, this proxy's share and its position from them. Runs on the fleet thread,
+ * or in simulated time.
+ */
 public final class SignalExchange {
-    /** Share of a period between looks, each of which tells so many members. */
-    private static final double LOOK_SHARE = 0.25;
-    private static final double LOOK_LEAST_MS = 100;
-    private static final int TOLD_AT_ONCE = 2;
-    /** Looks after which words are said again though they are the same: whoever takes them may have begun since. */
-    private static final int AGAIN = 4;
+    /** Fraction of a period between gossip rounds, their minimum interval in ms, and the members gossiped to in a round. */
+    private static final double ROUND_SHARE = 0.25;
+    private static final double MIN_ROUND_MS = 100;
+    private static final int FANOUT = 2;
+    /** Rounds after which unchanged verdicts are published again: the receiver may have started since. */
+    private static final int REPEAT_ROUNDS = 4;
 
     private final Membership membership;
-    private final RouterAdapter sightings;
+    private final RouterAdapter routerAdapter;
     private final BiConsumer<InetSocketAddress, List<Announcement>> out;
     private final RandomGenerator random;
-    private final double lookMs;
-    private final AnnouncementStore board;
-    private final FailureVoting signals;
-    private final ShareCalculator shares;
-    private FleetFeatures choices;
-    private double lookAt;
-    private int looks;
-    private List<NodeObservation> own = List.of();
-    private List<PeerVerdict> said = List.of();
+    private final double roundMs;
+    private final AnnouncementStore announcementStore;
+    private final FailureVoting failureVoting;
+    private final ShareCalculator shareCalculator;
+    private FleetFeatures features;
+    private double nextRoundAt;
+    private int unchangedRounds;
+    private List<NodeObservation> ownObservations = List.of();
+    private List<PeerVerdict> latestVerdicts = List.of();
     private double share = Double.NaN;
-    private double place = Double.NaN;
-    private boolean toldAnew;
+    private double position = Double.NaN;
+    private boolean reannounced;
 
-    public SignalExchange(Membership membership, double periodMs, int most, int location, FleetFeatures choices, RouterAdapter sightings, BiConsumer<InetSocketAddress, List<Announcement>> out,
+    /** {@code maxMembers}: maximum number of announcements kept; {@code location}: as in {@link FleetAgent}; {@code out}: sends announcements to a member. */
+    public SignalExchange(Membership membership, double periodMs, int maxMembers, int location, FleetFeatures features, RouterAdapter routerAdapter, BiConsumer<InetSocketAddress, List<Announcement>> out,
                RandomGenerator random, double nowMs) {
         this.membership = membership;
-        this.choices = choices;
-        this.sightings = sightings;
+        this.features = features;
+        this.routerAdapter = routerAdapter;
         this.out = out;
         this.random = random;
-        lookMs = Math.max(LOOK_LEAST_MS, LOOK_SHARE * periodMs);
-        shares = new ShareCalculator(membership.self().name(), Math.max(periodMs, LOOK_LEAST_MS / LOOK_SHARE));
-        board = new AnnouncementStore(membership.self().name(), most, shares.ownPropagationMs(), location);
-        signals = new FailureVoting(membership.self().name());
-        lookAt = nowMs + random.nextDouble() * lookMs;
+        roundMs = Math.max(MIN_ROUND_MS, ROUND_SHARE * periodMs);
+        shareCalculator = new ShareCalculator(membership.self().name(), Math.max(periodMs, MIN_ROUND_MS / ROUND_SHARE));
+        announcementStore = new AnnouncementStore(membership.self().name(), maxMembers, shareCalculator.ownPropagationMs(), location);
+        failureVoting = new FailureVoting(membership.self().name());
+        nextRoundAt = nowMs + random.nextDouble() * roundMs;
     }
 
-    /** From now on; what is off is let go by steps. */
-    void choose(FleetFeatures other) {
-        choices = other;
+    /** Takes effect from now on; what is turned off is wound down in steps by its receiver. */
+    void setFeatures(FleetFeatures newFeatures) {
+        features = newFeatures;
         share = Double.NaN;
-        place = Double.NaN;
+        position = Double.NaN;
     }
 
-    /** When something is due. */
+    /** Time of the next {@link #woken}; infinite while all features are off. */
     public double wakeAt() {
-        return choices.any() ? lookAt : Double.POSITIVE_INFINITY;
+        return features.any() ? nextRoundAt : Double.POSITIVE_INFINITY;
     }
 
-    public void receive(double nowMs, List<Announcement> bulletins) {
-        board.receive(nowMs, bulletins);
+    /** Handles announcements from another member. */
+    public void receive(double nowMs, List<Announcement> announcements) {
+        announcementStore.receive(nowMs, announcements);
     }
 
+    /** Runs a round: evaluates the announcements, gossips some, and passes the results on. */
     public void woken(double nowMs) {
-        lookAt = nowMs + lookMs;
-        Collection<Announcement> now = board.current(nowMs);
-        signals.receive(now, this::runs);
-        shares.receive(nowMs, now.stream().filter(this::counts).toList());
+        nextRoundAt = nowMs + roundMs;
+        Collection<Announcement> current = announcementStore.current(nowMs);
+        failureVoting.receive(current, this::isFromLiveMember);
+        shareCalculator.receive(nowMs, current.stream().filter(this::isFromCountedMember).toList());
         Set<MemberName> names = new HashSet<>();
         Set<MemberName> missing = new HashSet<>();
-        for (MemberEntry notice : membership.view()) {
-            if (notice.state().isCounted()) {
-                names.add(notice.name());
-                if (notice.state() != State.ALIVE) {
-                    missing.add(notice.name());
+        for (MemberEntry entry : membership.view()) {
+            if (entry.state().isCounted()) {
+                names.add(entry.name());
+                if (entry.state() != State.ALIVE) {
+                    missing.add(entry.name());
                 }
             }
         }
-        shares.retain(names);
-        double rate = sightings.queriesPerS();
+        shareCalculator.retain(names);
+        double rate = routerAdapter.queriesPerS();
         if (!Double.isNaN(rate)) {
-            own = choices.signals() || choices.turns() ? sights(nowMs) : List.of();
-            double tellable = shares.announceableRate(nowMs, rate, names, missing, membership.fleetSize());
-            board.announce(nowMs, membership.self().generation(), tellable, shares.presumedPerS(nowMs), own, shares.isReannouncing(nowMs) && !toldAnew);
-            toldAnew = shares.isReannouncing(nowMs);
+            ownObservations = features.signals() || features.turns() ? currentObservations(nowMs) : List.of();
+            double announcedRate = shareCalculator.announceableRate(nowMs, rate, names, missing, membership.fleetSize());
+            announcementStore.announce(nowMs, membership.self().generation(), announcedRate, shareCalculator.presumedPerS(nowMs), ownObservations, shareCalculator.isReannouncing(nowMs) && !reannounced);
+            reannounced = shareCalculator.isReannouncing(nowMs);
         }
-        tell(nowMs);
-        if (choices.signals() || choices.turns()) {
-            sayWords();
+        gossip(nowMs);
+        if (features.signals() || features.turns()) {
+            publishVerdicts();
         }
-        if (choices.shares() || choices.subsets()) {
-            share = choices.shares() ? shares.share(nowMs, names, membership.fleetSize(), membership.duplicate() != null) : Double.NaN;
-            Map<MemberName, Double> traffic = choices.subsets() ? shares.localTraffic(names) : null;
-            place = traffic == null ? Double.NaN : TrafficPosition.of(membership.self().name(), traffic);
-            sightings.onShare(share, place);
+        if (features.shares() || features.subsets()) {
+            share = features.shares() ? shareCalculator.share(nowMs, names, membership.fleetSize(), membership.duplicate() != null) : Double.NaN;
+            Map<MemberName, Double> traffic = features.subsets() ? shareCalculator.localTraffic(names) : null;
+            position = traffic == null ? Double.NaN : TrafficPosition.of(membership.self().name(), traffic);
+            routerAdapter.onShare(share, position);
         }
     }
 
-    private List<NodeObservation> sights(double nowMs) {
-        MembershipStatus.Kind kind = membership.status().kind();
-        boolean isWell = kind == MembershipStatus.Kind.WITH_ALL || kind == MembershipStatus.Kind.CUT_OFF;
-        return signals.localObservations(nowMs, sightings.observations().stream().filter(one -> isChosen(one.node())).toList(), isWell);
+    private List<NodeObservation> currentObservations(double nowMs) {
+        MembershipStatus.Kind statusKind = membership.status().kind();
+        boolean isConnected = statusKind == MembershipStatus.Kind.WITH_ALL || statusKind == MembershipStatus.Kind.CUT_OFF;
+        return failureVoting.localObservations(nowMs, routerAdapter.observations().stream().filter(one -> isEnabled(one.node())).toList(), isConnected);
     }
 
-    private boolean isChosen(NodeId node) {
-        return node.equals(ListRetrySchedule.LIST_SERVICE) ? choices.turns() : choices.signals();
+    private boolean isEnabled(NodeId node) {
+        return node.equals(ListRetrySchedule.LIST_SERVICE) ? features.turns() : features.signals();
     }
 
-    private void sayWords() {
-        List<PeerVerdict> now = signals.verdicts(this::turn).stream().filter(word -> isChosen(word.node())).toList();
-        if (!now.equals(said) || ++looks % AGAIN == 0 && !now.isEmpty()) {
-            sightings.onVerdicts(now);
+    private void publishVerdicts() {
+        List<PeerVerdict> current = failureVoting.verdicts(this::retryRank).stream().filter(verdict -> isEnabled(verdict.node())).toList();
+        if (!current.equals(latestVerdicts) || ++unchangedRounds % REPEAT_ROUNDS == 0 && !current.isEmpty()) {
+            routerAdapter.onVerdicts(current);
         }
-        said = now;
+        latestVerdicts = current;
     }
 
-    /** Of those that are present, by rendezvous: views that agree give one order. */
-    private int turn(String what) {
-        return Ranking.rank(what, membership.self().name(), membership.liveMembers().stream().map(MemberEntry::name).toList());
+    /** Rank of this member among the live ones, by rendezvous hashing: members with equal views agree on the order. */
+    private int retryRank(String key) {
+        return Ranking.rank(key, membership.self().name(), membership.liveMembers().stream().map(MemberEntry::name).toList());
     }
 
-    /** Whoever is thought to run, and by that process of its own. */
-    private boolean runs(Announcement bulletin) {
-        return counts(bulletin) && membership.lookup(bulletin.member()).state().isLive();
+    /** Whether the announcement is of a live member, and of its current process. */
+    private boolean isFromLiveMember(Announcement announcement) {
+        return isFromCountedMember(announcement) && membership.lookup(announcement.member()).state().isLive();
     }
 
-    /** Whoever takes of the whole as far as anybody could prove, by its last process. */
-    private boolean counts(Announcement bulletin) {
-        MemberEntry known = membership.lookup(bulletin.member());
-        return known != null && known.state().isCounted() && known.generation().equals(bulletin.generation());
+    /** Whether the announcement is of a member that may take a share, as far as anyone could prove, and of its latest process. */
+    private boolean isFromCountedMember(Announcement announcement) {
+        MemberEntry known = membership.lookup(announcement.member());
+        return known != null && known.state().isCounted() && known.generation().equals(announcement.generation());
     }
 
-    private void tell(double nowMs) {
+    private void gossip(double nowMs) {
         List<MemberEntry> others = new ArrayList<>(membership.liveMembers());
         others.remove(membership.self());
-        for (int i = 0; i < TOLD_AT_ONCE && !others.isEmpty(); i++) {
-            MemberEntry to = others.remove(random.nextInt(others.size()));
-            List<Announcement> news = board.nextBatch(nowMs, others.size() + 1);
-            if (news.isEmpty()) {
+        for (int i = 0; i < FANOUT && !others.isEmpty(); i++) {
+            MemberEntry peer = others.remove(random.nextInt(others.size()));
+            List<Announcement> batch = announcementStore.nextBatch(nowMs, others.size() + 1);
+            if (batch.isEmpty()) {
                 return;
             }
-            out.accept(to.address(), news);
+            out.accept(peer.address(), batch);
         }
     }
 
-    /** What others' words came to at the last look; null where they are not heard. */
-    List<PeerVerdict> said() {
-        return choices.signals() || choices.turns() ? said : null;
+    /** Verdicts of the last round; null if they are turned off. */
+    List<PeerVerdict> latestVerdicts() {
+        return features.signals() || features.turns() ? latestVerdicts : null;
     }
 
-    /** Of what this process says by its own sight. */
-    Set<NodeId> sightsOfFailing() {
-        return own.stream().filter(NodeObservation::failing).map(NodeObservation::node).collect(Collectors.toUnmodifiableSet());
+    /** Caches that this process itself announces as failing. */
+    Set<NodeId> failingCaches() {
+        return ownObservations.stream().filter(NodeObservation::failing).map(NodeObservation::node).collect(Collectors.toUnmodifiableSet());
     }
 
-    /** Of what others' words came to. */
-    Set<NodeId> convicted() {
-        return said.stream().filter(word -> word.kind() == VerdictKind.FAILS).map(PeerVerdict::node).collect(Collectors.toUnmodifiableSet());
+    /** Caches that the other members agree are failing. */
+    Set<NodeId> convictedCaches() {
+        return latestVerdicts.stream().filter(verdict -> verdict.kind() == VerdictKind.FAILS).map(PeerVerdict::node).collect(Collectors.toUnmodifiableSet());
     }
 
-    /** Where it stands among all by the last look; NaN where that is by chance. */
-    double place() {
-        return place;
+    /** Position among the members, by the last round; NaN if unknown or turned off: a random position applies then. */
+    double position() {
+        return position;
     }
 
-    /** Of the whole, this process's by the last look; NaN where it goes by its settings. */
+    /** This process's share of the fleet's limits, by the last round; NaN if turned off: the configured share applies then. */
     public double share() {
         return share;
     }
--- a/src/main/java/dappleseam/fleet/peers/VoterFile.java
+++ b/src/main/java/dappleseam/fleet/peers/VoterFile.java
@@ -11,7 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A voter's promises in a file, replaced as a whole and forced to the disk; a line with the format's version and a sum proves it. */
+/** A voter's state in a file that is replaced as a whole and forced to the disk, with a header line of format version and checksum. */
 public final class VoterFile implements VoterStorage {
     private static final String VERSION = "dappleseam-voter-1";
 
@@ -34,7 +34,7 @@
             return new VoterState(new MemberName(root.path("voter").asText()), root.path("set").asInt(), root.path("start").asLong(),
                     root.path("closed").asBoolean(), votes);
         } catch (IllegalArgumentException e) {
-            throw new IOException("damaged: " + e.getMessage(), e);
+            throw new IOException("invalid content: " + e.getMessage(), e);
         }
     }
 
@@ -43,15 +43,15 @@
     }
 
     @Override
-    public void write(VoterState kept) throws IOException {
+    public void write(VoterState state) throws IOException {
         ChecksummedFile.writeDurably(file, VERSION, json -> {
             json.writeStartObject();
-            json.writeStringField("voter", kept.voter().text());
-            json.writeNumberField("set", kept.configFingerprint());
-            json.writeNumberField("start", kept.startNumber());
-            json.writeBooleanField("closed", kept.cleanlyClosed());
+            json.writeStringField("voter", state.voter().text());
+            json.writeNumberField("set", state.configFingerprint());
+            json.writeNumberField("start", state.startNumber());
+            json.writeBooleanField("closed", state.cleanlyClosed());
             json.writeArrayFieldStart("votes");
-            for (Map.Entry<LeaseName, Vote> entry : kept.votes().entrySet()) {
+            for (Map.Entry<LeaseName, Vote> entry : state.votes().entrySet()) {
                 json.writeStartObject();
                 json.writeStringField("lease", entry.getKey().text());
                 for (Map.Entry<String, Token> token : Map.of("promised", entry.getValue().promised(), "accepted", entry.getValue().accepted()).entrySet()) {
--- a/src/test/java/dappleseam/fleet/lease/RankingTest.java
+++ b/src/test/java/dappleseam/fleet/lease/RankingTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Who tries first: spread evenly, and few move. */
+/** Ranks spread evenly over members, and few leases move when a member leaves. */
 class RankingTest {
     private static List<MemberName> members(int count) {
         List<MemberName> members = new ArrayList<>();
@@ -19,7 +19,7 @@
         return members;
     }
 
-    private static Map<Integer, MemberName> firsts(List<MemberName> members) {
+    private static Map<Integer, MemberName> firstRanked(List<MemberName> members) {
         Map<Integer, MemberName> firsts = new HashMap<>();
         for (int i = 0; i < 1000; i++) {
             LeaseName lease = new LeaseName("lease-" + i);
@@ -29,23 +29,23 @@
     }
 
     @Test
-    void aThousandLeasesSpreadOverFiftyMembers() {
+    void leasesSpreadOverAllMembers() {
         Map<MemberName, Integer> counts = new HashMap<>();
-        firsts(members(50)).values().forEach(m -> counts.merge(m, 1, Integer::sum));
+        firstRanked(members(50)).values().forEach(m -> counts.merge(m, 1, Integer::sum));
         assertThat(counts).hasSize(50);
         assertThat(counts.values()).allMatch(c -> c >= 5 && c <= 40);
     }
 
     @Test
-    void onlyTheLeasesOfOneThatGoesMove() {
+    void onlyLeasesOfARemovedMemberMove() {
         List<MemberName> all = members(50);
-        Map<Integer, MemberName> before = firsts(all);
-        MemberName gone = all.remove(17);
-        firsts(all).forEach((lease, first) -> assertThat(before.get(lease)).isIn(first, gone));
+        Map<Integer, MemberName> before = firstRanked(all);
+        MemberName removed = all.remove(17);
+        firstRanked(all).forEach((lease, first) -> assertThat(before.get(lease)).isIn(first, removed));
     }
 
     @Test
-    void theOrderIsThatOfTheRanks() {
+    void orderMatchesRank() {
         LeaseName lease = new LeaseName("a");
         List<MemberName> order = Ranking.order(lease, members(20));
         assertThat(order).hasSize(20);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void whoIsNotThereHasNoRank() {
+    void unknownMemberHasNoRank() {
         assertThat(Ranking.rank(new LeaseName("a"), new MemberName("x"), members(3))).isEqualTo(-1);
         assertThat(members(3).stream().map(m -> Ranking.rank(new LeaseName("a"), m, members(3)))).containsExactlyInAnyOrder(0, 1, 2);
     }
--- a/src/test/java/dappleseam/fleet/lease/VoterTest.java
+++ b/src/test/java/dappleseam/fleet/lease/VoterTest.java
@@ -13,138 +13,138 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** One voter, what it says, and what it keeps in a file. */
+/** One voter: its replies, and its state across restarts. */
 class VoterTest {
     private static final MemberName A = new MemberName("a");
     private static final MemberName B = new MemberName("b");
     private static final MemberName C = new MemberName("c");
-    private static final MemberName ASKS = new MemberName("x");
+    private static final MemberName CANDIDATE = new MemberName("x");
     private static final LeaseName LEASE = new LeaseName("l");
-    private static final LeaseConfig TERMS = new LeaseConfig(List.of(A, B, C), 1, 1000, 0.01);
+    private static final LeaseConfig CONFIG = new LeaseConfig(List.of(A, B, C), 1, 1000, 0.01);
 
     @TempDir
     Path folder;
-    private final List<String> said = new ArrayList<>();
+    private final List<String> sent = new ArrayList<>();
 
-    /** What a voter says, in words; a candidate's calls are none of its. */
+    /** Records each message of the voter as text: the method name and its arguments, with tokens as their rounds. */
     private final VoterMessages out = (VoterMessages) java.lang.reflect.Proxy.newProxyInstance(VoterMessages.class.getClassLoader(), new Class<?>[] {VoterMessages.class},
             (proxy, method, args) -> {
-                StringBuilder words = new StringBuilder(method.getName());
+                StringBuilder text = new StringBuilder(method.getName());
                 for (Object arg : args) {
-                    words.append(' ').append(arg instanceof Token t ? t.round() : arg);
+                    text.append(' ').append(arg instanceof Token t ? t.round() : arg);
                 }
-                said.add(words.toString());
+                sent.add(text.toString());
                 return null;
             });
 
-    private Voter voter(VoterStorage disk, double nowMs) {
-        return new Voter(A, 1, TERMS, out, disk, nowMs, 0);
+    private Voter voter(VoterStorage storage, double nowMs) {
+        return new Voter(A, 1, CONFIG, out, storage, nowMs, 0);
     }
 
-    private VoterStorage disk() {
+    private VoterStorage storage() {
         return new VoterFile(folder.resolve("voter"));
     }
 
     private String last() {
-        return said.get(said.size() - 1);
+        return sent.get(sent.size() - 1);
     }
 
-    private static void known(Voter voter, long start, long before) {
-        voter.startRegistered(B, start, 1, before);
-        voter.startRegistered(C, start, 1, before);
+    private static void registerStart(Voter voter, long startNumber, long previousStart) {
+        voter.startRegistered(B, startNumber, 1, previousStart);
+        voter.startRegistered(C, startNumber, 1, previousStart);
     }
 
     @Test
-    void withoutADiskItIsSilentForALease() {
+    void abstainsForOneLeaseWithoutStorage() {
         Voter voter = voter(null, 0);
-        voter.prepare(999, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1));
+        voter.prepare(999, CANDIDATE, CONFIG.fingerprint(), LEASE, new Token(5, 1));
         assertThat(last()).contains("refused x l 5 ABSTAINS");
-        voter.prepare(1000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1));
+        voter.prepare(1000, CANDIDATE, CONFIG.fingerprint(), LEASE, new Token(5, 1));
         assertThat(last()).startsWith("promised x l 5 0");
-        voter.propose(1001, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1), 0);
-        voter.prepare(1500, B, TERMS.fingerprint(), LEASE, new Token(6, 2));
+        voter.propose(1001, CANDIDATE, CONFIG.fingerprint(), LEASE, new Token(5, 1), 0);
+        voter.prepare(1500, B, CONFIG.fingerprint(), LEASE, new Token(6, 2));
         assertThat(last()).isEqualTo("promised b l 6 5 x 501.0");
-        voter.propose(1501, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1), 1);
+        voter.propose(1501, CANDIDATE, CONFIG.fingerprint(), LEASE, new Token(5, 1), 1);
         assertThat(last()).contains("refused x l 5 LOWER 6");
     }
 
     @Test
-    void anotherSetIsRefusedByName() {
+    void refusesMessagesOfAnotherConfig() {
         Voter voter = voter(null, 0);
         LeaseConfig other = new LeaseConfig(List.of(A, C, B), 1, 1000, 0.01);
-        voter.ask(2000, ASKS, other.fingerprint(), LEASE);
+        voter.ask(2000, CANDIDATE, other.fingerprint(), LEASE);
         assertThat(last()).contains("OTHER_SET");
-        assertThat(new LeaseConfig(List.of(A, B, C), 2, 1000, 0.01).fingerprint()).isNotEqualTo(TERMS.fingerprint());
-        assertThat(new LeaseConfig(List.of(A, B, C), 1, 3000, 0.01).fingerprint()).as("a holder that counts longer than its voters").isNotEqualTo(TERMS.fingerprint());
-        assertThat(new LeaseConfig(List.of(A, B, C), 1, 1000, 0).fingerprint()).isNotEqualTo(TERMS.fingerprint());
+        assertThat(new LeaseConfig(List.of(A, B, C), 2, 1000, 0.01).fingerprint()).isNotEqualTo(CONFIG.fingerprint());
+        assertThat(new LeaseConfig(List.of(A, B, C), 1, 3000, 0.01).fingerprint()).as("a holder with a longer lease time than its voters").isNotEqualTo(CONFIG.fingerprint());
+        assertThat(new LeaseConfig(List.of(A, B, C), 1, 1000, 0).fingerprint()).isNotEqualTo(CONFIG.fingerprint());
     }
 
     @Test
-    void afterAnOrderlyEndItSpeaksAtOnceAndKnowsWhatItPromised() throws Exception {
-        Voter first = voter(disk(), 0);
-        known(first, 0, -1);
-        first.prepare(2000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1));
-        first.propose(2000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1), 0);
+    void answersAtOnceAfterCleanCloseAndKeepsPromises() throws Exception {
+        Voter first = voter(storage(), 0);
+        registerStart(first, 0, -1);
+        first.prepare(2000, CANDIDATE, CONFIG.fingerprint(), LEASE, new Token(5, 1));
+        first.propose(2000, CANDIDATE, CONFIG.fingerprint(), LEASE, new Token(5, 1), 0);
         first.close(2100);
-        first.prepare(2200, ASKS, TERMS.fingerprint(), LEASE, new Token(9, 1));
+        first.prepare(2200, CANDIDATE, CONFIG.fingerprint(), LEASE, new Token(9, 1));
         assertThat(last()).as("closed").contains("ABSTAINS");
-        Voter second = voter(disk(), 5000);
-        assertThat(second.speaks(5000)).isFalse();
-        known(second, 1, 0);
-        assertThat(second.speaks(5000)).isTrue();
-        second.prepare(5001, B, TERMS.fingerprint(), LEASE, new Token(4, 2));
+        Voter second = voter(storage(), 5000);
+        assertThat(second.isActive(5000)).isFalse();
+        registerStart(second, 1, 0);
+        assertThat(second.isActive(5000)).isTrue();
+        second.prepare(5001, B, CONFIG.fingerprint(), LEASE, new Token(4, 2));
         assertThat(last()).contains("refused b l 4 LOWER 5");
-        second.prepare(5001, B, TERMS.fingerprint(), LEASE, new Token(6, 2));
-        assertThat(last()).as("held for a whole lease from the start").isEqualTo("promised b l 6 5 x 999.0");
+        second.prepare(5001, B, CONFIG.fingerprint(), LEASE, new Token(6, 2));
+        assertThat(last()).as("held for a whole lease time from the restart").isEqualTo("promised b l 6 5 x 999.0");
     }
 
     @Test
-    void afterACrashItIsSilentThoughItHasAFile() {
-        Voter first = voter(disk(), 0);
-        known(first, 0, -1);
-        first.prepare(2000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1));
-        Voter second = voter(disk(), 5000);
-        known(second, 1, 0);
-        assertThat(second.speaks(5999)).isFalse();
-        assertThat(second.speaks(6000)).isTrue();
-        second.prepare(6000, B, TERMS.fingerprint(), LEASE, new Token(4, 2));
-        assertThat(last()).as("rounds last").contains("LOWER 5");
+    void abstainsAfterACrashDespiteItsFile() {
+        Voter first = voter(storage(), 0);
+        registerStart(first, 0, -1);
+        first.prepare(2000, CANDIDATE, CONFIG.fingerprint(), LEASE, new Token(5, 1));
+        Voter second = voter(storage(), 5000);
+        registerStart(second, 1, 0);
+        assertThat(second.isActive(5999)).isFalse();
+        assertThat(second.isActive(6000)).isTrue();
+        second.prepare(6000, B, CONFIG.fingerprint(), LEASE, new Token(4, 2));
+        assertThat(last()).as("promised rounds survive the restart").contains("LOWER 5");
     }
 
     @Test
-    void aFileOfAnEarlierEndIsSeen() throws Exception {
-        Voter first = voter(disk(), 0);
-        known(first, 0, -1);
+    void detectsAFileRestoredFromAnEarlierClose() throws Exception {
+        Voter first = voter(storage(), 0);
+        registerStart(first, 0, -1);
         first.close(2000);
         byte[] copy = Files.readAllBytes(folder.resolve("voter"));
-        Voter second = voter(disk(), 3000);
-        known(second, 1, 0);
+        Voter second = voter(storage(), 3000);
+        registerStart(second, 1, 0);
         second.close(4000);
         Files.write(folder.resolve("voter"), copy);
-        Voter third = voter(disk(), 5000);
-        known(third, 1, 1);
-        assertThat(third.speaks(5500)).isFalse();
+        Voter third = voter(storage(), 5000);
+        registerStart(third, 1, 1);
+        assertThat(third.isActive(5500)).isFalse();
     }
 
     @Test
-    void aTornOrForeignFileIsNone() throws Exception {
-        Voter first = voter(disk(), 0);
-        known(first, 0, -1);
+    void ignoresTruncatedOrForeignFile() throws Exception {
+        Voter first = voter(storage(), 0);
+        registerStart(first, 0, -1);
         first.close(2000);
         byte[] whole = Files.readAllBytes(folder.resolve("voter"));
         Files.write(folder.resolve("voter"), java.util.Arrays.copyOf(whole, whole.length / 2));
-        assertThatThrownBy(() -> disk().read()).isInstanceOf(IOException.class);
-        Voter torn = voter(disk(), 5000);
-        known(torn, 0, 0);
-        assertThat(torn.speaks(5500)).isFalse();
+        assertThatThrownBy(() -> storage().read()).isInstanceOf(IOException.class);
+        Voter truncated = voter(storage(), 5000);
+        registerStart(truncated, 0, 0);
+        assertThat(truncated.isActive(5500)).isFalse();
         Files.write(folder.resolve("voter"), whole);
-        Voter foreign = new Voter(B, 1, TERMS, out, disk(), 5000, 0);
-        assertThat(foreign.speaks(5500)).isFalse();
-        assertThat(foreign.leases()).isZero();
+        Voter foreign = new Voter(B, 1, CONFIG, out, storage(), 5000, 0);
+        assertThat(foreign.isActive(5500)).isFalse();
+        assertThat(foreign.leaseCount()).isZero();
     }
 
     @Test
-    void whatCannotBeWrittenIsNotPromised() {
+    void refusesWhatCannotBePersisted() {
         VoterStorage full = new VoterStorage() {
             @Override
             public VoterState read() throws IOException {
@@ -152,27 +152,27 @@
             }
 
             @Override
-            public void write(VoterState kept) throws IOException {
+            public void write(VoterState state) throws IOException {
                 throw new IOException("no space left");
             }
         };
         Voter voter = voter(full, 0);
-        known(voter, 0, -1);
-        voter.prepare(2000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1));
+        registerStart(voter, 0, -1);
+        voter.prepare(2000, CANDIDATE, CONFIG.fingerprint(), LEASE, new Token(5, 1));
         assertThat(last()).contains("NOT_WRITTEN");
-        voter.propose(2000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1), 0);
+        voter.propose(2000, CANDIDATE, CONFIG.fingerprint(), LEASE, new Token(5, 1), 0);
         assertThat(last()).contains("NOT_WRITTEN");
-        voter.ask(2000, ASKS, TERMS.fingerprint(), LEASE);
+        voter.ask(2000, CANDIDATE, CONFIG.fingerprint(), LEASE);
         assertThat(last()).startsWith("status x l 0 0");
     }
 
     @Test
-    void leasesAreBounded() {
+    void leaseCountIsBounded() {
         Voter voter = voter(null, 0);
-        for (int i = 0; i < Voter.MOST_LEASES + 5; i++) {
-            voter.prepare(2000, ASKS, TERMS.fingerprint(), new LeaseName("l" + i), new Token(5, 1));
+        for (int i = 0; i < Voter.MAX_LEASES + 5; i++) {
+            voter.prepare(2000, CANDIDATE, CONFIG.fingerprint(), new LeaseName("l" + i), new Token(5, 1));
         }
-        assertThat(voter.leases()).isEqualTo(Voter.MOST_LEASES);
+        assertThat(voter.leaseCount()).isEqualTo(Voter.MAX_LEASES);
         assertThat(last()).contains("TOO_MANY");
     }
 }
--- a/src/test/java/dappleseam/fleet/peers/LeaseDeskTest.java
+++ b/src/test/java/dappleseam/fleet/peers/LeaseManagerTest.java
@@ -26,49 +26,49 @@
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
 
-/** Tasks that go wrong, on their own threads: each loses its lease by rule. One voter, which is the process itself. */
-class LeaseDeskTest {
+/** Tasks on their own threads that fail, hang or are fenced lose their leases. The process itself is the only voter. */
+class LeaseManagerTest {
     private static final LeaseName LEASE = new LeaseName("l");
     private static final MemberName SELF = new MemberName("a");
     private static final double LEASE_MS = 300;
-    private static final long PATIENCE_MS = 20_000;
+    private static final long TIMEOUT_MS = 20_000;
 
     private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
-    private LeaseDesk desk;
+    private LeaseManager manager;
 
     private void start(FleetTask task) {
         start(task, null);
     }
 
-    private void start(FleetTask task, VoterStorage disk) {
+    private void start(FleetTask task, VoterStorage storage) {
         double now = FleetAgent.nowMs();
         MemberEntry self = new MemberEntry(SELF, SimulatedFleet.address(1), new Generation(1, 1), 0, MemberEntry.State.ALIVE, 0);
-        MembershipHost nobody = (MembershipHost) java.lang.reflect.Proxy.newProxyInstance(MembershipHost.class.getClassLoader(), new Class<?>[] {MembershipHost.class},
+        MembershipHost host = (MembershipHost) java.lang.reflect.Proxy.newProxyInstance(MembershipHost.class.getClassLoader(), new Class<?>[] {MembershipHost.class},
                 (proxy, method, args) -> null);
-        Membership membership = new Membership(MembershipConfig.defaults(1), self, nobody, new SplittableRandom(1), now);
+        Membership membership = new Membership(MembershipConfig.defaults(1), self, host, new SplittableRandom(1), now);
         membership.begin(now, List.of());
-        desk = new LeaseDesk(membership, new LeaseConfig(List.of(SELF), 1, LEASE_MS, 0.01), disk, List.of(task), (to, ballot) -> { }, posted::add,
-                new ViewRecord(null), new SplittableRandom(1), now);
+        manager = new LeaseManager(membership, new LeaseConfig(List.of(SELF), 1, LEASE_MS, 0.01), storage, List.of(task), (to, message) -> { }, posted::add,
+                new ViewRecorder(null), new SplittableRandom(1), now);
     }
 
-    /** Runs the desk on this thread, as the fleet's would, until that holds. */
-    private void until(BooleanSupplier what) throws InterruptedException {
-        double most = FleetAgent.nowMs() + PATIENCE_MS;
-        while (!what.getAsBoolean()) {
-            assertThat(FleetAgent.nowMs()).as("in time").isLessThan(most);
+    /** Runs the manager on this thread, in place of the fleet thread, until the condition holds. */
+    private void runUntil(BooleanSupplier condition) throws InterruptedException {
+        double deadline = FleetAgent.nowMs() + TIMEOUT_MS;
+        while (!condition.getAsBoolean()) {
+            assertThat(FleetAgent.nowMs()).as("condition not met in time").isLessThan(deadline);
             for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
                 task.run();
             }
-            if (FleetAgent.nowMs() >= desk.wakeAt()) {
-                desk.woken(FleetAgent.nowMs());
+            if (FleetAgent.nowMs() >= manager.wakeAt()) {
+                manager.woken(FleetAgent.nowMs());
             }
             Thread.sleep(2);
         }
     }
 
-    private record Task(Acts acts) implements FleetTask {
-        interface Acts {
-            void act(Permit permit) throws Exception;
+    private record Task(Action action) implements FleetTask {
+        interface Action {
+            void run(Permit permit) throws Exception;
         }
 
         @Override
@@ -83,40 +83,40 @@
 
         @Override
         public void run(Permit permit) throws Exception {
-            acts.act(permit);
+            action.run(permit);
         }
     }
 
     @Test
-    void aTaskActsWithItsTokenForLongerThanALease() throws Exception {
+    void aTaskKeepsItsTokenAcrossRenewals() throws Exception {
         Queue<Token> tokens = new ConcurrentLinkedQueue<>();
         start(new Task(permit -> tokens.add(permit.token(1))));
-        until(() -> tokens.size() > 5);
+        runUntil(() -> tokens.size() > 5);
         double from = FleetAgent.nowMs();
-        until(() -> FleetAgent.nowMs() > from + 3 * LEASE_MS);
+        runUntil(() -> FleetAgent.nowMs() > from + 3 * LEASE_MS);
         assertThat(tokens.stream().distinct()).hasSize(1).doesNotContainNull();
-        assertThat(desk.held()).hasSize(1);
-        desk.end(FleetAgent.nowMs());
-        assertThat(desk.held()).isEmpty();
+        assertThat(manager.heldLeases()).hasSize(1);
+        manager.stopAll(FleetAgent.nowMs());
+        assertThat(manager.heldLeases()).isEmpty();
     }
 
     @Test
-    void oneThatThrowsLosesItsLeaseAndComesBackAfterARest() throws Exception {
-        AtomicInteger acts = new AtomicInteger();
+    void aFailingTaskLosesItsLeaseAndRetriesAfterBackoff() throws Exception {
+        AtomicInteger runs = new AtomicInteger();
         start(new Task(permit -> {
-            if (acts.incrementAndGet() <= 3) {
-                throw new IllegalStateException("planted");
+            if (runs.incrementAndGet() <= 3) {
+                throw new IllegalStateException("deliberate failure");
             }
         }));
-        until(() -> acts.get() >= 3);
-        until(() -> desk.held().isEmpty());
-        until(() -> acts.get() > 5);
-        assertThat(desk.held()).hasSize(1);
-        desk.end(FleetAgent.nowMs());
+        runUntil(() -> runs.get() >= 3);
+        runUntil(() -> manager.heldLeases().isEmpty());
+        runUntil(() -> runs.get() > 5);
+        assertThat(manager.heldLeases()).hasSize(1);
+        manager.stopAll(FleetAgent.nowMs());
     }
 
     @Test
-    void oneThatHangsLosesItsLeaseAndItsPermit() throws Exception {
+    void aHangingTaskLosesItsLeaseAndItsPermit() throws Exception {
         CountDownLatch hangs = new CountDownLatch(1);
         Queue<String> after = new ConcurrentLinkedQueue<>();
         start(new Task(permit -> {
@@ -126,19 +126,19 @@
             hangs.countDown();
             double until = FleetAgent.nowMs() + 4 * LEASE_MS;
             while (FleetAgent.nowMs() < until) {
-                Thread.onSpinWait(); // deaf to interrupts
+                Thread.onSpinWait(); // ignores interrupts
             }
             after.add(String.valueOf(permit.token(0)));
         }));
-        until(() -> hangs.getCount() == 0);
-        until(() -> desk.held().isEmpty());
-        until(() -> !after.isEmpty());
+        runUntil(() -> hangs.getCount() == 0);
+        runUntil(() -> manager.heldLeases().isEmpty());
+        runUntil(() -> !after.isEmpty());
         assertThat(after).containsExactly("null");
-        desk.end(FleetAgent.nowMs());
+        manager.stopAll(FleetAgent.nowMs());
     }
 
     @Test
-    void aTaskThatIsFencedStopsAndAnotherTokenIsAboveTheOneSeen() throws Exception {
+    void aFencedTaskGetsAHigherTokenThanTheOneSeen() throws Exception {
         Queue<Token> tokens = new ConcurrentLinkedQueue<>();
         Token seen = new Token(Token.MAX_ROUND / 2, 7);
         start(new Task(permit -> {
@@ -150,13 +150,13 @@
                 }
             }
         }));
-        until(() -> tokens.stream().anyMatch(seen::isBelow));
-        desk.end(FleetAgent.nowMs());
+        runUntil(() -> tokens.stream().anyMatch(seen::isBelow));
+        manager.stopAll(FleetAgent.nowMs());
     }
 
-    /** A disk that takes long holds up its voter's answers, and nothing else on the fleet's thread. */
+    /** Guards against storage on the fleet thread: a slow disk may delay only the replies of its own voter. */
     @Test
-    void aSlowDiskHoldsUpNobodyButItsVoter() throws Exception {
+    void slowVoterStorageDoesNotBlockTheFleetThread() throws Exception {
         CountDownLatch slow = new CountDownLatch(1);
         AtomicInteger writes = new AtomicInteger();
         Queue<Token> tokens = new ConcurrentLinkedQueue<>();
@@ -167,20 +167,20 @@
             }
 
             @Override
-            public void write(VoterState kept) throws IOException {
+            public void write(VoterState state) throws IOException {
                 try {
-                    if (writes.getAndIncrement() > 0 && !slow.await(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
-                        throw new IOException("the fleet's thread never came to say so");
+                    if (writes.getAndIncrement() > 0 && !slow.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+                        throw new IOException("the fleet thread was blocked");
                     }
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
             }
         });
-        until(() -> writes.get() > 1); // it waits, and this thread does not
+        runUntil(() -> writes.get() > 1); // the write blocks, and this thread does not
         assertThat(tokens).isEmpty();
         slow.countDown();
-        until(() -> !tokens.isEmpty());
-        desk.end(FleetAgent.nowMs());
+        runUntil(() -> !tokens.isEmpty());
+        manager.stopAll(FleetAgent.nowMs());
     }
 }
--- a/src/test/java/dappleseam/fleet/peers/SignalDeskTest.java
+++ b/src/test/java/dappleseam/fleet/peers/SignalExchangeTest.java
@@ -20,20 +20,20 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** One proxy's desk: each choice by itself, and turned off while it runs. */
-class SignalDeskTest {
+/** The signal exchange of one proxy: features on their own, and turned off at run time. */
+class SignalExchangeTest {
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
     private final List<Double> shares = new ArrayList<>();
     private double now = 1000;
 
-    private SignalExchange desk(FleetFeatures choices) {
+    private SignalExchange exchange(FleetFeatures features) {
         MemberEntry self = new MemberEntry(new MemberName("a"), SimulatedFleet.address(1), new Generation(1, 1), 0, MemberEntry.State.ALIVE, 0);
-        MembershipHost nobody = (MembershipHost) java.lang.reflect.Proxy.newProxyInstance(MembershipHost.class.getClassLoader(), new Class<?>[] {MembershipHost.class},
+        MembershipHost host = (MembershipHost) java.lang.reflect.Proxy.newProxyInstance(MembershipHost.class.getClassLoader(), new Class<?>[] {MembershipHost.class},
                 (proxy, method, args) -> null);
-        Membership membership = new Membership(MembershipConfig.defaults(4), self, nobody, new SplittableRandom(1), now);
+        Membership membership = new Membership(MembershipConfig.defaults(4), self, host, new SplittableRandom(1), now);
         membership.begin(now, List.of());
-        RouterAdapter seen = new RouterAdapter() {
+        RouterAdapter adapter = new RouterAdapter() {
             @Override
             public Collection<LocalObservation> observations() {
                 return List.of(new LocalObservation(new NodeId(7), 5, true, now, NEVER), new LocalObservation(ListRetrySchedule.LIST_SERVICE, 0, true, now, NEVER));
@@ -45,41 +45,41 @@
             }
 
             @Override
-            public void onVerdicts(List<PeerVerdict> words) { }
+            public void onVerdicts(List<PeerVerdict> verdicts) { }
 
             @Override
-            public void onShare(double share, double place) {
+            public void onShare(double share, double position) {
                 shares.add(share);
             }
         };
-        return new SignalExchange(membership, 1000, 100, 2, choices, seen, (to, news) -> { }, new SplittableRandom(1), now);
+        return new SignalExchange(membership, 1000, 100, 2, features, adapter, (to, announcements) -> { }, new SplittableRandom(1), now);
     }
 
-    private void look(SignalExchange desk) {
+    private void runRound(SignalExchange exchange) {
         now += 300;
-        desk.woken(now);
+        exchange.woken(now);
     }
 
     @Test
-    void aChoiceThatIsTurnedOffEndsAtOnce() {
-        SignalExchange desk = desk(new FleetFeatures(true, true, false, false));
-        look(desk);
+    void disablingAFeatureTakesEffectAtOnce() {
+        SignalExchange exchange = exchange(new FleetFeatures(true, true, false, false));
+        runRound(exchange);
         assertThat(shares).singleElement().satisfies(share -> assertThat(share).isBetween(0.0, 0.25 + 1e-9));
-        assertThat(desk.said()).isNotNull();
-        desk.choose(new FleetFeatures(true, false, false, false));
-        look(desk);
-        assertThat(desk.share()).isNaN();
+        assertThat(exchange.latestVerdicts()).isNotNull();
+        exchange.setFeatures(new FleetFeatures(true, false, false, false));
+        runRound(exchange);
+        assertThat(exchange.share()).isNaN();
         assertThat(shares).hasSize(1);
-        assertThat(desk.wakeAt()).isFinite();
-        desk.choose(FleetFeatures.NONE);
-        assertThat(desk.said()).isNull();
-        assertThat(desk.wakeAt()).isInfinite();
+        assertThat(exchange.wakeAt()).isFinite();
+        exchange.setFeatures(FleetFeatures.NONE);
+        assertThat(exchange.latestVerdicts()).isNull();
+        assertThat(exchange.wakeAt()).isInfinite();
     }
 
     @Test
-    void sharesAloneSayNothingOfCaches() {
-        SignalExchange desk = desk(new FleetFeatures(false, true, false, false));
-        look(desk);
-        assertThat(desk.said()).isNull();
+    void sharesAloneGiveNoCacheVerdicts() {
+        SignalExchange exchange = exchange(new FleetFeatures(false, true, false, false));
+        runRound(exchange);
+        assertThat(exchange.latestVerdicts()).isNull();
     }
 }
