--- a/src/main/java/dappleseam/control/CallReader.java
+++ b/src/main/java/dappleseam/control/CallReader.java
@@ -5,9 +5,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads the head of one HTTP/1.1 call as its bytes come, bounded, and passes over a short body. Free of I/O. */
+/** Parses the head of one HTTP/1.1 request incrementally, with a size limit, and skips a short body. Does no I/O itself. */
 final class CallReader {
-    /** Bytes of the longest head and of the longest body, which no call has a use for. */
+    /** Maximum size in bytes of the head, and of the body. No request needs a body; a short one is skipped. */
     static final int LONGEST = 4 << 10;
     private static final Pattern FIRST = Pattern.compile("([A-Z]{1,16}) (/[!-~]{0,255}) HTTP/1\\.[01]");
     private static final Pattern HEADER = Pattern.compile("([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \\t]*(.*?)[ \\t]*");
@@ -21,7 +21,7 @@
     private String method = "";
     private String path = "";
 
-    /** Whether the call is whole, or at fault; what follows is passed over. */
+    /** Consumes bytes; returns true once the request is complete or invalid. Later bytes are ignored. */
     boolean read(ByteBuffer in) {
         while (in.hasRemaining() && !isDone()) {
             if (bodyLeft > 0) {
@@ -62,7 +62,7 @@
         for (int i = 1; i < lines.length; i++) {
             Matcher header = HEADER.matcher(lines[i]);
             if (!header.matches() || header.group(1).equalsIgnoreCase("transfer-encoding")) {
-                fault = BAD; // nobody has a reason to send a body in chunks here
+                fault = BAD; // no request here needs a chunked body
                 return;
             }
             if (header.group(1).equalsIgnoreCase("content-length")) {
@@ -73,7 +73,7 @@
         bodyLeft = Math.max(0, length);
     }
 
-    /** The status that a call at fault gets; 0 for one that is sound. */
+    /** The HTTP status with which an invalid request is answered; 0 for a valid one. */
     int fault() {
         return fault;
     }
@@ -82,7 +82,7 @@
         return method;
     }
 
-    /** Without what stands behind a question mark. */
+    /** The path without its query string. */
     String path() {
         int query = path.indexOf('?');
         return query < 0 ? path : path.substring(0, query);
--- a/src/main/java/dappleseam/control/Door.java
+++ b/src/main/java/dappleseam/control/Door.java
@@ -15,21 +15,21 @@
 import java.util.List;
 
 /**
- * Where operators call, on a thread of its own: what it reads is published, what it asks for is posted, so it answers
- * however busy the proxy is. One call to a connection.
+ * The operators' HTTP endpoint, on a thread of its own. It only reads published state and only posts work to the I/O thread,
+ * so it answers however busy the proxy is. One request per connection.
  */
 public final class Door {
     private static final Logger LOG = System.getLogger(Door.class.getName());
-    /** Callers at once; the descriptors kept for them, with the listener's and the selector's own two. */
+    /** Maximum number of concurrent connections. {@link #DESCRIPTORS} adds the listener's and the selector's own. */
     private static final int MOST_CALLERS = 12;
     public static final int DESCRIPTORS = MOST_CALLERS + 4;
     private static final int BACKLOG = 64;
-    /** Time in ms for a call to come, to be answered and to be taken: more than a caller waits. */
+    /** Time in ms in which a request has to arrive, be answered and be closed by the caller: more than a caller waits. */
     private static final long CALLER_MS = 3000;
-    /** Time in ms between looks at who has been here too long, and at the other process. */
+    /** Interval in ms at which expired connections are closed and the periodic task runs. */
     private static final long LOOK_MS = 100;
     private static final int BUFFER = 8 << 10;
-    /** What the path of an operator's word begins with; the member's name follows. */
+    /** Path prefix of the request that marks a fleet member as ended; the member's name follows. */
     private static final String ENDED = "/control/fleet/ended/";
 
     private final Staff staff;
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Listens from now on; {@code look} is called every so often, on the door's thread. {@code fleet} is null for none. */
+    /** Starts listening. {@code periodicTask} runs at short intervals on the control thread; {@code fleet} is null if the proxy is in no fleet. */
     public Door(InetSocketAddress address, Staff staff, Figures figures, FleetDesk fleet, Runnable look) throws IOException {
         this.staff = staff;
         this.figures = figures;
@@ -103,14 +103,14 @@
                     List.copyOf(callers).stream().filter(Caller::isLate).forEach(this::end);
                     look.run();
                 }
-            } catch (IOException | RuntimeException e) { // one fault does not shut the door
-                LOG.log(Level.WARNING, "door: {0}", e.toString());
+            } catch (IOException | RuntimeException e) { // an error must not stop the server
+                LOG.log(Level.WARNING, "control server: {0}", e.toString());
                 pauseAfterFault();
             }
         }
     }
 
-    /** Guards the core against a fault that comes back at once, as where no descriptor is left. */
+    /** Avoids a busy loop on an error that recurs at once, such as a lack of descriptors. */
     private static void pauseAfterFault() {
         try {
             Thread.sleep(LOOK_MS);
@@ -121,7 +121,7 @@
 
     private void accept() throws IOException {
         for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
-            if (callers.size() >= MOST_CALLERS) { // guards the others against callers that finish no call
+            if (callers.size() >= MOST_CALLERS) { // the oldest one makes room, so that incomplete requests cannot block others
                 callers.stream().min(Comparator.comparingLong(c -> c.sinceNanos)).ifPresent(this::end);
             }
             Caller caller = new Caller(channel);
@@ -143,7 +143,7 @@
             } else {
                 read(caller);
             }
-        } catch (IOException e) { // the caller has gone
+        } catch (IOException e) { // the caller has closed the connection
             end(caller);
         }
     }
@@ -159,7 +159,7 @@
         }
     }
 
-    /** Once all is written, the connection ends when the caller has closed it, too: a close at once may cut the answer. */
+    /** Only shuts down the output once all is written, and closes when the caller does: closing at once could truncate the response. */
     private void write(Caller caller) throws IOException {
         caller.channel.write(caller.answer);
         if (caller.answer.hasRemaining()) {
@@ -175,7 +175,7 @@
         try {
             caller.channel.close();
         } catch (IOException e) {
-            LOG.log(Level.DEBUG, "door: {0}", e.toString());
+            LOG.log(Level.DEBUG, "control server: closing a connection failed: {0}", e.toString());
         }
     }
 
--- a/src/main/java/dappleseam/control/Figures.java
+++ b/src/main/java/dappleseam/control/Figures.java
@@ -8,14 +8,14 @@
 import java.util.function.Function;
 
 /**
- * What passed, counted where it happens. The I/O thread alone writes, apart from what SIGHUP brought; any thread reads, and none
- * waits for another.
+ * The proxy's counters and gauges. Only the I/O thread writes them, except for the reload counters, which the SIGHUP thread
+ * writes; any thread may read, without locks.
  */
 public final class Figures {
-    /** Service grades counted at most: beyond that, those that the settings no longer name are forgotten. */
+    /** Maximum number of service grades with counters; beyond it, grades that the settings no longer name are dropped. */
     private static final int MOST_GRADES = 64;
 
-    /** How a query ended. */
+    /** The result that a query is counted under. */
     public enum End { COMPLETED, REJECTED, FAILED }
 
     /** The counts of one service grade. */
@@ -25,7 +25,7 @@
         }
     }
 
-    /** Replaced as a whole when a grade is added: readers see one or the other. */
+    /** Copied on write: readers see either the old or the new map. */
     private volatile Map<String, Ended> byGrade = Map.of();
     private final AtomicLong executions = new AtomicLong();
     private final AtomicInteger pending = new AtomicInteger();
@@ -34,7 +34,7 @@
     private final AtomicLong reloads = new AtomicLong();
     private final AtomicLong reloadErrors = new AtomicLong();
 
-    /** The grades that the settings name now; the counts of those they named before go on. */
+    /** Sets the grades of the current settings; counters of grades that existed before continue. */
     public void grades(Collection<String> names) {
         Map<String, Ended> all = new LinkedHashMap<>(byGrade);
         names.forEach(name -> all.computeIfAbsent(name, n -> new Ended()));
@@ -42,17 +42,18 @@
         byGrade = all;
     }
 
+    /** A query was accepted; {@link #ended} follows. */
     public void taken() {
         set(pending, 1);
     }
 
-    /** A query that was {@link #taken} has its final answer. */
+    /** A query counted by {@link #taken} has its final answer. */
     public void ended(String grade, End how) {
         set(pending, -1);
         turnedAway(grade, how);
     }
 
-    /** A query ended that was never held. */
+    /** A query was answered at once, without being accepted. */
     public void turnedAway(String grade, End how) {
         Ended counts = byGrade.get(grade);
         if (counts != null) {
@@ -69,21 +70,23 @@
         gauge.lazySet(gauge.get() + more);
     }
 
-    /** An execution was written whole to a node. */
+    /** An execution was completely written to a node. */
     public void executed() {
         executions.lazySet(executions.get() + 1);
     }
 
+    /** Sets the gauges: nodes on the list, and those of them that are unavailable. */
     public void list(int listed, int avoidedNow) {
         members = listed;
         avoided = avoidedNow;
     }
 
+    /** Counts a configuration reload, applied or rejected. */
     public void reloaded(boolean taken) {
         (taken ? reloads : reloadErrors).incrementAndGet();
     }
 
-    /** All of it in Prometheus' text format. */
+    /** All metrics in the Prometheus text format. */
     public String text() {
         StringBuilder text = new StringBuilder();
         perGrade(text, "completed_total", Ended::completed);
--- a/src/main/java/dappleseam/control/FleetCommand.java
+++ b/src/main/java/dappleseam/control/FleetCommand.java
@@ -14,19 +14,19 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Shows one proxy's view of its fleet, by its door. */
-@Command(name = "fleet", mixinStandardHelpOptions = true, description = "Show what a proxy knows of its fleet; status 1 where it cannot be had.")
+/** Shows one proxy's view of its fleet, read from its control address. */
+@Command(name = "fleet", mixinStandardHelpOptions = true, description = "Show what a proxy knows of its fleet; exit status 1 if it cannot be read.")
 public final class FleetCommand implements Callable<Integer> {
     private static final int PATIENCE_MS = 2000;
     private static final int LONGEST = 8 << 20;
 
-    @Parameters(paramLabel = "CONTROL", description = "The proxy's second address, for operators.")
+    @Parameters(paramLabel = "CONTROL", description = "The proxy's control address.")
     private String control;
 
-    @Option(names = "--json", description = "As the proxy tells it.")
+    @Option(names = "--json", description = "Print the JSON as the proxy sends it.")
     private boolean json;
 
-    @Option(names = "--ended", paramLabel = "NAME", description = "Tell it that this failed member will not come back.")
+    @Option(names = "--ended", paramLabel = "NAME", description = "Tell the proxy that this failed member will not come back.")
     private String ended;
 
     @Override
@@ -42,7 +42,7 @@
         }
     }
 
-    /** The body of the answer; an exception tells of any other than yes. */
+    /** Sends a request and returns the body; throws on any status other than 200. */
     private static String ask(InetSocketAddress door, String call) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(door, PATIENCE_MS);
@@ -52,10 +52,10 @@
             String answer = new String(in.readNBytes(LONGEST), StandardCharsets.UTF_8);
             int end = answer.indexOf("\r\n\r\n");
             if (end < 0) {
-                throw new IOException("is no door for operators");
+                throw new IOException("not a control address");
             }
             if (!answer.startsWith("HTTP/1.1 200 ")) {
-                throw new IOException("says " + answer.substring(end + 4).strip() + (answer.startsWith("HTTP/1.1 404 ") ? ": it is in no fleet" : ""));
+                throw new IOException("answered: " + answer.substring(end + 4).strip() + (answer.startsWith("HTTP/1.1 404 ") ? ": the proxy is in no fleet" : ""));
             }
             return answer.substring(end + 4);
         }
@@ -63,16 +63,16 @@
 
     private static String text(JsonNode view) {
         if (!view.path("joined").asBoolean()) {
-            return "waits for its address, which another process has\n";
+            return "waiting for its address, which another process uses\n";
         }
-        StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%s stands %s for %d s, counts %d, own health %d%n", view.path("name").asText(),
+        StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%s: status %s for %d s, fleet size %d, health score %d%n", view.path("name").asText(),
                 view.path("standing").asText(), view.path("standing_for_s").asLong(), view.path("counted").asInt(), view.path("own_health").asInt()));
         if (view.has("twin_at")) {
-            text.append("another process goes by this name, at ").append(view.path("twin_at").asText()).append('\n');
+            text.append("another process uses this name, at ").append(view.path("twin_at").asText()).append('\n');
         }
         view.path("leases").forEach(lease -> text.append(String.format(Locale.ROOT, "holds %s with token %s for %d s%n", lease.path("lease").asText(),
                 lease.path("token").asText(), lease.path("held_for_s").asLong())));
-        view.path("words").forEach(said -> text.append(String.format(Locale.ROOT, "others say that %s %s: %d that it fails, %d that it works%n", said.path("node").asText(),
+        view.path("words").forEach(said -> text.append(String.format(Locale.ROOT, "other members report that %s %s: %d say it fails, %d say it works%n", said.path("node").asText(),
                 said.path("word").asText().equals("works") ? "works" : "fails", said.path("fails").asInt(), said.path("works").asInt())));
         view.path("members").forEach(member -> text.append(String.format(Locale.ROOT, "%-8s %-48s %s%n", member.path("state").asText(),
                 member.path("name").asText(), member.path("address").asText())));
--- a/src/main/java/dappleseam/control/FleetDesk.java
+++ b/src/main/java/dappleseam/control/FleetDesk.java
@@ -1,13 +1,13 @@
 package dappleseam.control;
 
-/** What operators read and say of the fleet; where a proxy is in none, there is no such desk. Each call returns at once. */
+/** The fleet requests of the control server; absent if the proxy is in no fleet. No call blocks. */
 public interface FleetDesk {
-    /** In Prometheus' text format. */
+    /** The fleet metrics in the Prometheus text format. */
     String figures();
 
-    /** The view as JSON. */
+    /** This proxy's view of the fleet as JSON. */
     String view();
 
-    /** A member will not come back; false where that is no name. */
+    /** Records that a member will not come back; false if the name is invalid. */
     boolean hasEnded(String name);
 }
--- a/src/main/java/dappleseam/control/Staff.java
+++ b/src/main/java/dappleseam/control/Staff.java
@@ -1,10 +1,13 @@
 package dappleseam.control;
 
-/** What the operators' calls ask of the proxy; each returns at once. */
+/** The service requests of the control server. No call blocks. */
 public interface Staff {
+    /** Whether the proxy accepts clients. */
     boolean isReady();
 
+    /** Sends clients away, until {@link #inService}. */
     void outOfService();
 
+    /** Accepts clients again. */
     void inService();
 }
--- a/src/main/java/dappleseam/diagnostics/ThreadTimes.java
+++ b/src/main/java/dappleseam/diagnostics/ThreadTimes.java
@@ -5,14 +5,14 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** How long one thread has run on a processor and has waited for one, in ms since it began. */
+/** CPU time and run-queue wait time of one thread, in ms since it started; from Linux' schedstat. */
 public record ThreadTimes(double ranMs, double waitedMs) {
     private static final Path OF_CALLER = Path.of("/proc/thread-self/schedstat");
     private static final double NANOS_PER_MS = 1e6;
-    /** Where the system does not tell. */
+    /** Returned where the system does not provide the figures. */
     private static final ThreadTimes UNKNOWN = new ThreadTimes(Double.NaN, Double.NaN);
 
-    /** Of the thread that calls; NaN where the system does not tell. */
+    /** The times of the calling thread; NaN where the system does not provide them. */
     public static ThreadTimes ofCaller() {
         try {
             return parse(Files.readString(OF_CALLER, StandardCharsets.US_ASCII));
@@ -21,13 +21,13 @@
         }
     }
 
-    /** The kernel's line: nanoseconds run, nanoseconds waited, number of time slices. */
+    /** Parses the kernel's line: nanoseconds run, nanoseconds waited, number of time slices. */
     static ThreadTimes parse(String line) {
         String[] figures = line.strip().split(" ");
         return new ThreadTimes(Long.parseLong(figures[0]) / NANOS_PER_MS, Long.parseLong(figures[1]) / NANOS_PER_MS);
     }
 
-    /** What was added since those earlier ones. */
+    /** The difference to earlier times of the same thread. */
     public ThreadTimes since(ThreadTimes earlier) {
         return new ThreadTimes(ranMs - earlier.ranMs, waitedMs - earlier.waitedMs);
     }
--- a/src/main/java/dappleseam/proxy/BackgroundLog.java
+++ b/src/main/java/dappleseam/proxy/BackgroundLog.java
@@ -15,11 +15,11 @@
 import java.util.logging.Logger;
 import java.util.logging.SimpleFormatter;
 
-/** Writes log lines from a thread of its own; a line that finds no room is dropped. */
+/** Writes log lines to standard error on a thread of its own; lines are dropped while the queue is full. */
 final class BackgroundLog extends Handler {
     private static final int MOST_LINES = 1000;
     private static final BackgroundLog INSTANCE = new BackgroundLog();
-    /** Held here, as the platform forgets a logger, and its level, that nobody holds. */
+    /** A strong reference: java.util.logging holds loggers weakly, and would lose the level. */
     private static final Logger LIBRARIES = Logger.getLogger("org");
 
     private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(MOST_LINES);
@@ -27,7 +27,7 @@
 
     private BackgroundLog() {}
 
-    /** Takes over what System.Logger writes by way of the platform's own logging. */
+    /** Replaces the handlers of java.util.logging, which System.Logger writes to. */
     static void start() {
         LogManager.getLogManager().reset();
         Logger.getLogger("").addHandler(INSTANCE);
@@ -44,18 +44,18 @@
                 err.write(lines.take().getBytes(StandardCharsets.UTF_8));
             }
         } catch (IOException | InterruptedException e) {
-            Thread.currentThread().interrupt(); // nobody reads the log: it fills up, and lines are dropped
+            Thread.currentThread().interrupt(); // nobody reads the log: the queue fills up, and lines are dropped
         }
     }
 
-    /** Waits until all lines so far are on their way, for so long at most. */
+    /** Waits until all queued lines have been passed to the writer, for that long at most. */
     static void written(long mostMs) {
         long until = System.nanoTime() + mostMs * 1_000_000;
         try {
             while (!INSTANCE.lines.isEmpty() && System.nanoTime() < until) {
                 Thread.sleep(1);
             }
-            Thread.sleep(1); // the last one taken is being written
+            Thread.sleep(1); // the last line taken from the queue is being written
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/dappleseam/proxy/EventLoop.java
+++ b/src/main/java/dappleseam/proxy/EventLoop.java
@@ -20,19 +20,19 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The one I/O thread: its clock, its deadlines in one ordered structure, and its connections to peers. */
+/** The single I/O thread: its clock, its scheduled tasks and its connections to peers. */
 final class EventLoop implements Loop {
     private static final Logger LOG = System.getLogger(EventLoop.class.getName());
     private static final OptionMap DIAL = OptionMap.create(Options.TCP_NODELAY, true);
     private static final int SCRATCH = 32 << 10;
-    /** Descriptors kept for the connection to the list service, which is not counted among those to nodes. */
+    /** Descriptors reserved for the connection to the list service, which is not counted among those to nodes. */
     private static final int KEPT = 1;
-    /** Lateness in ms from which what has come is read before deadlines fall due. */
+    /** Lateness in ms from which pending input is read before due tasks run. */
     private static final double LATE_MS = 8;
     private static final double NANOS_PER_MS = 1e6;
-    /** What the time of a machine that has just started is, so that 0 is long ago: ten days, over all spans that are looked back on. */
+    /** Offset of the clock, so that 0 is long ago even just after the machine's start: ten days, more than any time span that is looked back on. */
     private static final double LONG_AGO_MS = 10 * 86_400_000.0;
-    /** Least delay in ms with which the thread selects before it runs what was put off: it counts whole ones. */
+    /** Shortest delay in ms after which the thread selects before it runs postponed tasks: XNIO counts whole ms. */
     private static final long READ_FIRST_MS = 1;
 
     private final XnioIoThread thread;
@@ -43,7 +43,7 @@
     private long deadlineCount;
     private double alarmAt = Double.POSITIVE_INFINITY;
     private XnioExecutor.Key alarm;
-    /** Connections to nodes, on their way or open; they are closed on other threads, too. */
+    /** Number of connections to nodes, open or being opened. Atomic, as connections are closed on other threads, too. */
     private final AtomicInteger dialled = new AtomicInteger();
     private final EventLoopMonitor monitor = new EventLoopMonitor();
     private boolean hasReadFirst;
@@ -54,7 +54,7 @@
         this.mostDialled = mostDialled;
     }
 
-    /** Holds so many connections to peers at most from now on; those it has beyond that stay. */
+    /** Sets the maximum number of connections to peers; existing connections beyond it stay open. */
     void limitDialled(int most) {
         mostDialled = most;
     }
@@ -64,7 +64,7 @@
         return machineMs();
     }
 
-    /** See {@link Loop#nowMs}; for any thread. */
+    /** See {@link Loop#nowMs}; thread-safe. */
     static double machineMs() {
         return LONG_AGO_MS + System.nanoTime() / NANOS_PER_MS;
     }
@@ -109,7 +109,7 @@
         return deadline;
     }
 
-    /** One alarm of the thread's, for the first deadline. */
+    /** Keeps one wake-up of the I/O thread scheduled, for the earliest task. */
     private void setAlarm() {
         if (deadlines.isEmpty() || deadlines.first().whenMs >= alarmAt) {
             return;
@@ -118,7 +118,7 @@
             alarm.remove();
         }
         alarmAt = deadlines.first().whenMs;
-        long delayMs = (long) Math.max(0, Math.ceil(alarmAt - nowMs())); // less than one would be none: a busy wait
+        long delayMs = (long) Math.max(0, Math.ceil(alarmAt - nowMs())); // rounded up: a delay under 1 ms would count as 0 and spin
         alarm = thread.executeAfter(this::fire, delayMs, TimeUnit.MILLISECONDS);
     }
 
@@ -128,7 +128,7 @@
             monitor.fired(alarmAt, now);
         }
         if (now > alarmAt + LATE_MS && !hasReadFirst) {
-            // Guards nodes against this thread's own lateness: their answers may be here, unread.
+            // This thread is late: nodes' answers may have arrived unread and must be read before their timeouts run.
             hasReadFirst = true;
             alarm = thread.executeAfter(this::fire, READ_FIRST_MS, TimeUnit.MILLISECONDS);
             return;
@@ -141,7 +141,7 @@
                 Runnable due = deadlines.pollFirst().due;
                 try {
                     due.run();
-                } catch (RuntimeException e) { // one fault leaves the other deadlines
+                } catch (RuntimeException e) { // a failing task must not stop the others
                     LOG.log(Level.ERROR, "a deadline failed", e);
                 }
             }
@@ -171,13 +171,13 @@
         return dialled.get() < mostDialled - KEPT;
     }
 
-    /** A connection on its way; told once. */
+    /** A connection being opened; exactly one of the callbacks is called. */
     private final class Dialling implements Deadline {
         private final Consumer<StreamConnection> up;
         private final Consumer<String> failed;
         private final Deadline timeout;
         private final IoFuture<StreamConnection> future;
-        /** What it counts among the connections to nodes. */
+        /** How much it counts among the connections to nodes: 1, or 0 for the list service. */
         private final int counts;
         private boolean over;
 
@@ -186,7 +186,7 @@
             this.failed = failed;
             this.counts = counts;
             dialled.addAndGet(counts);
-            timeout = at(nowMs() + timeoutMs, () -> fail("not up in time"));
+            timeout = at(nowMs() + timeoutMs, () -> fail("connect timeout"));
             future = thread.openStreamConnection(to, this::opened, DIAL);
             future.addNotifier((done, none) -> {
                 if (done.getStatus() == IoFuture.Status.FAILED) {
--- a/src/main/java/dappleseam/proxy/EventLoopMonitor.java
+++ b/src/main/java/dappleseam/proxy/EventLoopMonitor.java
@@ -5,19 +5,20 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Logs when the I/O thread was held up, and what by: it worked, it waited for a processor, or, in the time that is left, it was blocked or its process was stopped. On the I/O thread only.
+ * Logs when the I/O thread stalled, and why: the time it spent working and waiting for a processor. For the remaining time it was blocked, or its
+ * process was stopped. On the I/O thread only.
  */
 final class EventLoopMonitor {
     private static final Logger LOG = System.getLogger(EventLoopMonitor.class.getName());
-    /** Lateness in ms from which it is logged. */
+    /** Lateness in ms from which a stall is logged. */
     static final double HELD_UP_MS = 250;
-    /** Time in ms between two readings of the thread's times while nothing is late. */
+    /** Interval in ms between samples of the thread's times while nothing is late. */
     private static final double SAMPLE_MS = 1000;
 
     private double sampledAtMs = Double.NaN;
     private ThreadTimes sampled;
 
-    /** An alarm that was set for {@code dueMs} is handled now. */
+    /** Called when a wake-up that was due at {@code dueMs} is handled at {@code nowMs}. */
     void fired(double dueMs, double nowMs) {
         boolean isHeldUp = nowMs > dueMs + HELD_UP_MS;
         if (!isHeldUp && nowMs < sampledAtMs + SAMPLE_MS) {
--- a/src/main/java/dappleseam/proxy/FleetLookout.java
+++ b/src/main/java/dappleseam/proxy/FleetLookout.java
@@ -20,20 +20,26 @@
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 
-/** Between the I/O thread, where queries are, and the fleet's: what this proxy saw of caches goes out, what others say comes in. */
+/**
+ * Connects the I/O thread with the fleet's thread: publishes what this proxy observes of its caches and applies the verdicts of
+ * other members.
+ */
 final class FleetLookout implements Lookout, Sightings {
     private static final double NANOS_PER_MS = 1e6;
     private static final double MS_PER_S = 1000;
-    /** Time in ms over which the rate of queries is smoothed. */
+    /** Time constant in ms for smoothing the query rate. */
     private static final double SMOOTH_MS = 5000;
-    /** Time in ms after which the rate of a new process is worth telling. */
+    /** Age in ms from which a new process announces its query rate. */
     private static final double RATE_FROM_MS = 1000;
-    /** Latest answers over which the usual time of one is taken; multiple of it, and least in ms, from which none is silence. */
+    /**
+     * Number of answers over which the typical latency is smoothed. An execution counts as unanswered after this multiple of the typical
+     * latency, but not before the minimum in ms.
+     */
     private static final double USUAL_OF = 64;
     private static final double SILENT_TIMES = 8;
     private static final double SILENT_LEAST_MS = 100;
 
-    /** By how much a place has to be another to be told: of a hundred proxies, a fifth of one. */
+    /** Change of the position that is passed on: a fifth of one proxy's part among a hundred. */
     private static final double PLACE_NEWS = 0.002;
 
     private final Consumer<List<Learnt>> orders;
@@ -41,10 +47,11 @@
     private final Executor loop;
     private final DoubleSupplier nowMs;
     private final Hearsay hearsay;
-    /** The I/O thread's. */
+    /** When each cache last answered. This and the following fields are used on the I/O thread only. */
     private final Map<NodeId, Double> heardAt = new HashMap<>();
+    /** Caches ejected by this proxy's own findings: until when, and since when. */
     private final Map<NodeId, double[]> failing = new HashMap<>();
-    /** Caches of which an execution had no answer, and that have not answered since. */
+    /** Caches that left an execution unanswered and have not answered since, with the time of that. */
     private final Map<NodeId, Double> struckAt = new HashMap<>();
     private double usualMs;
     private Map<NodeId, Learnt> learnt = Map.of();
@@ -54,7 +61,7 @@
     private double rate;
     private double bornAt = Double.NaN;
     private final Portion portion;
-    /** For any thread. */
+    /** This and the next two fields are read or written by other threads, too. */
     private volatile Collection<Seen> seen = List.of();
     private volatile double ratePerS = Double.NaN;
     private volatile Told told = new Told(Double.NaN, Double.NaN, Double.NEGATIVE_INFINITY);
@@ -62,9 +69,10 @@
     private final ListTurns turns = new ListTurns();
     private Seen service = new Seen(ListTurns.SERVICE, 0, false, Double.NEGATIVE_INFINITY, Double.NEGATIVE_INFINITY);
 
+    /** What the fleet assigned last, and when by the fleet's clock. */
     private record Told(double share, double place, double atMs) {}
 
-    /** {@code orders}: the router's, on the I/O thread, which {@code loop} runs things on, by its clock. */
+    /** {@code applyEjections} passes ejections to the router on the I/O thread, which {@code loopExecutor} runs tasks on; {@code nowMs} is its clock. */
     FleetLookout(long seed, Consumer<List<Learnt>> orders, Whole whole, Executor loop, DoubleSupplier nowMs) {
         hearsay = new Hearsay(new SplittableRandom(seed));
         this.orders = orders;
@@ -100,7 +108,7 @@
         known.forEach(one -> now.put(one.node(), one));
         learnt = now;
         caches.forEach((node, started) -> {
-            if (!started.equals(startedAt.get(node))) { // what the process before it did is no word on this one
+            if (!started.equals(startedAt.get(node))) { // findings on the previous process do not apply to a restarted one
                 struckAt.remove(node);
                 heardAt.remove(node);
                 failing.remove(node);
@@ -111,7 +119,7 @@
         failing.keySet().retainAll(caches.keySet());
         struckAt.keySet().retainAll(caches.keySet());
         if (!Double.isNaN(lookedAt) && nowMs > lookedAt) {
-            double share = Math.min(1, (nowMs - lookedAt) / Math.min(SMOOTH_MS, nowMs - bornAt)); // at first over what there is
+            double share = Math.min(1, (nowMs - lookedAt) / Math.min(SMOOTH_MS, nowMs - bornAt)); // a new process averages over its age
             rate += share * (taken * MS_PER_S / (nowMs - lookedAt) - rate);
             taken = 0;
         }
@@ -124,7 +132,7 @@
             placeTold = Double.isNaN(last.place) ? placeTold : last.place;
             whole.stands(1 / portion.share(), last.place);
         }
-        double shift = System.nanoTime() / NANOS_PER_MS - nowMs; // to the fleet's clock
+        double shift = System.nanoTime() / NANOS_PER_MS - nowMs; // from the I/O thread's clock to the fleet's
         List<Seen> all = new ArrayList<>();
         all.add(new Seen(service.node(), 0, service.fails(), service.failedAtMs() + shift, service.heardAtMs() + shift));
         caches.forEach((node, started) -> {
@@ -132,7 +140,7 @@
             boolean fails = hearsay.isOwn(node, until);
             if (!fails) {
                 failing.remove(node);
-            } else if (failing.get(node) == null || failing.get(node)[0] != until) { // found anew
+            } else if (failing.get(node) == null || failing.get(node)[0] != until) { // ejected again
                 failing.put(node, new double[] {until, nowMs});
             }
             double failedAt = Math.max(fails ? failing.get(node)[1] : Double.NEGATIVE_INFINITY, struckAt.getOrDefault(node, Double.NEGATIVE_INFINITY)) + shift;
@@ -173,7 +181,7 @@
             told.add(one);
         }
         if (!told.isEmpty()) {
-            told.forEach(one -> learnt.put(one.node(), one)); // until the router is asked again
+            told.forEach(one -> learnt.put(one.node(), one)); // until the next update from the router
             orders.accept(told);
         }
     }
--- a/src/main/java/dappleseam/proxy/InFleet.java
+++ b/src/main/java/dappleseam/proxy/InFleet.java
@@ -27,11 +27,11 @@
 import java.util.concurrent.Executor;
 import java.util.function.Supplier;
 
-/** This proxy's place in its fleet, where the operator's file gives it one. Queries pass it by. */
+/** This proxy's membership in a fleet, if the operator's file configures one. Queries do not depend on it. */
 final class InFleet implements FleetDesk {
     static final int DESCRIPTORS = PeerSocket.DESCRIPTORS;
     private static final Logger LOG = System.getLogger(InFleet.class.getName());
-    /** Age in ms from which a kept list says nothing any more: caches come and go by the hour. */
+    /** Age in ms from which a stored list is ignored: caches come and go within hours. */
     private static final double OLDEST_MS = 3_600_000;
     private static final double MS_PER_S = 1000;
     private static final double NANOS_PER_MS = 1e6;
@@ -44,8 +44,8 @@
     private final ListStore store;
 
     /**
-     * Checks the file; nothing runs before {@link #start}. {@code left}: what one process of this proxy leaves for the next; {@code last}: the list
-     * as this proxy last had it, null before the first, for any thread.
+     * Reads and checks the file; nothing runs before {@link #start}. {@code handoverFile} is the file that one process of this proxy leaves for the
+     * next; {@code lastList} supplies this proxy's current list, null before there is one, and is called on any thread.
      */
     InFleet(Path file, Post post, Path left, Supplier<NodeList> last) throws IOException {
         this.file = file;
@@ -57,7 +57,7 @@
         socket = new PeerSocket(identity, Math.max(Bulletin.NOWHERE, Math.min(Bulletin.LAST_LOCATION, post.site().deployment().zone())), post.seed(), left, store == null ? List.of() : List.of(new KeepList(last, store)), new Relay());
     }
 
-    /** What the fleet's thread asks for, also before there is a proxy. */
+    /** Forwards the fleet thread's calls to the bridge, and answers them with nothing while there is none. */
     private final class Relay implements Sightings {
         @Override
         public Collection<Seen> seen() {
@@ -84,7 +84,7 @@
         }
     }
 
-    /** On the I/O thread: from now on that proxy's caches are told of, and it hears of others'. */
+    /** On the I/O thread: from now on this proxy's observations are announced, and those of others reach it. */
     void watch(Proxy proxy, Loop loop, Executor onLoop) {
         if (isAsked) {
             FleetLookout now = new FleetLookout(post.seed(), proxy::recall, proxy, onLoop, loop::nowMs);
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Guards a start while the list service is down: the fleet's last known list, where it is newer than this proxy's own, drains included. */
+    /** For a start while the list service is down: uses the fleet's last known list, drains included, if it is newer than this proxy's own. */
     Post withKept(Post told) {
         if (store == null) {
             return told;
@@ -103,17 +103,18 @@
             long version = told.known().path("rev").asLong(-1);
             double age = System.currentTimeMillis() - kept.writtenMs();
             if (age > OLDEST_MS) {
-                LOG.log(Level.INFO, "the fleet''s last list is not taken: written {0} s ago", Math.round(age / MS_PER_S));
+                LOG.log(Level.INFO, "the fleet''s last list is not used: written {0} s ago", Math.round(age / MS_PER_S));
             } else if (kept.list().path("rev").asLong() > version) {
-                LOG.log(Level.INFO, "the fleet''s last list is taken at version {0}, the file had {1}", kept.list().path("rev").asLong(), version);
+                LOG.log(Level.INFO, "the fleet''s last list is used at version {0}, the file had {1}", kept.list().path("rev").asLong(), version);
                 return told.withKnown(kept.list());
             }
-        } catch (IOException | RuntimeException e) { // it was worth a try
-            LOG.log(Level.INFO, "the fleet''s last list is not taken: {0}", e.toString());
+        } catch (IOException | RuntimeException e) { // optional
+            LOG.log(Level.INFO, "the fleet''s last list is not used: {0}", e.toString());
         }
         return told;
     }
 
+    /** Joins the fleet. */
     void start() throws IOException {
         socket.start();
     }
@@ -122,12 +123,13 @@
         return FleetFileReader.read(file, post.name(), (int) post.site().deployment().proxies());
     }
 
-    /** The file as it is now, checked; running it takes it into force. */
+    /** Reads and checks the file as it is now; running the result applies it. */
     Runnable readAgain() throws IOException {
         Identity now = read();
         return () -> socket.change(now);
     }
 
+    /** Leaves the fleet; with {@code handOver} another process of this proxy goes on as the same member. */
     void end(boolean handOver) {
         socket.end(handOver);
     }
--- a/src/main/java/dappleseam/proxy/KillDelay.java
+++ b/src/main/java/dappleseam/proxy/KillDelay.java
@@ -5,13 +5,13 @@
 import java.util.ArrayDeque;
 
 /**
- * How long after SIGTERM the platform kills at the earliest: the longest statement timeout, which counts as 3 s at most, and 0.7 s more. Where
- * settings have changed a moment ago the platform may still go by those before. For any thread.
+ * The earliest time after SIGTERM at which the platform kills the process: the longest statement timeout, at most 3 s, plus 0.7 s. After a change of
+ * settings the platform may use the previous ones for a moment. Thread-safe.
  */
 final class KillDelay {
     private static final double LONGEST_WAIT_MS = 3000;
     private static final double KILL_MORE_MS = 700;
-    /** Time in ms for which settings that were replaced may still be gone by: clients use a new grade 1.2 s after SIGHUP. */
+    /** Time in ms for which replaced settings may still be in use: clients use a new grade 1.2 s after SIGHUP. */
     private static final double SETTLED_MS = 1200;
 
     private record Replaced(double delayMs, double atMs) {}
@@ -23,18 +23,20 @@
         delayMs = delayMs(deployment);
     }
 
+    /** The kill delay in ms by these settings alone. */
     static double delayMs(Deployment deployment) {
         double longest = deployment.grades().stream().mapToDouble(ServiceGrade::timeoutMs).max().orElseThrow();
         return Math.min(LONGEST_WAIT_MS, longest) + KILL_MORE_MS;
     }
 
+    /** Applies new settings; the previous delay still counts for a while. */
     synchronized void changed(Deployment deployment, double nowMs) {
         forget(nowMs);
         before.add(new Replaced(delayMs, nowMs));
         delayMs = delayMs(deployment);
     }
 
-    /** For a SIGTERM that comes now. */
+    /** The earliest kill in ms after a SIGTERM that comes now. */
     synchronized double earliestMs(double nowMs) {
         forget(nowMs);
         return before.stream().mapToDouble(Replaced::delayMs).reduce(delayMs, Math::min);
--- a/src/main/java/dappleseam/proxy/LearntFile.java
+++ b/src/main/java/dappleseam/proxy/LearntFile.java
@@ -11,20 +11,20 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What one process has learnt of the nodes, kept for the one that comes after it: optional, and soon out of date. */
+/** Node health that one process saves for the next: optional, and valid for a short time only. */
 final class LearntFile {
-    /** Of the format and of what its figures mean; another version passes it over. */
+    /** Version of the format and of the figures' meaning; files of another version are ignored. */
     private static final String VERSION = "dappleseam-learnt-2";
-    /** Age in ms from which nothing in it is news any more: longer than a restart, shorter than most troubles. */
+    /** Age in ms from which a file is ignored: longer than a restart, shorter than most outages. */
     private static final double OLDEST_MS = 10_000;
-    /** Most nodes that are kept. */
+    /** Maximum number of nodes saved or read. */
     private static final int MOST = 4096;
-    /** Largest scale that is believed. */
+    /** Largest weight that is accepted. */
     private static final double LARGEST_SCALE = 1e6;
 
     private LearntFile() {}
 
-    /** {@code nowMs} and the times in it are of the machine's monotonic clock, which the next process has, too; starts are as the list tells them. */
+    /** Writes the file. {@code nowMs} and the times in it are of the machine's monotonic clock, which the next process shares; start times are those of the list. */
     static void write(Path file, Site site, double nowMs, List<Learnt> learnt) throws IOException {
         SealedFile.write(file, VERSION, json -> write(json, site, nowMs, learnt));
     }
@@ -48,15 +48,15 @@
         json.writeEndObject();
     }
 
-    /** What can be used of it; an exception says why nothing can. An entry that is odd is left out alone. */
+    /** Reads the usable entries, leaving out invalid ones; throws if the file as a whole cannot be used. */
     static List<Learnt> read(Path file, Site site, double nowMs) throws IOException {
         JsonNode root = SealedFile.read(file, VERSION);
         double at = root.path("at").asDouble(Double.NaN);
         if (!root.path("deployment").asText().equals(deployment(site))) {
-            throw new IOException("of another deployment");
+            throw new IOException("saved under other settings");
         }
         if (!(at <= nowMs && at > nowMs - OLDEST_MS)) {
-            throw new IOException(at > nowMs ? "from the future" : "too old");
+            throw new IOException(at > nowMs ? "saved in the future" : "too old");
         }
         List<Learnt> learnt = new ArrayList<>();
         for (JsonNode one : root.path("nodes")) {
@@ -79,7 +79,7 @@
                 && one.path("idle").asDouble() <= LARGEST_SCALE;
     }
 
-    /** Nodes' ids and scales mean the same as long as machines and locations do; grades and limits may differ. */
+    /** Node ids and weights keep their meaning as long as models and locations are the same; grades and limits may differ. */
     private static String deployment(Site site) {
         return String.join(",", site.machines()) + ';' + String.join(",", site.zones());
     }
--- a/src/main/java/dappleseam/proxy/Lookout.java
+++ b/src/main/java/dappleseam/proxy/Lookout.java
@@ -5,35 +5,35 @@
 import java.util.List;
 import java.util.Map;
 
-/** Looks over a proxy's shoulder, on its I/O thread, for its fleet; there is none where it is in none. */
+/** Receives what a proxy observes on its I/O thread, for its fleet. Absent if the proxy is in no fleet. */
 interface Lookout {
-    /** A query came. */
+    /** A query was accepted. */
     void taken();
 
-    /** A cache answered, whatever, after so many ms. */
+    /** A cache gave any answer, {@code tookMs} after the execution was sent. */
     void heard(NodeId node, double nowMs, double tookMs);
 
-    /** One did not, for so many ms, or could not be connected to ({@link Double#POSITIVE_INFINITY}). */
+    /** A cache did not answer within {@code tookMs}, or could not be connected to ({@link Double#POSITIVE_INFINITY}). */
     void unanswered(NodeId node, double sentAtMs, double nowMs, double tookMs);
 
-    /** A call for the list was answered, or was not. */
+    /** A request to the list service was answered or failed. */
     void listCalled(double nowMs, boolean answered);
 
-    /** In how many ms to call again after one that failed; {@code ownMs}: without a fleet. */
+    /** The delay in ms before a failed list request is retried; {@code defaultMs} is the delay without a fleet. */
     double listAgainMs(double nowMs, double ownMs);
 
-    /** From time to time: what the router has learnt, and all caches in service by the list with their starts. */
+    /** Called periodically with the router's node health, and all ready caches of the list with their start times. */
     void look(double nowMs, List<Learnt> learnt, Map<NodeId, Double> startedAtMs);
 
-    /** What the proxy does by what it is told, on the I/O thread. */
+    /** What the fleet changes in the proxy, on the I/O thread. */
     interface Whole {
-        /** What limits are divided by without a fleet. */
+        /** The number of proxies by the settings; shared limits are divided by it. */
         double proxies();
 
-        /** What they are divided by from now on: the whole over this proxy's share; and where it stands among all, NaN for no change. */
+        /** Sets the number that shared limits are divided by from now on (the total over this proxy's share), and its position among all proxies, NaN for no change. */
         void stands(double proxies, double place);
 
-        /** To call for the list in so many ms, unless that is followed. */
+        /** Requests the list after that delay, unless it is being watched by then. */
         void callIn(double ms);
     }
 }
--- a/src/main/java/dappleseam/proxy/Nodes.java
+++ b/src/main/java/dappleseam/proxy/Nodes.java
@@ -17,10 +17,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The nodes as the list tells of them, and where each is dialled. */
+/** The nodes on the service list, each with the backend that connects to it. */
 final class Nodes {
     private static final Logger LOG = System.getLogger(Nodes.class.getName());
-    /** Nodes of one list that have lines of their own in the log: a whole fleet of the usual size at its start. */
+    /** Maximum number of nodes logged individually per list: enough for a fleet of ordinary size at its start. */
     private static final int MOST_LOGGED = 40;
 
     private final Loop loop;
@@ -28,20 +28,20 @@
     private Connections connections;
     private final Map<NodeId, Peer> peers = new HashMap<>();
     private long version;
-    /** Lists heard of so far. */
+    /** Number of lists received so far. */
     private long lists;
-    /** Whether something has changed since the list was last published. */
+    /** Whether the list has changed since it was last published. */
     private boolean hasChanged;
-    /** The list as last published, for other threads. */
+    /** The list as last published; read by other threads. */
     private volatile NodeList last = new NodeList(0, true, List.of());
-    /** Lines of the log about single nodes of the list that is being learnt. */
+    /** Number of changes logged for the list that is being applied. */
     private int logged;
 
-    /** A listed node and where it is dialled. */
+    /** A listed node and its backend. */
     private static final class Peer {
         final Listed entry;
         final Backend backend;
-        /** The last list that named it. */
+        /** Number of the last list that contained it. */
         long listedIn;
 
         Peer(Listed entry, Backend backend, long listedIn) {
@@ -61,7 +61,7 @@
         this.connections = connections;
     }
 
-    /** What is allowed from now on. */
+    /** Applies new settings to all backends. */
     void limit(int newOriginModel, Connections newConnections) {
         originModel = newOriginModel;
         connections = newConnections;
@@ -76,23 +76,23 @@
         return peers.size();
     }
 
-    /** Null for a node that is not listed. */
+    /** The node's backend; null if it is not listed. */
     Backend backend(NodeId node) {
         Peer peer = peers.get(node);
         return peer == null ? null : peer.backend;
     }
 
-    /** The whole list as last published; for any thread. */
+    /** The full list as last published; thread-safe. */
     NodeList lastList() {
         return last;
     }
 
-    /** The whole list as last told. */
+    /** The full list as it is now. */
     NodeList wholeList() {
         return new NodeList(version, true, peers.values().stream().map(peer -> peer.entry).toList());
     }
 
-    /** Shows other threads the list as it is now. */
+    /** Makes the current list visible to other threads. */
     void publish() {
         if (hasChanged) {
             hasChanged = false;
@@ -100,7 +100,7 @@
         }
     }
 
-    /** The caches in use, and when each started. */
+    /** The ready caches with their start times in ms. */
     Map<NodeId, Double> readyCaches() {
         Map<NodeId, Double> caches = new HashMap<>();
         peers.forEach((node, peer) -> {
@@ -112,6 +112,7 @@
         return caches;
     }
 
+    /** Applies a full list or changes to the current one. */
     void learn(NodeList list) {
         version = list.version();
         hasChanged = true;
@@ -136,12 +137,12 @@
         }
     }
 
-    /** Says it of the first few of a list; all of a large fleet's would take more time than the list itself. */
+    /** Whether to log another change: logging all of a large fleet would take longer than applying its list. */
     private boolean mayLog() {
         return ++logged <= MOST_LOGGED;
     }
 
-    /** A node is new, or something of it has changed. */
+    /** Adds a node, or replaces one whose entry has changed. */
     private void know(Listed entry, Peer before) {
         Member m = entry.member();
         if (mayLog()) {
@@ -158,7 +159,7 @@
         }
     }
 
-    /** As the router names it in its lines. */
+    /** The node's name, as in the router's log lines. */
     private static String name(NodeId node) {
         return Long.toHexString(node.value());
     }
--- a/src/main/java/dappleseam/proxy/Proxy.java
+++ b/src/main/java/dappleseam/proxy/Proxy.java
@@ -43,27 +43,30 @@
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
 
-/** Between the router and the peers: holds the queries taken, and does what the router decides. */
+/**
+ * Connects the router with clients and nodes: holds the open queries, carries out the router's decisions and reports events to it.
+ * Runs on the I/O thread, except where a method says otherwise.
+ */
 final class Proxy implements Host, Queries, Execution.Owner, Lookout.Whole {
     private static final Logger LOG = System.getLogger(Proxy.class.getName());
-    /** The answer of an aborted query. */
+    /** The reply to an aborted query. */
     private static final String FAILED = "-ERR failed";
-    /** Ids remembered: more than the table of queries holds, and some seconds' worth of a busy proxy. */
+    /** Number of recent query ids that are remembered: more than there can be open queries, and a busy proxy's queries of some seconds. */
     private static final int IDS = 8 << 10;
-    /** A time in ms as clients write it. */
+    /** A time in ms in a client's command. */
     private static final Pattern MS = Pattern.compile("\\d{1,7}(\\.\\d{1,6})?");
-    /** A time in s as clients write it. */
+    /** A time in s in a client's command. */
     private static final Pattern SECONDS = Pattern.compile("\\d{1,4}(\\.\\d{1,9})?");
     private static final double MS_PER_S = 1000;
-    /** Time in ms by which an answer goes out before the client stops waiting for it. */
+    /** Margin in ms by which a reply is sent before the client stops waiting for it. */
     private static final double LAST_HOP_MS = 10;
-    /** Time in ms past that at which a query the router forgot is aborted; it guards rule 1. */
+    /** Time in ms after a query's deadline at which it is aborted if the router has not answered it; a safety net for rule 1. */
     private static final double FORGOTTEN_MS = 15;
-    /** Time in ms that a command may take to a node, of those that nodes know a repeat for. */
+    /** Allowance in ms for a repeat's way to the node, taken off the nodes' deduplication window. */
     private static final double WAY_MS = 20;
-    /** Least time in ms between two lines about errors: a failing node must not fill the log. */
+    /** Minimum interval in ms between log lines about failed executions: a failing node must not flood the log. */
     private static final double ERRORS_APART_MS = 1000;
-    /** Time to come back in ms where no more queries can be held. */
+    /** Retry delay in ms sent when the table of open queries is full. */
     private static final double TABLE_FULL_MS = 250;
 
     private final Loop loop;
@@ -76,25 +79,25 @@
     private final StartTimes startTimes = new StartTimes();
     private volatile List<Learnt> learnt = List.of();
     private final Slots<Taken> queries = new Slots<>();
-    /** The ids of the queries taken last, as the clients gave them, in order: those of all that are open among them. */
+    /** Ids of the latest queries, as given by the clients, oldest first; includes all open ones. */
     private final Set<String> ids = new LinkedHashSet<>();
-    /** Told to the router one after the other: what it does may bring about the next. */
+    /** Events for the router, handled one after the other: its reaction to one may cause the next. */
     private final ArrayDeque<Runnable> toTell = new ArrayDeque<>();
     private boolean telling;
     private boolean hasHeardList;
     private boolean hasListFailed;
-    /** Null where this proxy tells nobody of its caches. */
+    /** Null if this proxy exchanges nothing with a fleet. */
     private Lookout lookout;
-    /** The whole over this proxy's share; NaN where that is as the settings say. */
+    /** The proxy count assigned by the fleet (total over this proxy's share); NaN if the settings' count applies. */
     private double sharedBy = Double.NaN;
     private double errorLoggedAt;
 
-    /** A query taken, until it is answered and its last execution has ended. */
+    /** An accepted query, until it is answered and its last execution has ended. */
     private static final class Taken {
         final Command command;
         final Owed owed;
         final String grade;
-        /** By the rules it was taken under. */
+        /** The grade's settings at the time it was accepted. */
         final ServiceGrade rules;
         final int mostExecutions;
         final double quitAt;
@@ -114,7 +117,7 @@
     }
 
     private record Sent(Execution execution, NodeId node, Backend backend, Loop.Deadline deadline) {
-        /** Guards rule 1 and a node: nothing more of it goes out, as its query is over or its time to begin is. */
+        /** Cancels the execution if it has not been written whole, because its query is answered or its time to start has passed (rule 1). */
         void takeBack() {
             if (backend != null && !execution.hasEnded() && backend.takeBack(execution)) {
                 execution.end(Ending.of(Outcome.UNSENT));
@@ -129,7 +132,7 @@
         figures.grades(site.gradeNames());
         lists = new ListReader(site.machines(), site.zones());
         NodeList known = post.known().isObject() ? lists.read(post.known()) : new NodeList(0, true, List.of());
-        SplittableRandom random = new SplittableRandom(post.seed()); // its factory would search for all there are
+        SplittableRandom random = new SplittableRandom(post.seed()); // RandomGenerator's factory would look up all algorithms, which is slow
         watch = new ListWatch(loop, post.listService(), lists, known.version(), this::news, this::listFailed,
                 this::againMs, random.split());
         router = new Router(site.deployment(), random, this, loop.nowMs());
@@ -143,20 +146,20 @@
     }
 
     private static Connections connections(Site site, Reuse reuse) {
-        // Where two executions may never be out together, giving one up has to end its connection, and so
-        // each has one of its own: a neighbour's would be reset with it.
+        // If executions may not run in parallel, cancelling one has to close its connection. Each execution then
+        // gets a connection of its own, as the close would reset the others on a shared one.
         boolean together = site.deployment().parallelExecutions();
         boolean share = together && site.deployment().openPrice() > 0;
         return new Connections(together ? site.commandsAtOnce() : 1, share, site.idleCloseMs(),
                 site.connectTimeoutMs(), !together, reuse);
     }
 
-    /** The router asks for the list only where it has to; what is pushed there, is watched for here. */
+    /** Whether the list is watched all the time; otherwise it is requested only when the router asks for it. */
     private boolean isPushed() {
         return site.deployment().askEveryMs() == 0;
     }
 
-    /** A new configuration: its settings hold for queries to come, and the list may be at another address. */
+    /** Applies a new configuration: its settings hold for later queries, and the list service may have moved. */
     void reloaded(Post post) {
         Site before = site;
         site = post.site();
@@ -174,32 +177,33 @@
         }
     }
 
-    /** Clients are about to be let in. */
+    /** Called just before the first client is accepted. */
     void prepare() {
         tell(router::prepare);
     }
 
-    /** Whether the list service has told of the list since the start. */
+    /** Whether the list service has answered since the start. */
     boolean hasHeardList() {
         return hasHeardList;
     }
 
-    /** Whether a call to the list service has failed since the start. */
+    /** Whether a request to the list service has failed since the start. */
     boolean hasListFailed() {
         return hasListFailed;
     }
 
-    /** What was learnt of the nodes when it was last told; for any thread. */
+    /** The nodes' health as last published; thread-safe. */
     List<Learnt> learnt() {
         return learnt;
     }
 
+    /** Restores node health saved by another process or received from the fleet. */
     void recall(List<Learnt> known) {
         List<Learnt> ofProcesses = known.stream().map(one -> one.startedAt(startTimes.startedAtMs(one.node(), one.startedAtMs()))).toList();
         tell(() -> router.recall(loop.nowMs(), ofProcesses));
     }
 
-    /** Tells the figures what takes a walk to count. */
+    /** Publishes what takes a pass over all nodes: node health, the list and the gauges. */
     void publish() {
         learnt = router.learnt().stream().map(one -> one.startedAt(startTimes.bootMs(one.node()))).toList();
         if (lookout != null) {
@@ -209,7 +213,7 @@
         figures.list(nodes.count(), router.avoided(loop.nowMs()));
     }
 
-    /** Tells it from now on what it is there for. */
+    /** Sets the observer that is notified from now on. */
     void tellOfCaches(Lookout to) {
         lookout = to;
     }
@@ -234,7 +238,7 @@
         return lookout == null ? ownMs : lookout.listAgainMs(loop.nowMs(), ownMs);
     }
 
-    /** Answers at once what has no answer yet: this process is about to end. */
+    /** Aborts all open queries: the process is about to end. */
     void abortAll() {
         for (Taken taken : queries.all()) {
             if (!taken.answered) {
@@ -254,7 +258,7 @@
             while (!toTell.isEmpty()) {
                 try {
                     toTell.poll().run();
-                } catch (RuntimeException e) { // the query it concerned is aborted in time; the others go on
+                } catch (RuntimeException e) { // the affected query is aborted at its deadline; the others go on
                     LOG.log(Level.ERROR, "the router failed", e);
                 }
             }
@@ -271,7 +275,7 @@
             lookout.listCalled(loop.nowMs(), true);
         }
         nodes.learn(list);
-        if (isFirst) { // with what the file knew: all of it is judged together
+        if (isFirst) { // evaluated together with the list from the configuration file
             List<Member> all = startTimes.ofFirst(nodes.wholeList(), now, System.currentTimeMillis());
             tell(() -> router.listGiven(loop.nowMs(), all, false));
             return;
@@ -295,7 +299,7 @@
         }
     }
 
-    /** The whole list as last published; for any thread. */
+    /** The full list as last published; thread-safe. */
     NodeList lastList() {
         return nodes.lastList();
     }
@@ -315,7 +319,7 @@
             reject(command, owed);
             return null;
         }
-        if (!ids.add(command.id())) { // nodes know a query by its id: another's may be open, or just have been
+        if (!ids.add(command.id())) { // nodes identify a query by its id, which another open or recent query uses
             command.release();
             figures.turnedAway(named, Figures.End.FAILED);
             owed.line("-ERR this id is in use");
@@ -345,14 +349,14 @@
         owed.busy(site.deployment().maxRetryAfterMs() > 0 ? TABLE_FULL_MS : 0);
     }
 
-    /** What {@code d} says, in ms, up to the statement timeout; -1 where it is missing or no plain number. */
+    /** The command's {@code d} in ms, limited to the statement timeout; -1 if it is missing or not a plain number. */
     private double waits(Command command, int grade) {
         String text = command.fact("d");
         return grade < 0 || !MS.matcher(text).matches() ? -1
                 : Math.min(Double.parseDouble(text), site.deployment().grades().get(grade).timeoutMs());
     }
 
-    /** The client's guess of the work, which it gives in s; 0 where there is none, or none that can be. */
+    /** The client's cost estimate, given in s, in ms; 0 if it is missing or invalid. */
     private static double workMs(Command command) {
         String text = command.fact("costGuessS");
         return SECONDS.matcher(text).matches() ? MS_PER_S * Double.parseDouble(text) : 0;
@@ -390,7 +394,7 @@
         answered(taken);
     }
 
-    /** Guards rule 1: what waits for a connection still, such as a second copy, is not sent for it afterwards. */
+    /** Rule 1: executions that still wait for a connection, such as a second copy, are not sent after the answer. */
     private static void answered(Taken taken) {
         taken.answered = true;
         taken.forgotten.callOff();
@@ -408,12 +412,12 @@
     public void execute(QueryId id, NodeId node, double timeoutMs) {
         Taken taken = queries.get(id.value());
         if (taken == null) {
-            LOG.log(Level.ERROR, "an execution for a query not held");
+            LOG.log(Level.ERROR, "an execution for an unknown query");
             return;
         }
         double now = loop.nowMs();
         double until = timeoutMs == 0 ? taken.quitAt : Math.min(taken.quitAt, now + timeoutMs);
-        boolean clientIsHere = taken.execs.isEmpty() || taken.owed.isClientHere(); // the first goes out as its query is read
+        boolean clientIsHere = taken.execs.isEmpty() || taken.owed.isClientHere(); // the first one starts while its query is being read
         Execution execution = new Execution(id, taken.execs.size(), taken.command, now, until, this);
         Backend backend = nodes.backend(node);
         taken.out++;
@@ -432,7 +436,10 @@
         backend.begin(execution);
     }
 
-    /** By when a further execution has to have begun whole, where nodes know a repeat for a time only; it may have to wait to be sent. */
+    /**
+     * The time by which a repeat has to be written whole: nodes deduplicate only for a limited time after the first execution, and
+     * a repeat may have to wait for a connection. Infinite for grades without deduplication.
+     */
     private static double windowEnds(Taken taken) {
         return taken.rules.repeat() != ServiceGrade.Repeat.DEDUPLICATED ? Double.POSITIVE_INFINITY
                 : taken.execs.stream().filter(s -> s.execution.mayHaveRun()).mapToDouble(s -> s.execution.sentAt).min()
@@ -480,7 +487,7 @@
             } else if (ending.transfer() == null) {
                 answered(taken, Figures.End.COMPLETED);
                 taken.owed.value(ending.value());
-            } else { // it is answered from its first bytes on, and ended when the client has the last
+            } else { // the reply starts with the first bytes; the query ends once the client has the last
                 answered(taken);
                 Transfer transfer = ending.transfer();
                 transfer.into(taken.owed::more, () -> figures.ended(taken.grade,
@@ -504,7 +511,7 @@
             case COMPLETED, MISS, FULL -> lookout.heard(node, loop.nowMs(), took);
             case TIMED_OUT, CANCELLED -> lookout.unanswered(node, sentAt, loop.nowMs(), took);
             case CONNECT_FAILED -> lookout.unanswered(node, sentAt, loop.nowMs(), Double.POSITIVE_INFINITY);
-            default -> { } // it tells of its connection, or of this side
+            default -> { } // says something about the connection or this proxy, not about the node
         }
     }
 
--- a/src/main/java/dappleseam/proxy/Rehearsal.java
+++ b/src/main/java/dappleseam/proxy/Rehearsal.java
@@ -27,17 +27,17 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Queries through a whole proxy with stand-ins for its peers, over pipes, before the first client is let in. Guards
- * nodes and clients against a cold start: code that is loaded and compiled under load makes every answer late.
+ * Runs queries through a complete proxy with stubbed nodes, over pipes, before the first client is accepted. Otherwise classes would be
+ * loaded and compiled under load, which delays every answer after a start. Log lines call it a rehearsal.
  */
 final class Rehearsal implements Loop {
     private static final Logger LOG = System.getLogger(Rehearsal.class.getName());
-    /** Queries in all: what each runs through has then been compiled; at once: a few descriptors each. */
+    /** Number of queries, enough for the JIT to compile their path, and of concurrent ones, each of which takes a few descriptors. */
     private static final int QUERIES = 120;
     private static final int AT_ONCE = 4;
-    /** Time in ms after which clients are let in all the same. */
+    /** Time in ms after which clients are accepted even if the warm-up has not finished. */
     private static final double LONGEST_MS = 900;
-    /** Each so many-th key is missing at the cache, each so many-th query a write. */
+    /** One key in so many is a miss at the cache, and one query in so many is a write. */
     private static final int MISSING = 4;
     private static final int WRITES = 16;
     private static final int LONGEST_BULK = 1 << 10;
@@ -62,12 +62,12 @@
         facts = "c=" + post.site().gradeNames().get(0) + ",d=1000,k=1";
     }
 
-    /** Plays it; {@code whenOver} is told whether every query was answered, and most with a value. */
+    /** Runs the warm-up; {@code onDone} receives whether every query was answered, and most of them with a value. */
     static void play(Loop loop, XnioIoThread thread, Post post, Consumer<Boolean> whenOver) {
         Rehearsal rehearsal = new Rehearsal(loop, thread, post, whenOver);
         try {
             rehearsal.begin(post);
-        } catch (IOException | RuntimeException e) { // a proxy that cannot rehearse serves all the same
+        } catch (IOException | RuntimeException e) { // the proxy serves even if the warm-up fails
             LOG.log(Level.WARNING, "no rehearsal: {0}", e.toString());
             rehearsal.end();
         }
@@ -136,7 +136,7 @@
         }
     }
 
-    /** A side of a pipe on which each message is handed to {@code whole}. */
+    /** One side of a pipe; each RESP message that arrives is passed to {@code handler}. */
     private Link speaking(StreamConnection connection, BiConsumer<Link, RespMessage> whole) {
         RespReader reader = new RespReader(loop.pool(), LONGEST_BULK);
         Link[] self = new Link[1];
@@ -168,7 +168,7 @@
     public Deadline dial(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
                          Consumer<String> failed) {
         if (!to.equals(CACHE) && !to.equals(ORIGIN)) {
-            return at(nowMs(), () -> failed.accept("the list is not rehearsed"));
+            return at(nowMs(), () -> failed.accept("the warm-up has no list service"));
         }
         try {
             ChannelPipe<StreamConnection, StreamConnection> pipe = thread.createFullDuplexPipeConnection();
@@ -176,7 +176,7 @@
                 speaking(pipe.getRightSide(), Rehearsal::answerAsCache);
             } else {
                 Link[] peer = new Link[1];
-                peer[0] = listening(pipe.getRightSide(), head -> { // each is small enough to come at once
+                peer[0] = listening(pipe.getRightSide(), head -> { // each request is small enough to arrive in one piece
                     peer[0].out().put("HTTP/1.1 200 OK\r\nContent-Length: " + VALUE.length() + "\r\n\r\n" + VALUE);
                     peer[0].flush();
                 });
@@ -187,7 +187,7 @@
         }
     }
 
-    /** Nothing falls due once it is over: its proxy would go on following the list. */
+    /** Runs nothing after the end: the warm-up's proxy would go on watching the list. */
     @Override
     public Deadline at(double whenMs, Runnable due) {
         return loop.at(whenMs, () -> {
--- a/src/main/java/dappleseam/proxy/Seats.java
+++ b/src/main/java/dappleseam/proxy/Seats.java
@@ -11,22 +11,22 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Whether another process serves the same address, as during an upgrade. There are two seats, each a file that its holder
- * locks: the one that came first and the one that takes over. A process that died holds no lock, however it died.
+ * Detects whether another process serves the same address, as during an upgrade. The process that came first locks the primary
+ * file, the one that takes over the secondary file. The system releases the locks of a process however it dies.
  */
 final class Seats {
-    /** Files held open. */
+    /** Descriptors used for the lock files. */
     static final int DESCRIPTORS = 3;
     private static final Logger LOG = System.getLogger(Seats.class.getName());
-    /** Of the way the files are used; another version of this program with another way keeps to its own. */
+    /** Version of the locking protocol, and name of the folder: incompatible versions of the program use separate files. */
     static final String VERSION = "dappleseam-seats-1";
 
     private final Path folder;
     private final String name;
-    /** Null until they could be opened. */
+    /** The lock files; null until they could be opened. */
     private FileChannel first;
     private FileChannel second;
-    /** Locked by the second one once it listens for clients. */
+    /** Locked by the secondary process once it listens for clients. */
     private FileChannel listens;
     private boolean isListening;
     private FileLock mine;
@@ -39,7 +39,7 @@
         this.name = name;
     }
 
-    /** Takes a seat in that folder; a process that cannot is alone, as far as it knows, until a later look finds it can. */
+    /** Tries to acquire a lock in that folder. If the folder cannot be used, the process assumes it is alone until a later refresh succeeds. */
     static Seats take(Path folder, InetSocketAddress listen) {
         Seats seats = new Seats(folder, name(listen));
         seats.look();
@@ -56,14 +56,16 @@
             listens = listens == null ? open(at.resolve(name + "-listens")) : listens;
             first = open(at.resolve(name + "-first"));
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.DEBUG, "seats: {0}", e.toString());
+            LOG.log(Level.DEBUG, "address locks: {0}", e.toString());
         }
     }
 
+    /** File name prefix for an address. */
     static String name(InetSocketAddress listen) {
         return listen.getHostString() + '-' + listen.getPort();
     }
 
+    /** Whether this process holds the primary lock. */
     synchronized boolean isFirst() {
         return isFirst;
     }
@@ -72,7 +74,7 @@
         return FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    /** Looks again; never waits. */
+    /** Updates the state of the locks, without blocking. */
     synchronized void look() {
         if (first == null) {
             openFiles();
@@ -94,13 +96,13 @@
                         listening = null;
                     }
                 } else if (mine == null) {
-                    mine = second.tryLock(); // a third process sits nowhere, and waits for either
+                    mine = second.tryLock(); // a third process holds neither, and tries again at the next refresh
                 }
             }
             lockListening();
             beside = !isFirst || isTaken(second);
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "seats: {0}", e.toString());
+            LOG.log(Level.WARNING, "address locks: {0}", e.toString());
         }
     }
 
@@ -113,18 +115,18 @@
         return false;
     }
 
-    /** Another process serves this address, or is about to. */
+    /** Whether another process serves this address, or is about to. */
     boolean areShared() {
         return beside;
     }
 
-    /** This process listens for clients from now on. */
+    /** Records that this process listens for clients from now on. */
     synchronized void listens() {
         isListening = true;
         try {
             lockListening();
-        } catch (IOException | RuntimeException e) { // tried again at the next look
-            LOG.log(Level.WARNING, "seats: {0}", e.toString());
+        } catch (IOException | RuntimeException e) { // retried at the next refresh
+            LOG.log(Level.WARNING, "address locks: {0}", e.toString());
         }
     }
 
@@ -134,12 +136,12 @@
         }
     }
 
-    /** Whether the other process listens for clients, so that this one need not. */
+    /** Whether the other process listens for clients, so that this one can hand them over. */
     synchronized boolean otherListens() {
         try {
             return first != null && isFirst && isTaken(listens);
         } catch (IOException | RuntimeException e) {
-            LOG.log(Level.WARNING, "seats: {0}", e.toString());
+            LOG.log(Level.WARNING, "address locks: {0}", e.toString());
             return false;
         }
     }
--- a/src/main/java/dappleseam/proxy/Serve.java
+++ b/src/main/java/dappleseam/proxy/Serve.java
@@ -39,66 +39,66 @@
 import picocli.CommandLine.Option;
 import sun.misc.Signal;
 
-/** Runs one proxy on sockets until it is told to end. */
+/** Runs one proxy on sockets until SIGTERM or SIGINT. */
 @Command(name = "serve", mixinStandardHelpOptions = true, description = "Serve clients on sockets.")
 public final class Serve implements Callable<Integer> {
     private static final Logger LOG = System.getLogger(Serve.class.getName());
-    /** Share of the memory for buffers; the launcher's flags leave a quarter for all direct memory. */
+    /** Share of the memory limit for buffers; the launcher's flags leave a quarter for all direct memory. */
     private static final double SHARE_FOR_BUFFERS = 0.2;
     private static final int BYTES_PER_MB = 1 << 20;
-    /** Descriptors that are no connection: the program's own files and its selectors. */
+    /** Descriptors that are not connections: the program's files and selectors. */
     private static final int OWN_DESCRIPTORS = 48;
-    /** Share of the other descriptors that is kept for caches, origin and list. */
+    /** Share of the remaining descriptors for connections to caches, the origin and the list service. */
     private static final double SHARE_FOR_PEERS = 0.5;
-    /** Share of the clients' descriptors for connections that are closed already, and held until the next select. */
+    /** Share of the clients' descriptors for connections that are already closed, but occupy a descriptor until the next select. */
     private static final double SHARE_FOR_CLOSED = 0.125;
-    /** Descriptors for each connection that clients may hold for queries: they have a third of them at most. */
+    /** Descriptors per client connection that may be open for queries: such connections take at most a third of all descriptors. */
     private static final int DESCRIPTORS_A_CLIENT = 3;
-    /** Time in ms from the start within which a listener has to be had; the system may lack descriptors or buffers for a moment. */
+    /** Time in ms from the start for which opening sockets is retried; the system may lack descriptors or buffers for a moment. */
     private static final double SOCKETS_MS = 5000;
-    /** Time in ms between looks whether the first list has come, and between two tries to listen. */
+    /** Interval in ms at which the first list is polled for, and opening a socket is retried. */
     private static final double LOOK_AGAIN_MS = 10;
-    /** Connections that each process has room for, however few descriptors there are. */
+    /** Minimum number of connections per process, however few descriptors there are. */
     private static final int LEAST_CONNECTIONS = 24;
-    /** Time in ms before the kill at which the program ends even if the I/O thread hangs. */
+    /** Time in ms before the kill at which the process exits even if the I/O thread hangs. */
     private static final double LAST_LEAD_MS = 60;
-    /** Time in ms for the last lines of the log to be written. */
+    /** Maximum time in ms for writing the last log lines. */
     private static final long LAST_LINES_MS = 20;
-    /** Time in ms in which a connection to itself comes up. */
+    /** Timeout in ms of the check's connection to its own port. */
     private static final double SELF_MS = 1000;
-    /** Time in ms between publishings of the figures that take a walk. */
+    /** Interval in ms at which state that takes a pass over all nodes is published. */
     private static final double PUBLISH_MS = 200;
-    /** Longest wait for the list from the start, in ms: beside another process, and alone. */
+    /** Maximum wait in ms for the first list: while another process serves the address, and otherwise. */
     private static final double LIST_WAIT_MS = 2500;
     private static final double FIRST_LIST_MS = 1500;
-    /** Rest between two writings of the list, as a multiple of what one took: a long list that changes often is not to take the processor. */
+    /** Pause between two writes of the list, as a multiple of a write's duration, so that a long list that changes often does not use up the processor. */
     private static final double KEEP_REST = 20;
-    /** Time in ms until it is written again where it could not be. */
+    /** Time in ms until a failed write of the list is retried. */
     private static final double KEEP_AGAIN_MS = 500;
-    /** Time in ms between two writings of what was learnt: a share of the time for which it is news. */
+    /** Interval in ms between writes of the node health; a fraction of the time for which it is valid. */
     private static final double LEARNT_EVERY_MS = 1000;
-    /** Ends of the names of what one process leaves for the next. */
+    /** File name suffixes of the state that one process leaves for the next. */
     private static final String LIST = "-list";
     private static final String LEARNT = "-learnt";
     private static final String FLEET = "-fleet";
 
     @Option(names = "--config", defaultValue = "${env:NODE_CONFIG}", required = true,
-            description = "What this proxy is told at its start, as JSON (default: the file that NODE_CONFIG names).")
+            description = "This proxy's configuration, as JSON (default: the file that NODE_CONFIG names).")
     private Path config;
 
-    @Option(names = "--check", description = "Rehearse queries with it, say whether they were answered, and end.")
+    @Option(names = "--check", description = "Run the warm-up queries and a PING, report success by the exit status, and end.")
     private boolean check;
 
-    @Option(names = "--fleet", description = "What makes this proxy one of a fleet, as JSON (docs/fleet.md; default: it is on its own).")
+    @Option(names = "--fleet", description = "Configuration that makes this proxy a member of a fleet, as JSON (docs/fleet.md; default: no fleet).")
     private Path fleetFile;
 
     private XnioWorker worker;
     private EventLoop loop;
     private ClientFront front;
-    /** Null where no file was named: nothing of it is loaded then. */
+    /** Null if no fleet file was given; no fleet class is loaded then. */
     private InFleet fleet;
     private volatile Proxy proxy;
-    /** The list last written for a process that takes over; the door's thread's. */
+    /** The list last written for the next process; used on the control thread only. */
     private NodeList kept;
     private double keepListFrom;
     private List<Learnt> learntKept = List.of();
@@ -113,10 +113,10 @@
     private boolean rehearsed;
     private boolean awaitsList;
     private Shutdown shutdown;
-    /** Nothing more is taken, and all that was is answered. */
+    /** Released once no more queries are accepted and all are answered. */
     private final CountDownLatch ended = new CountDownLatch(1);
 
-    /** As the launcher starts it: reading a command line would take a quarter of the time to be ready. */
+    /** The launcher's entry point. Without arguments it skips parsing the command line, which would take a quarter of the startup time. */
     public static void main(String[] args) throws Exception {
         if (args.length > 0) {
             System.exit(new CommandLine(new Serve()).execute(args));
@@ -140,14 +140,14 @@
         killDelay = new KillDelay(post.site().deployment());
         worker = awaitWorker();
         CountDownLatch started = new CountDownLatch(1);
-        Signal.handle(new Signal("HUP"), signal -> { // each on a thread of its own; one that comes early waits
+        Signal.handle(new Signal("HUP"), signal -> { // each signal runs on its own thread; an early one waits
             awaitStart(started);
             reload();
         });
-        // Not a shutdown hook: the platform's logging takes its handlers away at the same time, and lines were lost.
+        // Not a shutdown hook: java.util.logging removes its handlers in a hook of its own at the same time, and log lines were lost.
         AtomicBoolean told = new AtomicBoolean();
         for (String name : List.of("TERM", "INT")) {
-            Signal.handle(new Signal(name), signal -> { // before the first client is let in: its query would be lost
+            Signal.handle(new Signal(name), signal -> { // installed before the first client is accepted, whose query would otherwise be lost
                 if (!told.getAndSet(true)) {
                     shutDown();
                 }
@@ -164,7 +164,7 @@
         if (check) {
             return rehearsed && answersItself() ? 0 : 1;
         }
-        Thread.sleep(Long.MAX_VALUE); // until a signal's thread ends the process
+        Thread.sleep(Long.MAX_VALUE); // until a signal handler ends the process
         return 0;
     }
 
@@ -176,7 +176,7 @@
         }
     }
 
-    /** Whether it could; where not, the cause is said. */
+    /** Starts serving; prints the cause and returns false if that fails. */
     private boolean start(Post post) throws InterruptedException {
         awaitSockets();
         if (post.control() != null && !openDoor(post)) {
@@ -195,7 +195,7 @@
                 if (fleet != null) {
                     fleet.watch(proxy, loop, worker.getIoThread());
                 }
-                proxy.followList(); // its answer comes during the rehearsal
+                proxy.followList(); // answered while the warm-up runs
             } catch (IOException | RuntimeException e) {
                 fault[0] = e;
                 begun.countDown();
@@ -204,7 +204,7 @@
             double listUntil = loop.nowMs() + (seats != null && seats.areShared() ? LIST_WAIT_MS : FIRST_LIST_MS);
             Rehearsal.play(loop, worker.getIoThread(), post, passed -> {
                 rehearsed = passed;
-                try { // a fault here is not the rehearsal's
+                try { // a failure here is not one of the warm-up
                     front = new ClientFront(loop, proxy, forClients(post, 1),
                             post.descriptors() / DESCRIPTORS_A_CLIENT);
                     shutdown = new Shutdown(loop, front, proxy::abortAll, ended::countDown);
@@ -227,26 +227,26 @@
         return true;
     }
 
-    /** Descriptors for connections where so many processes hold those of one. */
+    /** Descriptors for connections when that many processes share the limit of one. */
     private int descriptors(Post post, int processes) {
         int own = OWN_DESCRIPTORS + (post.control() == null ? 0 : Door.DESCRIPTORS + Seats.DESCRIPTORS)
                 + (fleet == null ? 0 : InFleet.DESCRIPTORS);
         return Math.max(processes * LEAST_CONNECTIONS, post.descriptors() - processes * own);
     }
 
-    /** What each of them may dial. */
+    /** Maximum number of outgoing connections of each process. */
     private int forPeers(Post post, int processes) {
         return (int) (SHARE_FOR_PEERS / processes * descriptors(post, processes));
     }
 
-    /** What any of them may take of clients, who choose between them. */
+    /** Maximum number of client connections of each process; any one of them may get all clients. */
     private int forClients(Post post, int processes) {
         return (int) ((descriptors(post, processes) - processes * forPeers(post, processes)) * (1 - SHARE_FOR_CLOSED));
     }
 
     /**
-     * Waits for the first list: drains that the file does not know yet count as told from the first moment of a process, or were
-     * told to the one beside it. Where the list service cannot be reached, a process that is alone listens at once.
+     * Opens the client listener, once the first list is there. Drains that the configuration file does not contain yet count as known from the start of
+     * the process, or were sent to the other process on the address. If the list service cannot be reached, a process that is alone listens at once.
      */
     private void listen(Post post, double untilMs, Exception[] fault, CountDownLatch begun) {
         boolean shared = seats != null && seats.areShared();
@@ -278,13 +278,13 @@
         begun.countDown();
     }
 
-    /** Waits until the I/O thread's selector is to be had; its descriptors may be short for a moment. */
+    /** Creates the I/O worker; retries while no selector can be opened, as descriptors may be short for a moment. */
     private XnioWorker awaitWorker() throws IOException, InterruptedException {
         OptionMap oneThread = OptionMap.builder().set(Options.WORKER_IO_THREADS, 1).set(Options.WORKER_TASK_CORE_THREADS, 1)
                 .set(Options.WORKER_TASK_MAX_THREADS, 1).set(Options.THREAD_DAEMON, true).getMap();
         while (true) {
             try {
-                Selector.open().close(); // XNIO looks once for what it needs, and is of no use after that where it found nothing
+                Selector.open().close(); // XNIO probes for a selector only once, and is unusable if that fails
                 return Xnio.getInstance().createWorker(oneThread);
             } catch (IOException e) {
                 if (EventLoop.machineMs() > socketsUntil) {
@@ -295,7 +295,7 @@
         }
     }
 
-    /** Waits until a socket is to be had; where none is in time, what needs one says so. */
+    /** Waits until a socket can be opened; after the time limit, the code that needs one reports the error. */
     private void awaitSockets() throws InterruptedException {
         while (EventLoop.machineMs() < socketsUntil) {
             try {
@@ -307,18 +307,18 @@
         }
     }
 
-    /** Whether a socket may be had a moment later: the system lacks something now, the address is right. */
+    /** Whether a retry may succeed: the system lacks a resource at the moment, and the address is valid. */
     private static boolean mayPass(Exception e) {
         return e instanceof IOException && !(e instanceof BindException);
     }
 
-    /** The one that may be written to. */
+    /** The folder for files shared with the next process. */
     private static Path folder() {
         String told = System.getenv("TMPDIR");
         return Path.of(told == null || told.isEmpty() ? System.getProperty("java.io.tmpdir") : told);
     }
 
-    /** For the door and the fleet, where there is one: it walks all nodes. */
+    /** Publishes state periodically if a control server or a fleet reads it: that takes a pass over all nodes. */
     private void publish() {
         if (seats == null && fleet == null) {
             return;
@@ -327,7 +327,7 @@
         loop.at(loop.nowMs() + PUBLISH_MS, this::publish);
     }
 
-    /** Guards rule 3 over an upgrade: what the other process was told of drains holds for this one. */
+    /** Rule 3 during an upgrade: drains known to the other process hold for this one, too. */
     private static Post withTakenOver(Post post) {
         try {
             JsonNode list = ListFile.read(leftFile(post, LIST));
@@ -336,30 +336,30 @@
                 LOG.log(Level.INFO, "list taken over at version {0}, the file had {1}", list.path("rev").asLong(), version);
                 return post.withKnown(list);
             }
-        } catch (IOException | RuntimeException e) { // it was worth a try
+        } catch (IOException | RuntimeException e) { // optional
             LOG.log(Level.INFO, "no list taken over: {0}", e.toString());
         }
         return post;
     }
 
-    /** Guards the first seconds after a switch: nodes that are ill, and known to be, are still avoided. */
+    /** Reads the node health of the previous process, so that nodes known to fail are avoided in the first seconds after a switch. */
     private List<Learnt> learntBefore(Post post) {
         try {
             List<Learnt> learnt = seats == null ? List.of() : LearntFile.read(leftFile(post, LEARNT), post.site(), loop.nowMs());
             LOG.log(Level.INFO, "learnt before of {0} nodes", learnt.size());
             return learnt;
-        } catch (IOException | RuntimeException e) { // it was worth a try
+        } catch (IOException | RuntimeException e) { // optional
             LOG.log(Level.INFO, "nothing learnt is taken over: {0}", e.toString());
             return List.of();
         }
     }
 
-    /** Where processes on one address leave something for each other. */
+    /** A file that processes on one address use to hand state over. */
     private static Path leftFile(Post post, String what) {
         return folder().resolve(Seats.VERSION).resolve(Seats.name(post.listen()) + what);
     }
 
-    /** On the door's thread. */
+    /** Writes the list for the next process if it has changed. On the control thread. */
     private void keepList(Post post) {
         Proxy serving = proxy;
         double now = EventLoop.machineMs();
@@ -377,7 +377,7 @@
         }
     }
 
-    /** On the door's thread. */
+    /** Writes the node health for the next process. On the control thread. */
     private void keepLearnt(Post post) {
         Proxy serving = proxy;
         double now = EventLoop.machineMs();
@@ -394,6 +394,7 @@
         }
     }
 
+    /** Starts the control server; prints the cause and returns false if that fails. */
     private boolean openDoor(Post post) throws InterruptedException {
         seats = Seats.take(folder(), post.listen());
         while (true) {
@@ -452,7 +453,7 @@
         });
     }
 
-    /** Guards the limits on descriptors, which hold for two processes on one address together. */
+    /** Applies the connection limits: two processes on one address share one limit on descriptors. */
     private void shareLimits(Post post) {
         if (front == null || seats == null) {
             return;
@@ -462,10 +463,10 @@
         front.limit(forClients(post, processes));
     }
 
-    /** Whether a PING through a socket of its own comes back; the archive of classes is to hold what sockets need, too. */
+    /** Whether a PING to its own port is answered; this also loads the socket classes, so that the class archive contains them. */
     private boolean answersItself() {
         CompletableFuture<Boolean> ponged = new CompletableFuture<>();
-        worker.getIoThread().execute(proxy::followList); // whatever comes of it
+        worker.getIoThread().execute(proxy::followList); // only loads the classes; the result does not matter
         InetSocketAddress own;
         try {
             own = front.address();
@@ -493,8 +494,8 @@
     }
 
     /**
-     * SIGHUP: reads the file again, on the signal's own thread. Guards service against a bad one, which changes nothing,
-     * and against an older one: of two signals at once, the last to read is the last to be heard.
+     * SIGHUP: reads the configuration again, on the signal's thread. A faulty file changes nothing. Synchronized, so that of two
+     * concurrent signals the one that reads last also applies last, and an older file cannot replace a newer one.
      */
     private synchronized void reload() {
         try {
@@ -504,7 +505,7 @@
             killDelay.changed(post.site().deployment(), EventLoop.machineMs());
             worker.getIoThread().execute(() -> {
                 proxy.reloaded(post);
-                shutdown.killWithin(KillDelay.delayMs(post.site().deployment())); // where SIGTERM has come before
+                shutdown.killWithin(KillDelay.delayMs(post.site().deployment())); // if SIGTERM came before
             });
             figures.reloaded(true);
             LOG.log(Level.INFO, "configuration read again: the list is at {0}", post.listService());
@@ -514,9 +515,9 @@
         }
     }
 
-    /** SIGTERM: answers all it has taken, and ends with status 0; a process that serves nobody yet ends at once. */
+    /** SIGTERM: answers all open queries and exits with status 0; a process that does not serve yet exits at once. */
     private void shutDown() {
-        double toldAt = EventLoop.machineMs(); // the platform counts from here, however late the I/O thread hears of it
+        double toldAt = EventLoop.machineMs(); // the platform's kill delay starts here, however late the I/O thread reacts
         ready = false;
         boolean handOver = seats != null && seats.otherListens();
         LOG.log(Level.INFO, "told to end: answering what was taken, {0}",
@@ -526,7 +527,7 @@
             fleet.end(true);
         }
         worker.getIoThread().execute(() -> {
-            if (front == null || !front.isListening()) { // nor will it: this thread is its
+            if (front == null || !front.isListening()) { // and it will not start to: that would happen on this thread
                 ended.countDown();
             } else {
                 shutdown.begin(handOver, loop.nowMs() - toldAt, killDelay.earliestMs(EventLoop.machineMs()));
@@ -534,14 +535,14 @@
         });
         awaitEnd(toldAt);
         if (inFleet && !handOver) {
-            fleet.end(false); // not before: until here it takes its share of what the fleet may send
+            fleet.end(false); // only now: up to here this proxy uses its share of the fleet's limits
         }
         LOG.log(Level.INFO, "ended");
         BackgroundLog.written(LAST_LINES_MS);
         Runtime.getRuntime().halt(0);
     }
 
-    /** Until all is answered; also where the I/O thread hangs, until shortly before the kill, which new settings may bring nearer. */
+    /** Waits until all is answered, but only until shortly before the kill, in case the I/O thread hangs. New settings may bring the kill forward. */
     private void awaitEnd(double toldAt) {
         double killMs = killDelay.earliestMs(EventLoop.machineMs());
         try {
--- a/src/main/java/dappleseam/proxy/Shutdown.java
+++ b/src/main/java/dappleseam/proxy/Shutdown.java
@@ -4,45 +4,45 @@
 import dappleseam.wire.Loop;
 
 /**
- * A graceful shutdown, as one sequence of states on the I/O thread. Guards clients against the time until the next start: those that are
- * connected are served until shortly before the platform would kill. Whatever is read before the last state is answered; in that nothing is read.
+ * A graceful shutdown, as a sequence of states on the I/O thread. Connected clients are served until shortly before the platform would kill the
+ * process, so that the gap until the next start is short for them. Everything read before the last state is answered; in the last state nothing is read.
  */
 final class Shutdown {
-    /** What is done from then on, in this order; none is entered twice. */
+    /** The states in order; none is entered twice. */
     private enum State {
-        /** All is as ever: clients go on connecting for a while. */
+        /** Normal operation: clients may still connect for a while. */
         ACCEPTING,
-        /** Those that are connected are served. */
+        /** Connected clients are served; no new connections. */
         SERVING,
-        /** Connections are closed as they fall idle. */
+        /** Connections are closed as they become idle. */
         CLOSING,
-        /** What is open is aborted, too, and what comes meanwhile. */
+        /** Open queries are aborted, too, and those that arrive meanwhile. */
         ABORTING,
         /** Nothing more is read. */
         ENDED
     }
 
-    /** Times in ms after SIGTERM: until no more connections are accepted, and between looks. */
+    /** Time in ms after SIGTERM until no more connections are accepted, and interval in ms between steps. */
     private static final double ACCEPT_MORE_MS = 450;
     private static final double LOOK_AGAIN_MS = 10;
-    /** Times in ms before the kill from which idle clients are closed, what is left is aborted, and nothing more is taken. */
+    /** Times in ms before the kill at which idle clients are closed, open queries are aborted, and reading stops. */
     private static final double CLOSE_LEAD_MS = 350;
     private static final double ABORT_LEAD_MS = 200;
     private static final double END_LEAD_MS = 100;
-    /** Rounds of answering and closing in one go: what comes while a connection is closed is answered in the next. */
+    /** Rounds of aborting and closing per step: a query that is read while a connection closes is answered in the next round. */
     private static final int ROUNDS = 4;
 
     private final Loop loop;
     private final ClientFront front;
     private final Runnable abortAll;
     private final Runnable whenEnded;
-    /** When the platform may kill. */
+    /** When the platform may kill the process. */
     private double killAt;
-    /** When the process was told to end; NaN before. */
+    /** When the process received SIGTERM; NaN before. */
     private double beganAt = Double.NaN;
     private State state = State.ACCEPTING;
 
-    /** Made at the start, when there is time: loading it late would take of the time to the kill. {@code abortAll} answers all that is open. */
+    /** Created at the start, as loading the class at shutdown would use up time before the kill. {@code abortAll} answers all open queries. */
     Shutdown(Loop loop, ClientFront front, Runnable abortAll, Runnable whenEnded) {
         this.loop = loop;
         this.front = front;
@@ -50,7 +50,10 @@
         this.whenEnded = whenEnded;
     }
 
-    /** Told so many ms ago, to be killed so many ms later. Where another process takes the clients, those here are sent there at once. */
+    /**
+     * Starts the shutdown. SIGTERM came {@code signalledMsAgo}, and the kill follows {@code killAfterMs} after the signal. With {@code handOver}
+     * another process takes the clients, and this one closes its connections as they become idle.
+     */
     void begin(boolean handOver, double toldMsAgo, double killAfterMs) {
         beganAt = loop.nowMs() - toldMsAgo;
         killAt = beganAt + killAfterMs;
@@ -61,7 +64,7 @@
         step();
     }
 
-    /** The platform may kill so long after it told this process to end, if that is earlier than was known: the settings are others. */
+    /** Brings the kill forward to that time after SIGTERM if it is earlier than known so far, after a change of settings. */
     void killWithin(double killAfterMs) {
         if (!Double.isNaN(beganAt)) {
             killAt = Math.min(killAt, beganAt + killAfterMs);
@@ -96,8 +99,8 @@
     }
 
     /**
-     * Answers all that is open and closes its connections in one go, and again until the end: a client that is answered sends its next query
-     * at once, and what would be taken between the last answer and the end would be lost.
+     * Answers all open queries and closes their connections in the same step, repeatedly: a client that is answered sends its next query
+     * at once, and a query read between the last answer and the end would be lost.
      */
     private void abortAndClose() {
         for (int i = 0; i < ROUNDS; i++) {
@@ -108,7 +111,7 @@
 
     private void end() {
         state = State.ENDED;
-        front.takeNoMore(); // first: what this reads is aborted with the rest
+        front.takeNoMore(); // first, as queries that this reads are aborted with the rest
         abortAll.run();
         whenEnded.run();
     }
--- a/src/test/java/dappleseam/proxy/InFleetTest.java
+++ b/src/test/java/dappleseam/proxy/InFleetTest.java
@@ -75,7 +75,7 @@
         assertThat(sockets.call("GET /control/fleet")).contains("\"standing\":\"starting\"", "\"name\":\"p\"");
         assertThat(sockets.call("POST /control/fleet/ended/x")).startsWith("HTTP/1.1 200");
         assertThat(sockets.call("POST /control/fleet/ended/x!")).startsWith("HTTP/1.1 400");
-        assertThat(fleetCommand("fleet", "127.0.0.1:" + sockets.control)).startsWith("0 p stands starting").contains("alive    p ");
+        assertThat(fleetCommand("fleet", "127.0.0.1:" + sockets.control)).startsWith("0 p: status starting").contains("alive    p ");
     }
 
     /** Garbage by thousands: counted by kind, nothing else happens, and queries are answered meanwhile. */
--- a/src/test/java/dappleseam/proxy/LearntFileTest.java
+++ b/src/test/java/dappleseam/proxy/LearntFileTest.java
@@ -36,14 +36,14 @@
         assertThat(LearntFile.read(file, site("\"m\""), 9000)).isEqualTo(LEARNT);
     }
 
-    /** Guards a new process against what no longer means the same. */
+    /** A new process must not use entries whose meaning may have changed. */
     @Test
     void whatIsOldOfAnotherDeploymentFromTheFutureOrDamagedIsPassedOver() throws IOException {
         Path file = folder.resolve("learnt");
         LearntFile.write(file, site("\"m\""), 5000, LEARNT);
         assertThatThrownBy(() -> LearntFile.read(file, site("\"m\""), 15_001)).hasMessage("too old");
-        assertThatThrownBy(() -> LearntFile.read(file, site("\"m\""), 3000)).hasMessage("from the future");
-        assertThatThrownBy(() -> LearntFile.read(file, site("\"n\""), 5000)).hasMessage("of another deployment");
+        assertThatThrownBy(() -> LearntFile.read(file, site("\"m\""), 3000)).hasMessage("saved in the future");
+        assertThatThrownBy(() -> LearntFile.read(file, site("\"n\""), 5000)).hasMessage("saved under other settings");
         byte[] whole = Files.readAllBytes(file);
         for (int cut : new int[] {0, 5, 40, whole.length - 1}) {
             Files.write(file, java.util.Arrays.copyOf(whole, cut));
