--- a/src/main/java/dappleseam/proxy/FleetLookout.java
+++ b/src/main/java/dappleseam/proxy/FleetLookout.java
@@ -32,8 +32,8 @@
     /** Age in ms from which a new process announces its query rate. */
     private static final double RATE_FROM_MS = 1000;
     /**
-     * Number of answers over which the typical latency is smoothed. An execution counts as unanswered after this multiple of the typical
-     * latency, but not before the minimum in ms.
+     * Number of answers over which the typical latency is smoothed, and the multiple of it, but at least the minimum in ms, after which an
+     * execution without an answer counts against its cache.
      */
     private static final double USUAL_OF = 64;
     private static final double SILENT_TIMES = 8;
--- a/src/test/c/failing_calls.c
+++ b/src/test/c/failing_calls.c
@@ -1,6 +1,6 @@
 /*
- * A library for LD_PRELOAD that makes system calls fail as Linux documents. A test maps the file that FAILING_CALLS names and
- * sets, for each kind of call, which error it returns, how often, and how many times more.
+ * An LD_PRELOAD library that makes system calls fail in documented ways. A test maps the file named by FAILING_CALLS and sets a
+ * rule for each kind of call: which error to return, on every how many calls, and how many more times.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -19,7 +19,7 @@
 
 enum kind { ACCEPT, SOCKET, CONNECT, READ, WRITE, EPOLL_WAIT, FILE_OPEN, FILE_WRITE, FILE_SYNC, FILE_RENAME, EPOLL_CREATE, EVENTFD, KINDS };
 
-/* error: errno, or SHORT for one byte only; every: each so many calls; left: failures to come, under 0 for no end. */
+/* error: errno, or SHORT to transfer only one byte; every: fail every nth call; left: failures to come, negative for unlimited. */
 struct rule { int error; int every; int left; int calls; int failed; };
 #define SHORT (-1)
 
@@ -36,7 +36,7 @@
     close(fd);
 }
 
-/* 0, an errno, or SHORT. */
+/* Counts a call; returns 0, an errno, or SHORT. */
 static int fault(enum kind kind) {
     if (rules == NULL || rules[kind].every == 0 || rules[kind].left == 0) {
         return 0;
@@ -55,7 +55,7 @@
 #define REAL(name) ((__typeof__(&name)) dlsym(RTLD_NEXT, #name))
 #define FAIL(kind) do { int e = fault(kind); if (e > 0) { errno = e; return -1; } } while (0)
 
-/* By the descriptor, which names no kind of call: a socket or a file in a folder for temporary files. */
+/* The kind of call by the type of the descriptor, a socket or a regular file; KINDS for any other. The standard streams are left out. */
 static enum kind by_descriptor(int fd, enum kind of_socket, enum kind of_file) {
     struct stat told;
     if (rules == NULL || fstat(fd, &told) != 0) {
--- a/src/test/java/dappleseam/proxy/CrossingsTest.java
+++ b/src/test/java/dappleseam/proxy/CrossingsTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Answers and ends that come at the wrong instant, each forced over sockets; docs/races.md has them all. */
+/** Races between answers, connection ends and signals, each forced over sockets; docs/races.md lists them all. */
 class CrossingsTest {
     private static final String NO_LENGTH = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
 
@@ -48,7 +48,7 @@
         sockets.close();
     }
 
-    /** After these the program has read what had come on its other connections before. */
+    /** Afterwards the program has read everything that arrived earlier on its other connections. */
     private static void turnTheLoop(Sockets.Client client) throws Exception {
         for (int i = 0; i < 2; i++) {
             client.send("PING");
@@ -61,7 +61,7 @@
         socket.close();
     }
 
-    /** brink zone and split: part of a value passed for the whole, as a reset was taken for the end of its body. */
+    /** A connection reset must not count as the end of a body without a length: part of a value would be returned as the whole. */
     @Test
     void aResetIsNoEndOfABodyWithoutALength() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -86,14 +86,14 @@
         assertThat(client.answer()).isEqualTo("whole");
     }
 
-    /** brink, all days: nearly each further execution told the origin all of the client's time, long after it had begun. */
+    /** A further execution must send the time that remains of the client's timeout, not all of it. */
     @Test
     void theOriginIsToldTheTimeThatIsLeft() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
         Sockets.Told atCache = sockets.cache.next();
         long from = System.nanoTime();
-        Thread.sleep(300); // what is told is about this time
+        Thread.sleep(300); // the timeout sent to the origin must be shorter by at least this time
         long gone = (System.nanoTime() - from) / 1_000_000;
         atCache.answer(MISS);
         assertThat(toldMs(sockets.origin.next())).isBetween(1000L, 9000 - gone);
@@ -110,7 +110,7 @@
         assertThat(sockets.cache.told).isEmpty();
     }
 
-    /** brink calm: drains came while all watches were silent, and went unheard for 23 s; they count as told after 6 s. */
+    /** A watch that stops answering without closing delayed drains by 23 s; a change counts as known to the proxy after 6 s. */
     @Test
     void aWatchThatFallsSilentIsOpenedAnewWithinTheTimeAfterWhichAChangeCountsAsTold() throws Exception {
         sockets.start(folder, "");
@@ -124,7 +124,7 @@
         assertNothingGoesToTheCache(sockets.client());
     }
 
-    /** brink join: watches were reset just before a drain, and the back-off of a failed call came on top. */
+    /** When watches are reset just before a drain, the back-off after a failed request must not add to the delay. */
     @Test
     void aWatchThatIsResetIsOpenedAnewWithNoBackOff() throws Exception {
         sockets.start(folder, "");
@@ -136,7 +136,7 @@
                 .doesNotContain("list: a call failed");
     }
 
-    /** A list in pieces, and indented, is a list; what comes behind it on the connection is of no use. */
+    /** A list is read in pieces and with white space; bytes after it on the connection are dropped. */
     @Test
     void aListComesInPiecesAndWithMoreBehindIt() throws Exception {
         sockets.list.first = null;
@@ -145,7 +145,7 @@
         String answer = ok(drains(2).replace("\":", "\" : ").replace(",\"", ",\r\n\t\""));
         for (int at = 0; at < answer.length(); at += 40) {
             first.answer(answer.substring(at, Math.min(answer.length(), at + 40)));
-            Thread.sleep(1); // pieces of their own, most of them
+            Thread.sleep(1); // so that most are read separately
         }
         Sockets.Told second = sockets.list.next();
         assertThat(second.words().get(0)).startsWith("GET /registry/instances?from=2&hold_ms=");
@@ -156,19 +156,19 @@
         assertNothingGoesToTheCache(sockets.client());
     }
 
-    /** What the list service had before a process began counts as told from its first moment, or six seconds later. */
+    /** Changes made before a process started count as known from its start, or 6 s later, so it needs the list before it serves. */
     @Test
     void aNewProcessServesNobodyBeforeItsFirstList() throws Exception {
         sockets.list.first = null;
         sockets.start(folder, "");
         Sockets.Told first = sockets.list.next();
-        sockets.awaitLog(folder, "waiting for the first list"); // all else is ready
+        sockets.awaitLog(folder, "waiting for the first list"); // everything else is ready
         assertThatThrownBy(() -> new Socket("127.0.0.1", sockets.port)).isInstanceOf(ConnectException.class);
         first.answer(ok(drains(2)));
         assertNothingGoesToTheCache(sockets.client());
     }
 
-    /** The list has a descriptor of its own: nodes may hold all others. */
+    /** The list service has a reserved descriptor, while nodes may use all others. */
     @Test
     void theListIsFollowedWhileNodesHoldAllConnections() throws Exception {
         sockets.sockets = 96;
@@ -185,7 +185,7 @@
         assertThat(sockets.origin.told).isEmpty();
     }
 
-    /** brink join, zone: bad clients send much at once and go; each answer that comes in the instant of the close led to a further execution. */
+    /** Clients that pipeline many queries and close: an answer that arrives at the same moment as the close must not start a further execution. */
     @Test
     void noFurtherExecutionBeginsForAClientThatHasClosed() throws Exception {
         sockets.start(folder, ",\"streamsPerConn\":1");
@@ -199,7 +199,7 @@
         }
         Sockets.Client other = sockets.client();
         turnTheLoop(other);
-        sockets.signal("STOP"); // what comes now is there all at once, in no order
+        sockets.signal("STOP"); // all that is sent now is read at once, in no particular order
         for (Sockets.Told one : asked) {
             one.answer(MISS);
         }
@@ -212,7 +212,7 @@
         assertThat(sockets.origin.told).isEmpty();
     }
 
-    /** A query and its client's end that come at once are not sent on. */
+    /** A query that arrives together with its client's close is not forwarded. */
     @Test
     void aQueryWhoseClientHasClosedBehindItIsNotSentOn() throws Exception {
         sockets.start(folder, "");
@@ -234,7 +234,7 @@
         assertThat(sockets.cache.told).isEmpty();
     }
 
-    /** A stand-in whose connections come up only when the test lets them: its queue of connections is full. */
+    /** A peer that accepts connections only when the test lets it: its listen backlog is full. */
     private final class Late implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         private final List<Socket> fillers = new ArrayList<>();
@@ -257,7 +257,7 @@
             }
         }
 
-        /** The next connection but those that filled the queue. */
+        /** Accepts the next connection other than those that filled the backlog. */
         Socket accept() throws Exception {
             Set<Integer> own = fillers.stream().map(Socket::getLocalPort).collect(Collectors.toSet());
             server.setSoTimeout((int) (1000 * Sockets.PATIENCE_S));
@@ -269,14 +269,14 @@
             return socket;
         }
 
-        /** The first thing said on any of them. */
+        /** The first message received on any connection. */
         Sockets.Told next() throws Exception {
             while (true) {
                 Socket socket = accept();
                 try {
                     return new Sockets.Told(Sockets.message(new BufferedInputStream(socket.getInputStream()), true), socket);
                 } catch (IOException e) {
-                    // one on which nothing was sent
+                    // a connection on which nothing was sent
                 }
             }
         }
@@ -287,7 +287,7 @@
         }
     }
 
-    /** Starts the program with that endpoint in the place of one of its peers. */
+    /** Starts the program with the delayed peer's endpoint in place of one of its peers. */
     private void startWith(Sockets.Peer peer, Late late, String more, String firstList) throws Exception {
         sockets.start(folder, more).client();
         sockets.program.destroyForcibly().waitFor();
@@ -297,7 +297,7 @@
         sockets.program = sockets.launch(folder, config);
     }
 
-    /** A connection that comes up once its query's client has left carries the next query, and not that one. */
+    /** A connection that is established after its query's client has left carries the next query instead. */
     @Test
     void aWaitingQueryWhoseClientLeftIsNeverSentOn() throws Exception {
         try (Late late = new Late()) {
@@ -319,7 +319,10 @@
         }
     }
 
-    /** As one comes up, the look at its client reads the next query: that one goes out on a connection of its own, where one carries one. */
+    /**
+     * When a connection is established, the check whether its client is still there may read the client's next query. With one query per
+     * connection that query must use another connection.
+     */
     @Test
     void aQueryThatIsReadAsAConnectionComesUpIsNotSentOnIt() throws Exception {
         try (Late late = new Late()) {
@@ -340,7 +343,7 @@
         }
     }
 
-    /** Rule 3: what waits for a connection to a node that begins to drain goes elsewhere, and is not sent there as it comes up. */
+    /** Rule 3: an execution that waits for a connection to a node that starts to drain goes elsewhere, and is not sent when the connection is established. */
     @Test
     void aDrainEndsWhatWaitsForAConnection() throws Exception {
         try (Late late = new Late()) {
@@ -353,7 +356,7 @@
             String there = Sockets.entry("s-1", sockets.cache, "m", "draining").replace(sockets.cache.endpoint(), late.endpoint());
             nextWatch().answer(ok("{\"rev\":2,\"all\":false,\"targets\":[" + there + "]}"));
             Sockets.Told told = nextWatch();
-            late.emptyQueue(); // the connection comes up when the system tries again, after a second
+            late.emptyQueue(); // the connection is established at the system's retry, after 1 s
             sockets.origin.next().answer(ok("elsewhere"));
             assertThat(client.answer()).isEqualTo("elsewhere");
             told.answer(ok("{\"rev\":3,\"all\":false,\"targets\":[" + there.replace("draining", "ready") + "]}"));
@@ -363,7 +366,7 @@
         }
     }
 
-    /** The long poll that waits now: those before it may have run out meanwhile. */
+    /** The long poll that is open now; earlier ones may have timed out. */
     private Sockets.Told nextWatch() throws Exception {
         Sockets.Told watch = sockets.list.next();
         for (Sockets.Told later = sockets.list.told.poll(); later != null; later = sockets.list.told.poll()) {
@@ -372,7 +375,7 @@
         return watch;
     }
 
-    /** Rule 1: a copy whose connection comes up once the query is answered is not sent. */
+    /** Rule 1: a copy whose connection is established after the query is answered is not sent. */
     @Test
     void nothingIsSentForAQueryOnceItIsAnswered() throws Exception {
         sockets.grades = "{\"name\":\"quick\",\"semantics\":\"read_like\",\"sloTimeS\":0.4,\"tardyImportance\":0.5,\"statementTimeoutS\":9},"
@@ -384,14 +387,14 @@
             turnTheLoop(client);
             late.fill();
             client.send("C.GET", "00000000000000aa", "answered", "c=quick,d=9000");
-            sockets.origin.next().answer(ok("copy")); // the second copy, after 0.6 of the SLO time
+            sockets.origin.next().answer(ok("copy")); // the second copy, sent after 0.6 of the SLO time
             assertThat(client.answer()).isEqualTo("copy");
             client.send("C.GET", "00000000000000bb", "next", "c=read,d=9000");
             assertThat(late.next().words()).contains("next");
         }
     }
 
-    /** Rule 2: a repeat whose connection comes up once nodes have forgotten the first is not sent. */
+    /** Rule 2: a repeat whose connection is established after the nodes' deduplication window is not sent. */
     @Test
     void aRepeatIsNotSentPastItsWindow() throws Exception {
         sockets.grades = "{\"name\":\"put\",\"semantics\":\"idempotency_key\",\"group\":\"all\",\"windowS\":0.6,"
@@ -404,7 +407,7 @@
             assertThat(first.words()).anyMatch(line -> line.contains("w1"));
             late.fill();
             reset(first.from());
-            turnTheLoop(sockets.client()); // it dials anew by now, and comes up when the system tries again, after a second
+            turnTheLoop(sockets.client()); // by now it reconnects; the connection is established at the system's retry, after 1 s
             late.emptyQueue();
             assertThat(client.answer()).startsWith("-ERR");
             client.send("C.SET", "00000000000000aa", "w2", "c=put,d=9000,k=8", "v");
@@ -412,7 +415,7 @@
         }
     }
 
-    /** brink join: a second answer may come some ms late; it passed for the answer of the query that was sent meanwhile. */
+    /** A duplicate answer may come some ms late and was taken for the answer to the next query on the connection. */
     @Test
     void rightBehindAnAnswerNoOtherIsAskedWhereSomeWereSpoilt() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -434,7 +437,7 @@
         assertThat(client.answer()).isEqualTo("two");
     }
 
-    /** What has been taken is answered, whatever signals come: SIGTERM with pipelined commands half answered, SIGHUP beside it, twice. */
+    /** All accepted queries are answered, whatever signals come: SIGTERM twice and SIGHUP, while pipelined commands are partly answered. */
     @Test
     void pipelinedCommandsHalfAnsweredAtSigtermAreAllAnswered() throws Exception {
         Sockets.Client client = sockets.start(folder, ",\"streamsPerConn\":1").client();
@@ -461,7 +464,7 @@
         Sockets.Told fourth = sockets.cache.next();
         assertThat(fourth.words()).contains("id4");
         fourth.answer(hit("four"));
-        assertThat(client.answer()).startsWith("-"); // nobody answers the third: it is aborted shortly before the kill
+        assertThat(client.answer()).startsWith("-"); // the third is never answered by a node, and is aborted shortly before the kill
         assertThat(client.answer()).isEqualTo("four");
         assertThat(client.isAtEnd()).isTrue();
         assertThat(resting.isAtEnd()).isTrue();
@@ -469,7 +472,7 @@
         assertThat(sockets.program.exitValue()).isZero();
     }
 
-    /** A value half passed on at the kill is never made to look whole. */
+    /** A value that is partly forwarded at shutdown must not look complete. */
     @Test
     void aValueHalfPassedOnAtTheEndIsNotWhole() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -483,19 +486,19 @@
         assertThat(sockets.program.exitValue()).isZero();
     }
 
-    /** A process that is told to end before it serves ends at once, and has taken nothing. */
+    /** SIGTERM before the process serves ends it at once, without accepting anything. */
     @Test
     void sigtermDuringTheStartEndsIt() throws Exception {
         sockets.list.first = null;
         sockets.start(folder, "");
-        sockets.list.next(); // it waits for the answer
+        sockets.list.next(); // the process waits for the answer
         sockets.signal("TERM");
         assertThat(sockets.program.waitFor(Sockets.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
         assertThat(sockets.program.exitValue()).isZero();
         assertThatThrownBy(() -> new Socket("127.0.0.1", sockets.port)).isInstanceOf(ConnectException.class);
     }
 
-    /** Just after an accept: the first client's query is answered though SIGTERM comes with it. */
+    /** The first client's query is answered even if SIGTERM arrives together with it. */
     @Test
     void theFirstQueryIsAnsweredThoughSigtermComesWithIt() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -505,7 +508,7 @@
         assertThat(client.answer()).isEqualTo("value");
     }
 
-    /** Idle clients fill their descriptors while the list service is down: list and nodes keep theirs. */
+    /** Idle clients use up their descriptors while the list service is down: the descriptors for the list and nodes stay available. */
     @Test
     void idleClientsThatFillTheDescriptorsLeaveListAndNodesTheirs() throws Exception {
         sockets.sockets = 96;
--- a/src/test/java/dappleseam/proxy/EventLoopTest.java
+++ b/src/test/java/dappleseam/proxy/EventLoopTest.java
@@ -32,7 +32,7 @@
     private static final int AT_ONCE = 64;
     private static final int CLOSERS = 5;
 
-    /** litoral reload: right after a start answers lay unread while their deadlines were taken for silence. */
+    /** A late thread, as right after a start, has to read pending answers before it runs timeouts; otherwise nodes that answered count as silent. */
     @Test
     void aThreadThatIsLateReadsBeforeItJudges() throws Exception {
         BlockingQueue<String> happened = new LinkedBlockingQueue<>();
@@ -62,7 +62,7 @@
         worker.shutdownNow();
     }
 
-    /** Connections are closed on other threads while the loop dials: a count that drifts ends in none being dialled, or too many. */
+    /** Connections close on other threads while the loop opens new ones: a count that drifts leads to no connections or too many. */
     @Test
     void theCountOfConnectionsHoldsWhileOthersCloseThem() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
@@ -73,7 +73,7 @@
             CountDownLatch closed = new CountDownLatch(DIALS);
             Semaphore room = new Semaphore(AT_ONCE);
             for (int i = 0; i < DIALS; i++) {
-                assertThat(room.tryAcquire(20, TimeUnit.SECONDS)).as("room for dial %d", i).isTrue();
+                assertThat(room.tryAcquire(20, TimeUnit.SECONDS)).as("room for connection %d", i).isTrue();
                 worker.getIoThread().execute(() -> loop.dial((InetSocketAddress) peer.getLocalSocketAddress(), 10_000, connection -> closers.execute(() -> {
                     IoUtils.safeClose(connection);
                     room.release();
@@ -91,7 +91,7 @@
                 loop.limitDialled(1);
                 counts.complete(List.of(mayDialOne, loop.mayDial()));
             });
-            assertThat(counts.get(20, TimeUnit.SECONDS)).as("one may be dialled, and none too many").containsExactly(true, false);
+            assertThat(counts.get(20, TimeUnit.SECONDS)).as("exactly one more connection is allowed").containsExactly(true, false);
         } finally {
             closers.shutdownNow();
             worker.shutdownNow();
--- a/src/test/java/dappleseam/proxy/FailingCalls.java
+++ b/src/test/java/dappleseam/proxy/FailingCalls.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Makes system calls of a started program fail: a library for LD_PRELOAD, built here from src/test/c, and the file that steers it. */
+/** Makes system calls of a started program fail: builds the LD_PRELOAD library from src/test/c and writes its rules file. */
 final class FailingCalls {
-    /** In the order of the library's own list. */
+    /** The kinds of calls, in the order of the library's enum. */
     enum Call { ACCEPT, SOCKET, CONNECT, READ, WRITE, EPOLL_WAIT, FILE_OPEN, FILE_WRITE, FILE_SYNC, FILE_RENAME, EPOLL_CREATE, EVENTFD }
 
-    /** Errors of Linux, as numbers on x86 and ARM alike; {@code SHORT} is no error: one byte is read or written. */
+    /** Linux error numbers, the same on x86 and ARM. {@code SHORT} is not an error: only one byte is read or written. */
     static final int SHORT = -1;
     static final int EINTR = 4;
     static final int EIO = 5;
@@ -35,7 +35,7 @@
     static final int ETIMEDOUT = 110;
     static final int EHOSTUNREACH = 113;
 
-    /** No end to the failures. */
+    /** Number of failures that never runs out. */
     static final int ALWAYS = -1;
     private static final int INTS = 5;
     private static final int BYTES = Integer.BYTES * INTS;
@@ -51,7 +51,7 @@
         Process build = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-o", library.toString(), "src/test/c/failing_calls.c", "-ldl")
                 .inheritIO().start();
         assertThat(build.waitFor(BUILD_S, TimeUnit.SECONDS)).isTrue();
-        assertThat(build.exitValue()).as("the machine's C compiler").isZero();
+        assertThat(build.exitValue()).as("exit status of the C compiler").isZero();
         Files.write(file, new byte[BYTES * Call.values().length]);
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             rules = channel.map(FileChannel.MapMode.READ_WRITE, 0, channel.size());
@@ -59,15 +59,16 @@
         rules.order(ByteOrder.nativeOrder());
     }
 
+    /** Adds the variables that load the library to a program's environment. */
     void into(Map<String, String> environment) {
         environment.put("LD_PRELOAD", library.toString());
         environment.put("FAILING_CALLS", file.toString());
     }
 
-    /** From now on each so many calls of a kind fail, so many times. */
+    /** From now on every nth call of a kind fails, that many times. */
     void fail(Call call, int error, int every, int times) {
         ByteBuffer rule = rules.slice(call.ordinal() * BYTES, BYTES).order(ByteOrder.nativeOrder());
-        rule.putInt(2 * Integer.BYTES, 0); // off, while it is changed
+        rule.putInt(2 * Integer.BYTES, 0); // off while the rule changes
         rule.putInt(0, error);
         rule.putInt(Integer.BYTES, every);
         rule.putInt(3 * Integer.BYTES, 0);
--- a/src/test/java/dappleseam/proxy/FleetLookoutTest.java
+++ b/src/test/java/dappleseam/proxy/FleetLookoutTest.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What a proxy tells of its caches, and what it makes of what it is told. */
+/** What a proxy announces of its caches, and how it applies the fleet's shares and verdicts. */
 class FleetLookoutTest {
     private static final NodeId ONE = new NodeId(1);
     private static final Map<NodeId, Double> CACHES = Map.of(ONE, 5.0, new NodeId(2), 5.0, new NodeId(3), 5.0);
@@ -51,7 +51,7 @@
         lookout.look(now, List.of(learnt), caches);
     }
 
-    /** Less after a moment, more by steps, and back by steps where nothing is told; the place with it. */
+    /** A smaller share applies after a moment, a larger one in steps, and without an assignment the share returns to the settings' in steps. */
     @Test
     void whatIsToldOfItsShareBecomesTheProxysByStepsUpAndSoonDown() {
         look(CACHES);
@@ -59,7 +59,7 @@
         look(CACHES);
         now += 500;
         look(CACHES);
-        assertThat(proxies).as("it may be for a moment only").isEqualTo(10);
+        assertThat(proxies).as("the smaller share may be short-lived").isEqualTo(10);
         now += 200;
         look(CACHES);
         assertThat(proxies).isCloseTo(20, within(1e-9));
@@ -80,7 +80,7 @@
         assertThat(proxies).isEqualTo(10);
     }
 
-    /** Two say that the list service fails: a call that failed is made again by this one's turn, and at its turn once somebody was answered. */
+    /** While others report that the list service fails, a failed request is retried at this member's turn; once it works for another, also at this member's turn. */
     @Test
     void callsForTheListGoByTurnsWhereOthersFailToo() {
         look(CACHES);
@@ -95,10 +95,10 @@
         assertThat(lookout.listAgainMs(now, 300)).isEqualTo(300);
         lookout.listCalled(now, true);
         lookout.say(List.of(new Said(ListTurns.SERVICE, 0, Word.WORKS, 3, 1, 8)));
-        assertThat(calls).as("its own was answered").hasSize(1);
+        assertThat(calls).as("its own request was answered").hasSize(1);
         lookout.say(List.of(new Said(ListTurns.SERVICE, 0, Word.FAILS, 4, 0, 9000)));
         assertThat(lookout.listAgainMs(now, 300)).as("bounded").isEqualTo(4300);
-        assertThat(lookout.listAgainMs(now + 6000, 300)).as("news that has grown old").isEqualTo(300);
+        assertThat(lookout.listAgainMs(now + 6000, 300)).as("the verdict has expired").isEqualTo(300);
     }
 
     @Test
@@ -107,10 +107,10 @@
         lookout.heard(ONE, now, 5);
         lookout.unanswered(ONE, now - 500, now, 500);
         look(CACHES);
-        assertThat(one().fails()).as("it answered meanwhile").isFalse();
+        assertThat(one().fails()).as("the cache answered after the execution was sent").isFalse();
         lookout.unanswered(ONE, now + 100, now + 150, 50);
         look(CACHES);
-        assertThat(one().fails()).as("not for long").isFalse();
+        assertThat(one().fails()).as("unanswered only briefly").isFalse();
         lookout.unanswered(ONE, now + 100, now + 400, 300);
         look(CACHES);
         assertThat(one().fails()).isTrue();
@@ -132,7 +132,7 @@
         look(CACHES, orders.get(0));
         assertThat(one().fails()).isFalse();
         look(CACHES, new Learnt(ONE, 5, 14_321, 0, 0, 0));
-        assertThat(one().fails()).as("its own trial failed").isTrue();
+        assertThat(one().fails()).as("its own probe failed").isTrue();
     }
 
     @Test
--- a/src/test/java/dappleseam/proxy/InFleetTest.java
+++ b/src/test/java/dappleseam/proxy/InFleetTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The program as one of a fleet: set up, looked at, told wrong things; and as none of a fleet. */
+/** The program as a member of a fleet: configuration, status and invalid input; and without a fleet. */
 class InFleetTest {
     @TempDir
     Path folder;
@@ -78,7 +78,7 @@
         assertThat(fleetCommand("fleet", "127.0.0.1:" + sockets.control)).startsWith("0 p: status starting").contains("alive    p ");
     }
 
-    /** Garbage by thousands: counted by kind, nothing else happens, and queries are answered meanwhile. */
+    /** Thousands of invalid datagrams are counted by kind and have no other effect; queries are answered meanwhile. */
     @Test
     void garbageIsCountedAndQueriesGoOn() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -90,7 +90,7 @@
             for (int i = 0; i < 6000; i++) {
                 byte[] bytes = new byte[1 + random.nextInt(1600)];
                 random.nextBytes(bytes);
-                if (i % 3 == 0 && bytes.length > 1) { // as if of this program
+                if (i % 3 == 0 && bytes.length > 1) { // starts like a valid datagram
                     System.arraycopy(sound, 0, bytes, 0, 2);
                 }
                 from.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), bind));
@@ -150,7 +150,7 @@
         Sockets.awaitAnswer(sockets.control, "GET /control/counters", "app_fleet_joined 1\n");
     }
 
-    /** Without the file no class of it is loaded, and the door knows nothing of it. */
+    /** Without a fleet file no fleet class is loaded, and the control server has no fleet requests. */
     @Test
     void withoutTheFileNothingOfItIsThere() throws Exception {
         Path loaded = folder.resolve("loaded");
--- a/src/test/java/dappleseam/proxy/KillTest.java
+++ b/src/test/java/dappleseam/proxy/KillTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The kill comes at its earliest, by the shortest of the settings that may hold just then; nothing that was taken is lost. */
+/**
+ * The platform kills as early as it may: by the shortest statement timeout of the settings that may be in use at SIGTERM. Every accepted query
+ * still has to be answered.
+ */
 class KillTest {
     private static final long KILL_MORE_MS = 700;
     private static final long SHORT_MS = 300;
@@ -34,14 +37,14 @@
         sockets.grades = "{\"name\":\"read\",\"semantics\":\"read_like\",\"sloTimeS\":" + seconds + ",\"statementTimeoutS\":" + seconds + "}";
     }
 
-    /** Signals in series: the file has shorter deadlines by one of them, and the kill may go by these or by those before them. */
+    /** SIGHUP shortens the timeouts around SIGTERM, in several orders; the kill may follow the new or the previous timeouts. */
     @ParameterizedTest
     @ValueSource(strings = {"HUP TERM", "TERM HUP", "HUP TERM HUP TERM", "TERM HUP TERM HUP"})
     void newSettingsBesideTheSignalToEndCostNoAnswer(String signals) throws Exception {
         longest(3);
         Sockets.Client client = sockets.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id", "c=read,d=3000");
-        sockets.cache.next(); // hangs
+        sockets.cache.next(); // never answered
         longest(SHORT_MS / 1000.0);
         sockets.config(folder, "");
         CompletableFuture<String> answer = CompletableFuture.supplyAsync(() -> {
@@ -60,7 +63,7 @@
         assertThat(answer.get(Sockets.PATIENCE_S, TimeUnit.SECONDS)).matches("-ERR failed|-BUSY.*");
     }
 
-    /** The other way round: the deadlines have just become longer, and the kill may still go by those before. */
+    /** The timeouts have just become longer, and the kill may still follow the shorter ones. */
     @ParameterizedTest
     @ValueSource(longs = {0, 500})
     void longerDeadlinesAMomentBeforeTheSignalToEndCostNoAnswer(long msBefore) throws Exception {
@@ -71,7 +74,7 @@
         sockets.signal("HUP");
         sockets.awaitLog(folder, "configuration read again");
         client.send("C.GET", "00000000000000aa", "id", "c=read,d=3000");
-        sockets.cache.next(); // hangs
+        sockets.cache.next(); // never answered
         Thread.sleep(msBefore);
         sockets.signal("TERM");
         CompletableFuture.delayedExecutor(SHORT_MS + KILL_MORE_MS, TimeUnit.MILLISECONDS).execute(sockets.program::destroyForcibly);
--- a/src/test/java/dappleseam/proxy/LongValuesTest.java
+++ b/src/test/java/dappleseam/proxy/LongValuesTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Long values through the program, more at once than its buffers hold. */
+/** Large values through the running program, together more than its buffers hold. */
 class LongValuesTest {
     private static final int LONG = 4 << 20;
     private static final String TAIL = "\r\n$3\r\nhit\r\n$-1\r\n";
@@ -41,11 +41,11 @@
         return value;
     }
 
-    /** Answers on a thread of its own: the proxy takes no more than it passes on. */
+    /** Answers on a separate thread, as the proxy reads no faster than it forwards. */
     private static Thread send(Sockets.Told asked, String head, byte[] value, int bytes, String tail) {
         Thread sender = new Thread(() -> {
             try {
-                synchronized (asked.from()) { // commands that share a connection are answered one after the other
+                synchronized (asked.from()) { // answers on a shared connection must not interleave
                     OutputStream out = asked.from().getOutputStream();
                     out.write(head.getBytes(StandardCharsets.ISO_8859_1));
                     out.write(value, 0, bytes);
@@ -80,7 +80,7 @@
         assertThat(client.bytes(2)).isEqualTo("\r\n".getBytes());
     }
 
-    /** Guards memory and neighbours: readers that take nothing hold no more than their part, and nobody up. */
+    /** Clients that stop reading must not use up the buffers or delay other clients. */
     @Test
     void stalledReadersOfLongValuesHoldUpNobody() throws Exception {
         sockets.start(folder, "");
@@ -96,7 +96,7 @@
         quick.send("C.GET", "00000000000000ab", "short", "c=read,d=9000");
         sockets.cache.next().answer("*3\r\n$5\r\nvalue" + TAIL);
         assertThat(quick.answer()).isEqualTo("value");
-        for (Sockets.Client client : stalled) { // and each has all of it, once it reads
+        for (Sockets.Client client : stalled) { // each receives its whole value once it reads
             assertWhole(client, value);
         }
     }
@@ -112,7 +112,7 @@
         assertWhole(client, value);
     }
 
-    /** Guards rule 1: once part has gone out there is no second try, and the client can tell that it is not whole. */
+    /** Rule 1: once part of a value has been forwarded there is no retry, and the client can tell that the value is incomplete. */
     @Test
     void aValueCutOffHalfWayIsNeverMadeToLookWhole() throws Exception {
         sockets.start(folder, "");
@@ -124,7 +124,7 @@
         assertThat(sockets.origin.told).isEmpty();
     }
 
-    /** Guards rule 1 against a value with a wrong end: it was passed on, and is not finished. */
+    /** Rule 1: a value that was forwarded and turns out to have a malformed end must not be completed. */
     @Test
     void aLongValueThatEndsWronglyIsNotFinished() throws Exception {
         sockets.start(folder, "");
@@ -133,7 +133,7 @@
         assertThat(client.rest().length).isLessThanOrEqualTo(("$" + LONG + "\r\n").length() + LONG);
     }
 
-    /** Guards the buffers against more long writes than they hold: each waits for room, none is lost. */
+    /** More large writes than the buffers hold: each waits for room, and none is lost. */
     @Test
     void longWritesInPiecesGoToTheOriginWhole() throws Exception {
         sockets.start(folder, "");
@@ -153,7 +153,7 @@
                     }
                     client.raw("\r\n");
                 } catch (IOException | InterruptedException e) {
-                    // the answer tells
+                    // the check of the answer reports it
                 }
             });
             writer.setDaemon(true);
@@ -171,7 +171,7 @@
         }
     }
 
-    /** Guards rule 2: a long write whose connection breaks before its last byte never ran, and is rejected. */
+    /** Rule 2: a large write whose connection breaks before its last byte never ran, and is rejected. */
     @Test
     void aLongWriteCutOffOnItsWayNeverRan() throws Exception {
         sockets.start(folder, "");
--- a/src/test/java/dappleseam/proxy/ManyStartsTest.java
+++ b/src/test/java/dappleseam/proxy/ManyStartsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Many processes that start at once, as after a restart of most of a fleet. */
+/** Many processes start at once, as after a restart of most of a fleet. */
 class ManyStartsTest {
     private static final int PROCESSES = 10;
     private static final double READY_MS = 10_000;
@@ -36,7 +36,7 @@
         sockets.list.close();
     }
 
-    /** Times in ms until each answers a PING, from when the first was started. */
+    /** Times in ms from the first start until each process answers a PING. */
     private List<Double> readyTimes() throws Exception {
         List<Integer> ports = new ArrayList<>();
         double from = System.nanoTime();
@@ -58,14 +58,14 @@
         return times;
     }
 
-    /** Nine in ten are ready within 10 s though the list service takes calls and answers none: no start waits for it without a bound. */
+    /** Nine in ten are ready within 10 s while the list service accepts requests and never answers: the wait for it is bounded. */
     @Test
     void nineInTenAreReadyInTimeThoughTheListServiceSaysNothing() throws Exception {
         sockets.list.first = null;
         assertThat(readyTimes().stream().filter(ms -> ms <= READY_MS).count()).isGreaterThanOrEqualTo(PROCESSES * 9 / 10);
     }
 
-    /** The same where it refuses all of them. */
+    /** The same while the list service refuses connections. */
     @Test
     void nineInTenAreReadyInTimeThoughTheListServiceIsDown() throws Exception {
         sockets.list.close();
--- a/src/test/java/dappleseam/proxy/OperatingTest.java
+++ b/src/test/java/dappleseam/proxy/OperatingTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Starts the program and runs it as operators do: door, drain and upgrade. */
+/** Operates the running program: control server, drains, reloads and upgrades. */
 class OperatingTest {
     @TempDir
     Path folder;
@@ -68,7 +68,7 @@
                 "app_config_reloads_total 0\n", "app_config_reload_errors_total 0\n");
     }
 
-    /** Guards staff against callers that hold every place with half a call. */
+    /** Callers with incomplete requests must not block others from the control server. */
     @Test
     void theDoorAnswersWhileOthersFinishNoCall() throws Exception {
         sockets.start(folder, "").client();
@@ -81,7 +81,7 @@
         Sockets.awaitAnswer(sockets.control, "GET /control/ready", "HTTP/1.1 200 OK");
         for (Socket half : halves) {
             half.setSoTimeout(10_000);
-            assertThat(half.getInputStream().read()).isNegative(); // each is closed in time
+            assertThat(half.getInputStream().read()).isNegative(); // each is closed by the timeout
             half.close();
         }
     }
@@ -106,7 +106,7 @@
         assertThat(Files.readString(folder.resolve("log"))).contains("dappleseam serve: control: ");
     }
 
-    /** Guards rule 1 in a drain: what is under way is answered, then the connection ends; nobody is held idle. */
+    /** Rule 1 in a drain: open queries are answered before their connection closes, and idle connections close. */
     @Test
     void aDrainSendsClientsAwayAndEnds() throws Exception {
         Sockets.Client busy = sockets.start(folder, "").client();
@@ -132,7 +132,7 @@
         assertThat(again.answer()).isEqualTo("+PONG");
     }
 
-    /** 4 s after the call no connection may hold a query of the last 2 s: not that of a client either which is never idle. */
+    /** 4 s after the request no connection may carry a query of the last 2 s, even that of a client that is never idle. */
     @Test
     void aDrainEndsTheConnectionOfAClientThatAlwaysAsks() throws Exception {
         sockets.origin.always = Sockets.ok("value");
@@ -151,7 +151,7 @@
         cache.start();
         Sockets.Client client = sockets.start(folder, "").client();
         long id = 0;
-        for (; id < 3; id++) { // some are in flight at any time from here on
+        for (; id < 3; id++) { // from here on some queries are always in flight
             read(client, "id" + id);
         }
         assertThat(sockets.call("POST /control/out-of-service")).startsWith("HTTP/1.1 200");
@@ -162,7 +162,7 @@
                 read(client, "id" + id);
                 assertThat(client.answer()).matches("value|-BUSY.*");
             }
-        } catch (IOException e) { // what it had sent and was not read is reset, and asked elsewhere
+        } catch (IOException e) { // the unread query is reset, and the client would send it elsewhere
             isOpen = false;
         }
         assertThat(isOpen).isFalse();
@@ -172,7 +172,7 @@
             {"name":"read","semantics":"read_like","sloTimeS":20,"statementTimeoutS":30},
             {"name":"put","semantics":"read_like","sloTimeS":20,"statementTimeoutS":30}""";
 
-    /** Guards rule 2 over new settings: what was taken as repeatable goes on so, what comes later is not repeated. */
+    /** Rule 2 over new settings: queries accepted as repeatable stay so, later ones are not repeated. */
     @Test
     void openQueriesKeepTheirRulesOverNewSettings() throws Exception {
         sockets.grades = OLD_GRADES;
@@ -188,7 +188,7 @@
         after.send("C.SET", "00000000000000ab", "w2", "c=put,d=9000", "v");
         Sockets.Told second = sockets.origin.next();
         first.from().close();
-        assertThat(sockets.origin.next().words()).contains("X-Correlation-Id: w1"); // once more, as it was promised
+        assertThat(sockets.origin.next().words()).contains("X-Correlation-Id: w1"); // repeated, as its grade allowed when it was accepted
         second.from().close();
         assertThat(after.answer()).startsWith("-ERR");
         after.send("C.GET", "00000000000000aa", "r1", "c=fresh,d=9000");
@@ -200,7 +200,7 @@
                 "app_completed_total{lane=\"read\"} 0\n", "app_failed_total{lane=\"put\"} 1\n");
     }
 
-    /** Guards service against a broken file: the old settings stay, whole, and it is counted. */
+    /** A broken file leaves all old settings in force, and is counted. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', value = {"empty | . | config.json", "cut | . | config.json", "\"retryAfter\":true, | '' | settings.ceilings.retryAfter",
         "\"mostExecutions\":3 | \"mostExecutions\":0 | settings.ceilings.mostExecutions",
@@ -228,7 +228,7 @@
         return first;
     }
 
-    /** Guards rules 1 and 2 in an upgrade: the write under way at the old process runs once and is answered there. */
+    /** Rules 1 and 2 in an upgrade: a write that is open at the old process runs once and is answered there. */
     @Test
     void aNewProcessTakesOverUnderLoad() throws Exception {
         Sockets.Client writer = sockets.start(folder, "").client();
@@ -237,7 +237,7 @@
         startBeside();
         sockets.program.destroy(); // SIGTERM
         sockets.awaitLog(folder, "another process takes the clients");
-        for (int i = 0; i < 200; i++) { // all of them come to the new one: none is refused, reset or left unread
+        for (int i = 0; i < 200; i++) { // all reach the new process: none is refused, reset or left unread
             Sockets.Client client = new Sockets.Client(new Socket("127.0.0.1", sockets.port));
             client.send("PING");
             assertThat(client.answer()).isEqualTo("+PONG");
@@ -251,7 +251,7 @@
         assertThat(second.isAlive()).isTrue();
     }
 
-    /** Guards service against a new version that dies: the old process goes on, and a later SIGTERM finds it alone. */
+    /** If the new process of an upgrade dies, the old one serves on, and treats a later SIGTERM as the only process. */
     @Test
     void theOldProcessServesOnWhereTheNewOneDies() throws Exception {
         sockets.start(folder, "").client();
@@ -267,7 +267,7 @@
         sockets.awaitLog(folder, "no other process is here");
     }
 
-    /** Guards rule 3 over an upgrade: a drain that the old process was told of holds, with the list service down. */
+    /** Rule 3 in an upgrade: a drain known to the old process holds in the new one, even with the list service down. */
     @Test
     void aNewProcessKeepsTheDrainsThatTheOldOneWasToldOf() throws Exception {
         sockets.start(folder, "").client();
@@ -288,7 +288,7 @@
         assertThat(sockets.cache.told).isEmpty();
     }
 
-    /** Guards the first seconds after a switch: what one process learnt of nodes reaches the next, and no start depends on it. */
+    /** Node health of the old process reaches the new one, for the first seconds after a switch; a start does not depend on it. */
     @Test
     void aNewProcessHearsWhatTheOldOneLearntOfANode() throws Exception {
         sockets.start(folder, "").client();
@@ -303,7 +303,7 @@
         sockets.awaitLog(folder, "learnt before of 1 nodes");
     }
 
-    /** Guards staff against a proxy that is busy, and against clients that hold all its connections. */
+    /** The control server has to answer while the proxy is busy and clients hold all its connections. */
     @Test
     void theDoorAnswersInTimeWhileClientsTakeAllThereIs() throws Exception {
         sockets.sockets = 160;
--- a/src/test/java/dappleseam/proxy/ServeTest.java
+++ b/src/test/java/dappleseam/proxy/ServeTest.java
@@ -29,9 +29,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Starts the program and speaks to it over sockets, as a client and for its peers. */
+/** Tests the running program over sockets, as a client and in place of its peers. */
 class ServeTest {
-    /** Bytes of a list of some 200 caches. */
+    /** Size of a list of some 200 caches. */
     private static final int LONG_LIST = 30_000;
     @TempDir
     Path folder;
@@ -66,7 +66,7 @@
         Sockets.Told asked = sockets.origin.next();
         assertThat(asked.words()).contains("GET /00000000000000aa HTTP/1.1", "X-Correlation-Id: id1");
         assertThat(asked.words()).filteredOn(line -> line.startsWith("X-Facts: ")).singleElement().asString()
-                .matches("X-Facts: c=read,d=(8\\d{3}|[1-7]\\d{3})"); // what is left, as a cache is told
+                .matches("X-Facts: c=read,d=(8\\d{3}|[1-7]\\d{3})"); // the remaining time, as sent to a cache
         asked.answer(ok("fetched"));
         assertThat(client.answer()).isEqualTo("fetched");
     }
@@ -81,7 +81,7 @@
         assertThat(client.answer()).isEqualTo("receipt");
     }
 
-    /** Guards rule 2: a write that may have run is aborted, never rejected or sent again. */
+    /** Rule 2: a write that may have run is aborted, never rejected or repeated. */
     @Test
     void aWriteWhoseConnectionBreaksIsAborted() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -103,7 +103,7 @@
         assertThat(client.answer()).startsWith("-BUSY");
     }
 
-    /** Guards against a pipelining client that gets its neighbour's answer. */
+    /** Pipelined commands must be answered in order, whatever the order of the nodes' answers. */
     @Test
     void answersComeInTheOrderOfTheCommands() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -117,13 +117,13 @@
         assertThat(client.answer()).isEqualTo("+PONG");
     }
 
-    /** Guards a connection's neighbours: what nobody waits for is dropped, and theirs still come. */
+    /** On a shared connection, the answer for a client that has left is dropped, and the others still get theirs. */
     @Test
     void aClientThatLeavesDoesNotDisturbItsNeighbour() throws Exception {
         sockets.sockets = 96;
         Sockets.Client writer = sockets.start(folder, "").client();
         sockets.list.next();
-        for (int i = 0; i < 22; i++) { // with the list's and one to the cache, these are all that may be dialled
+        for (int i = 0; i < 22; i++) { // together with those to the list service and one to the cache, all connections that may be opened
             writer.send("C.SET", "00000000000000cc", "w" + i, "c=put,d=20000", "v");
             sockets.origin.next();
         }
@@ -136,7 +136,7 @@
         assertThat(second.from()).isSameAs(first.from());
         leaving.socket.close();
         Sockets.Client third = sockets.client();
-        for (int i = 0; i < 2; i++) { // after two rounds of the loop it has seen the connection's end
+        for (int i = 0; i < 2; i++) { // after two rounds the loop has seen the connection's end
             third.send("PING");
             assertThat(third.answer()).isEqualTo("+PONG");
         }
@@ -151,7 +151,7 @@
         assertThat(sockets.cache.next().from()).isNotSameAs(sockets.cache.next().from());
     }
 
-    /** Guards quick queries against waiting behind slow ones, and against what is spoilt before them. */
+    /** After a malformed answer, queries must not wait behind slow ones or be affected by bad answers before theirs. */
     @Test
     void afterTroubleTwoCommandsHaveAConnectionEach() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -162,7 +162,7 @@
         assertTwoReadsHaveAConnectionEach(client);
     }
 
-    /** The move: a connection that carries one query at a time, where open connections have a price and would be shared. */
+    /** A connection carries one query at a time, although the connection penalty would favour sharing. */
     @Test
     void whereAConnectionCarriesOneQueryTwoOpenOnesHaveOneEach() throws Exception {
         Sockets.Client client = sockets.start(folder, ",\"streamsPerConn\":1").client();
@@ -177,7 +177,7 @@
         assertThat(client.answer()).isEqualTo("value");
     }
 
-    /** Guards what would wait behind an answer that never comes, on a connection that stays open. */
+    /** Queries must not wait behind an answer that never comes, on a connection that stays open. */
     @Test
     void afterAnAnswerThatNeverCameTwoCommandsHaveAConnectionEach() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -187,7 +187,7 @@
         assertTwoReadsHaveAConnectionEach(client);
     }
 
-    /** Guards rule 1: a cache that says nothing costs the query no answer. */
+    /** Rule 1: a query is answered even if its cache stays silent. */
     @Test
     void aSilentCacheIsGivenUpBeforeTheStatementTimeout() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -198,7 +198,7 @@
         assertThat(System.nanoTime() - sent).isGreaterThan(400_000_000L);
     }
 
-    /** Guards the caches against what no client may send: one -SYNTAX of theirs voids a day. */
+    /** Invalid input must never reach a cache, as a single -SYNTAX answer from a cache voids a whole day of service. */
     @Test
     void badInputGetsAnErrorAndGoesNoFurther() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -219,7 +219,7 @@
         assertThat(sockets.cache.told).isEmpty();
     }
 
-    /** Guards honest clients' place against those that connect and say nothing, or ask once and stay. */
+    /** Clients that connect and stay silent, or query once and stay, must not keep others out. */
     @Test
     void silentClientsMakeRoomForOthers() throws Exception {
         sockets.sockets = 96;
@@ -236,11 +236,11 @@
         asked.answer(hit("value"));
         assertThat(asker.answer()).isEqualTo("value");
         for (Sockets.Client client : silent) {
-            assertThat(client.isAtEnd()).isTrue(); // the last of them after the time that a first command may take
+            assertThat(client.isAtEnd()).isTrue(); // the last ones at the time limit for a first command
         }
     }
 
-    /** litoral r6ef771: at the limit each new client made way for the next before its first command had come. */
+    /** At the connection limit, a new client must not be closed for the next one before its first command arrives. */
     @Test
     void aNewClientDoesNotMakeWayForTheNext() throws Exception {
         sockets.sockets = 96;
@@ -259,10 +259,10 @@
         assertThat(fresh.answer()).isEqualTo("+PONG");
     }
 
-    /** litoral r6ef771: clients that ask once and stay held all that clients may hold, and no other could connect. */
+    /** Clients that query once and stay connected must not use up all client connections, so that no other can connect. */
     @Test
     void clientsThatAskOnceLeaveRoomForOthersToAsk() throws Exception {
-        sockets.sockets = 192; // 64 for clients' queries, a quarter of that to spare: the 48 latest may stay
+        sockets.sockets = 192; // 64 for clients' queries, of which a quarter is kept free: the latest 48 may stay
         List<Sockets.Client> clients = new ArrayList<>();
         sockets.start(folder, "").client().socket.close();
         for (int i = 0; i < 50; i++) {
@@ -271,7 +271,7 @@
             sockets.cache.next().answer(hit("value"));
             assertThat(clients.get(i).answer()).isEqualTo("value");
         }
-        for (int i = 0; i < 2; i++) { // well before the time idle after which any client is closed
+        for (int i = 0; i < 2; i++) { // well before the general idle timeout
             clients.get(i).socket.setSoTimeout(3500);
             assertThat(clients.get(i).isAtEnd()).isTrue();
         }
@@ -279,7 +279,7 @@
         assertThat(clients.get(49).answer()).isEqualTo("+PONG");
     }
 
-    /** Guards buffers and descriptors against half a command that never ends. */
+    /** An incomplete command must not hold buffers and a descriptor for ever. */
     @Test
     void halfACommandIsEndedWithAnError() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -288,7 +288,7 @@
         assertThat(client.isAtEnd()).isTrue();
     }
 
-    /** Guards a query against another of its id, which its answer could go to. */
+    /** Two queries with one id: the answer could go to the wrong one. */
     @Test
     void anIdThatIsOpenIsNotTakenAgain() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -299,12 +299,12 @@
         assertThat(other.answer()).startsWith("-ERR");
         asked.answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
-        other.send("C.GET", "00000000000000bb", "id1", "c=read,d=20000"); // sent while it was open, come after
+        other.send("C.GET", "00000000000000bb", "id1", "c=read,d=20000"); // sent while the first was open, arrived later
         assertThat(other.answer()).startsWith("-ERR");
         assertThat(sockets.cache.told).isEmpty();
     }
 
-    /** Guards the next query against what came late behind the last answer: it would pass for its own. */
+    /** Bytes after an answer must not be taken for the answer to the next query. */
     @Test
     void aSecondCopyBehindAnAnswerIsGivenToNobody() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -323,7 +323,7 @@
         assertThat(sockets.origin.next().from()).isNotSameAs(third.from());
     }
 
-    /** Guards rules 1 and 2 against spoilt answers: none of them is a value, a miss or a rejection. */
+    /** Rules 1 and 2: a malformed answer is neither a value nor a miss nor a rejection. */
     @Test
     void aSpoiltAnswerIsAnErrorThatMayHaveRun() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -346,7 +346,7 @@
         assertThat(client.answer()).startsWith("-ERR");
     }
 
-    /** Guards rule 3: what the list tells is followed, and the next watch begins at once. */
+    /** Rule 3: a change in the list takes effect, and the next watch starts at once. */
     @Test
     void aDrainingCacheGetsNothingNew() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -360,7 +360,7 @@
         assertThat(client.answer()).isEqualTo("from the origin");
     }
 
-    /** Guards a planned restart: what was taken is answered, and the program ends by itself with status 0. */
+    /** Planned restart: accepted queries are answered, and the program exits by itself with status 0. */
     @Test
     void sigtermLetsWhatWasTakenEnd() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -378,7 +378,7 @@
         assertThat(sockets.program.exitValue()).isZero();
     }
 
-    /** litoral r6ef771: clients closed soon after SIGTERM found nobody until the next start. */
+    /** Clients that were closed soon after SIGTERM found no server until the next start, so they are served for as long as possible. */
     @Test
     void aConnectedClientIsServedUntilShortlyBeforeTheKill() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -392,7 +392,7 @@
         assertThat(client.isAtEnd()).isTrue();
     }
 
-    /** Guards rule 1 at a planned restart: what nobody answers is aborted before the platform kills. */
+    /** Rule 1 at a planned restart: queries without an answer are aborted before the platform kills. */
     @Test
     void whatCannotEndIsAbortedBeforeTheKill() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -404,7 +404,7 @@
         assertThat(sockets.program.exitValue()).isZero();
     }
 
-    /** Guards rule 2 where no two executions may be out together: the one given up ends with its connection. */
+    /** Rule 2 if executions may not run in parallel: a cancelled execution ends with its connection. */
     @Test
     void givingUpClosesTheConnectionWhereCopiesAreBarred() throws Exception {
         Sockets.Client client = sockets.start(folder, ",\"parallelTries\":false").client();
@@ -420,7 +420,7 @@
         assertThat(sockets.cache.told).anyMatch(t -> t.words().contains("closed") && t.from() == given.from());
     }
 
-    /** Guards against a write that crosses the node's own closing of an idle connection. */
+    /** A write must not cross the node's own close of an idle connection. */
     @Test
     void anIdleConnectionIsClosedBeforeTheNodeWould() throws Exception {
         Sockets.Client client = sockets.start(folder, ",\"idleCloseS\":2").client();
@@ -432,7 +432,7 @@
         assertThat(client.answer()).isEqualTo("value");
     }
 
-    /** Guards against a list service that is down for a while. */
+    /** The list service may be down for a while. */
     @Test
     void aFailedWatchIsBegunAgain() throws Exception {
         sockets.start(folder, "").client();
@@ -441,7 +441,7 @@
         assertThat(sockets.list.next().words().get(0)).startsWith("GET /registry/instances?from=1&hold_ms=");
     }
 
-    /** Guards service and rule 3 against a new configuration: SIGHUP ends a JVM, and a bad file says nothing. */
+    /** SIGHUP would end a JVM by default; here it reloads the configuration, moves the watch, and keeps the old settings if the file is bad. */
     @Test
     void sighupMovesTheWatchAndABadFileChangesNothing() throws Exception {
         Sockets.Client client = sockets.start(folder, "").client();
@@ -461,7 +461,7 @@
         assertThat(client.answer()).isEqualTo("+PONG");
     }
 
-    /** Guards the descriptors: clients beyond those meant for them wait to be accepted while all have a query open. */
+    /** Clients beyond the connection limit wait to be accepted while all others have an open query. */
     @Test
     void clientsBeyondTheLimitWait() throws Exception {
         sockets.sockets = 96;
@@ -487,8 +487,8 @@
     }
 
     /**
-     * Guards the memory limit, which holds for both processes of an upgrade together: flags are fixed before the configuration is read, so the launcher works them out, with
-     * no program but java to be found.
+     * The memory limit holds for both processes of an upgrade together. JVM flags are fixed before the configuration is read, so the launcher computes them;
+     * it must not need any program but java.
      */
     @ParameterizedTest
     @ValueSource(strings = {"{\"limits\":{\"memory_mb\":128,\"sockets\":256}}",
@@ -506,7 +506,7 @@
         assertThat(flags).contains("-Xms18m -Xmx18m").contains("-XX:MaxDirectMemorySize=32m").endsWith("Serve\n");
     }
 
-    /** Guards a start on a busy machine: one system call for each byte of a long list is seconds where calls are dear. */
+    /** Reading a long list with one system call per byte takes seconds on a machine where system calls are slow. */
     @Test
     void theLauncherReadsALongConfigurationInFewCalls() throws Exception {
         Path tools = Files.createDirectory(folder.resolve("tools"));
@@ -522,7 +522,7 @@
         assertThat(reads).isLessThan(LONG_LIST / 100);
     }
 
-    /** Guards nodes and clients against a cold start: what is slow at first has been run before one is let in. */
+    /** Code that is slow on its first run is warmed up before the first client is accepted, without contacting nodes. */
     @Test
     void queriesAreRehearsedBeforeTheFirstClient() throws Exception {
         assertThat(sockets.start(folder, "").client().socket.isConnected()).isTrue();
@@ -531,7 +531,7 @@
         assertThat(sockets.origin.told).isEmpty();
     }
 
-    /** Guards the start: the archive of classes is made by a check, and holds what that has used. */
+    /** The class archive is created by a check run and contains the classes which that run used, so it has to use sockets. */
     @Test
     void aCheckUsesSockets() throws Exception {
         sockets.command = "serve --check";
--- a/src/test/java/dappleseam/proxy/ShutdownTest.java
+++ b/src/test/java/dappleseam/proxy/ShutdownTest.java
@@ -21,7 +21,7 @@
 class ShutdownTest {
     private static final String ASKED = "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n1\r\n$3\r\nc=r\r\n";
 
-    /** What was seen of one shutdown: when it first aborted, and when it ended, counted from when the process was told. */
+    /** Runs one shutdown; returns when it first aborted queries and when it ended, in ms after the signal. */
     private static List<Double> played(double toldMsAgo, double killAfterMs) throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         CompletableFuture<List<Double>> seen = new CompletableFuture<>();
@@ -52,7 +52,7 @@
         }
     }
 
-    /** The platform counts from the signal, however late this thread hears of it: all is over before the kill. */
+    /** The platform counts from the signal, however late the I/O thread reacts: the shutdown has to end before the kill. */
     @Test
     void whatIsOpenIsAbortedBeforeTheKillHoweverLateTheLoopHearsOfIt() throws Exception {
         for (double late : new double[] {0, 300, 3300}) {
@@ -63,7 +63,7 @@
         assertThat(played(800, 800).get(1)).isEqualTo(800.0); // at once
     }
 
-    /** Deadlines that are short leave less time: the states come in their order all the same. */
+    /** Short statement timeouts leave less time; the states are still entered in order. */
     @Test
     void aShortTimeToTheKillIsEnough() throws Exception {
         List<Double> times = played(0, 800);
--- a/src/test/java/dappleseam/proxy/SoakTest.java
+++ b/src/test/java/dappleseam/proxy/SoakTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Signals in series, new deadlines between them, nodes that hang, sometimes a crowd; clients go on using their connections until the kill, which
- * comes at its earliest. Drawn from seeds: {@code -Dsoak.seeds=60} plays sixty, {@code -Dsoak.first=100} from the hundredth on.
+ * Random series of SIGHUP with new statement timeouts and SIGTERM, with hanging nodes and sometimes many idle connections. Clients use their connections
+ * until the kill, which comes as early as the platform allows. {@code -Dsoak.seeds=60} runs sixty seeds, {@code -Dsoak.first=100} starts at seed 100.
  */
 class SoakTest {
     private static final int SEEDS = Integer.getInteger("soak.seeds", 12);
@@ -30,9 +30,9 @@
     private static final int CLIENTS = 5;
     private static final int CROWD = 40;
     private static final long KILL_MORE_MS = 700;
-    /** Time in ms past its own for which an answer only earns nothing. */
+    /** Time in ms by which an answer may come after its query's timeout without being a breach. */
     private static final long LATE_MS = 500;
-    /** A query that was written so long before an orderly end was read: what is not read is reset. */
+    /** Time in ms after which a written query counts as read by the proxy if the connection then ends in order; unread queries end in a reset. */
     private static final long READ_BY_MS = 50;
     private static final long[] DEADLINES_MS = {200, 500, 1000, 3000};
     private static final double NANOS_PER_MS = 1e6;
@@ -60,13 +60,13 @@
         assertThat(played(SEEDS, 0)).isEmpty();
     }
 
-    /** The checker is shown to fail: a kill before the platform's time finds queries without an answer. */
+    /** Shows that the check can fail: a kill before the platform's time leaves queries without an answer. */
     @Test
     void aKillBeforeItsTimeIsSeen() throws Exception {
         assertThat(played(4, KILL_MORE_MS)).anyMatch(breach -> breach.contains("had no answer"));
     }
 
-    /** One seed, with a process, peers and clients of its own. */
+    /** The run of one seed, with a process, peers and clients of its own. */
     private static final class Play {
         private final int seed;
         private final Path home;
@@ -128,7 +128,7 @@
                     {"name":"put","semantics":"non_idempotent","sloTimeS":%s,"statementTimeoutS":%s}""".formatted(seconds / 2, seconds, seconds / 2, seconds);
         }
 
-        /** New files and SIGHUP, SIGTERM once or more; the kill by the shortest deadlines of that second, to the ms. */
+        /** Sends SIGHUP with new files and SIGTERM once or more; the kill follows the shortest timeout of these settings, to the ms. */
         private void signals() throws Exception {
             int count = 1 + random.nextInt(4);
             int ends = random.nextInt(count);
@@ -166,7 +166,7 @@
                         try {
                             told.answer(text);
                         } catch (IOException e) {
-                            continue; // given up
+                            continue; // the proxy has stopped waiting
                         }
                     }
                 }
@@ -178,7 +178,7 @@
                     : words.stream().filter(w -> w.startsWith("X-Correlation-Id: ")).map(w -> w.substring(18)).findFirst().orElse("");
         }
 
-        /** Asks again and again on one connection, for as long as it stays open; opens others until the process is told to end. */
+        /** Sends queries on one connection while it stays open; opens new ones until the process gets SIGTERM. */
         private void ask(int client, SplittableRandom own) throws Exception {
             for (int number = 0; ; ) {
                 Sockets.Client connection;
@@ -197,7 +197,7 @@
             }
         }
 
-        /** Whether the connection is still open; notes what was lost. */
+        /** Sends one query; returns whether the connection is still open, and records a breach. */
         private boolean askOnce(Sockets.Client connection, String id, SplittableRandom own) {
             boolean put = own.nextInt(5) == 0;
             long waits = 20 + own.nextInt((int) Math.min(1000, longestMs));
--- a/src/test/java/dappleseam/proxy/Sockets.java
+++ b/src/test/java/dappleseam/proxy/Sockets.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** The program, started with small stand-ins for its peers, and a client to speak to it. */
+/** Starts the program in a process of its own, with stubs for its peers and clients that connect to it. */
 final class Sockets {
     static final long PATIENCE_S = 20;
 
@@ -32,23 +32,23 @@
     int sockets = 1024;
     int memoryMb = 192;
     String command = "serve";
-    /** Of the program, on top of this one's own. */
+    /** Environment of the program, in addition to that of the test. */
     final Map<String, String> environment = new HashMap<>();
-    /** Port of the operators' door; 0 for none. */
+    /** Port of the control server; 0 for none. */
     int control;
     String grades = """
             {"name":"read","semantics":"read_like","sloTimeS":20,"statementTimeoutS":30},
             {"name":"put","semantics":"non_idempotent","sloTimeS":20,"statementTimeoutS":30}""";
 
-    /** A stand-in: commands or heads that came in, and the connections on which the test answers them. */
+    /** A stub of a cache, the origin or the list service: queues the messages it receives; the test answers them. */
     static final class Peer implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
-        /** What the very first message is answered, before the test hears of any; null for nothing. */
+        /** Sent in answer to the first message, which is not queued; null for none. */
         volatile String first;
-        /** What every message is answered, and the test hears of none; null for nothing. */
+        /** Sent in answer to every message, none of which is queued; null for none. */
         volatile String always;
-        /** Whether the bodies of HTTP calls are read. */
+        /** Whether bodies of HTTP requests are read. */
         volatile boolean bodies = true;
 
         Peer() throws IOException {
@@ -88,11 +88,11 @@
             }
         }
 
-        /** What came next, other than a connection's end. */
+        /** Waits for the next message, skipping closed connections. */
         Told next() throws InterruptedException {
             Told next = told.poll(PATIENCE_S, TimeUnit.SECONDS);
             if (next == null) {
-                throw new AssertionError("nothing came");
+                throw new AssertionError("no message received");
             }
             return next.words.get(0).equals("closed") ? next() : next;
         }
@@ -107,31 +107,32 @@
         }
     }
 
+    /** A message, as RESP elements or HTTP lines, or {@code closed}; and its connection. */
     record Told(List<String> words, Socket from) {
         void answer(String bytes) throws IOException {
             from.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 
-    /** What a cache answers that lacks the key. */
+    /** A cache's answer for a missing key. */
     static final String MISS = "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n";
 
-    /** What the list service answers where nothing has changed. */
+    /** The list service's answer when nothing has changed. */
     static String nothingNew(int version) {
         return ok("{\"rev\":" + version + ",\"all\":false,\"targets\":[]}");
     }
 
-    /** What a cache answers that holds the value. */
+    /** A cache's answer with the value. */
     static String hit(String value) {
         return "*3\r\n$" + value.length() + "\r\n" + value + "\r\n$3\r\nhit\r\n$-1\r\n";
     }
 
-    /** What the origin or the list service answers. */
+    /** A successful answer of the origin or the list service. */
     static String ok(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** One RESP message's words, or one HTTP head's lines. */
+    /** Reads the elements of one RESP message, or the lines of one HTTP head, with the body as the last if {@code readsBodies}. */
     static List<String> message(InputStream in, boolean bodies) throws IOException {
         String line = line(in);
         List<String> words = new ArrayList<>();
@@ -177,7 +178,7 @@
         return line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
     }
 
-    /** The first list is there: a process waits for it before it serves. */
+    /** The list service answers the first request by default, as a process waits for that before it serves. */
     Sockets() throws IOException {
         list.first = nothingNew(1);
     }
@@ -187,7 +188,7 @@
                 + "\",\"pod_group\":0,\"state\":\"" + state + "\",\"capacity_hint\":1,\"boot_ms\":0}";
     }
 
-    /** Starts the program with one cache and the origin known; {@code more} adds to the ceilings. */
+    /** Starts the program with one cache and the origin listed; {@code more} is added to the ceilings of its settings. */
     Sockets start(Path folder, String more) throws IOException {
         port = freePort();
         program = launch(folder, config(folder, more));
@@ -200,7 +201,7 @@
         }
     }
 
-    /** Writes the configuration as it is now. */
+    /** Writes the configuration file from the current fields. */
     Path config(Path folder, String more) throws IOException {
         Path config = folder.resolve("config.json");
         return Files.writeString(config, """
@@ -229,7 +230,7 @@
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile())).start();
     }
 
-    /** A connection to the program, once it is ready. */
+    /** Connects to the program, once it accepts connections. */
     Sockets.Client client() throws IOException, InterruptedException {
         for (int i = 0; i < PATIENCE_S * 100 && program.isAlive(); i++) {
             try {
@@ -238,13 +239,13 @@
                 Thread.sleep(10);
             }
         }
-        throw new AssertionError("the program does not serve");
+        throw new AssertionError("the program does not accept connections");
     }
 
-    /** What the door answers to one call: the status line, the head and the body. */
+    /** Sends one request to the control server; returns the status line, the head and the body. */
     static String call(int door, String head) throws IOException {
         try (Socket caller = new Socket("127.0.0.1", door)) {
-            caller.setSoTimeout(1000); // an operator waits no longer
+            caller.setSoTimeout(1000); // operators' tools wait no longer
             caller.getOutputStream().write((head + "\r\nHost: p\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
             return new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
@@ -254,14 +255,14 @@
         return call(control, head + " HTTP/1.1");
     }
 
-    /** Waits until a call to that door is answered so. */
+    /** Repeats a request to the control server until the response contains {@code part}. */
     static void awaitAnswer(int door, String head, String part) throws IOException, InterruptedException {
         String last = "";
         for (int i = 0; i < PATIENCE_S * 100 && !last.contains(part); i++) {
             try {
                 last = call(door, head + " HTTP/1.1");
             } catch (java.net.ConnectException e) {
-                last = e.toString(); // not there yet
+                last = e.toString(); // not listening yet
             }
             Thread.sleep(10);
         }
--- a/src/test/java/dappleseam/proxy/SystemCallsTest.java
+++ b/src/test/java/dappleseam/proxy/SystemCallsTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** System calls of the running program fail for a while, as Linux documents; every query still gets its one answer in time. */
+/** System calls of the running program fail for a while, as documented for Linux; every query still gets exactly one answer in time. */
 class SystemCallsTest {
     private static final String VALUE = "value";
     private static final int TIME_MS = 1500;
     private static final double NANOS_PER_MS = 1e6;
     private static final long ASKED_APART_MS = 20;
-    /** Time in ms after which a node that could not be reached is tried again at the latest. */
+    /** Maximum time in ms until a node that could not be reached is used again. */
     private static final double LATEST_BACK_MS = 3000;
 
     @TempDir
@@ -47,7 +47,7 @@
         client.send("C.GET", "00000000000000aa", id, "c=read,d=" + TIME_MS);
     }
 
-    /** Asks on new connections, one every so often; the times in ms until each answer. */
+    /** Sends queries on new connections at an interval; returns the times in ms until each answer. */
     private List<Double> askOnNewConnections(int count, int apartMs) throws Exception {
         List<Sockets.Client> clients = new ArrayList<>();
         List<Long> asked = new ArrayList<>();
@@ -59,7 +59,7 @@
         }
         List<Double> times = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            assertThat(clients.get(i).answer()).matches(VALUE + "|-BUSY .*"); // many at once may be too many for one cache
+            assertThat(clients.get(i).answer()).matches(VALUE + "|-BUSY .*"); // a burst may be too much for one cache
             times.add((System.nanoTime() - asked.get(i)) / NANOS_PER_MS - (count - 1 - i) * apartMs);
             clients.get(i).socket.close();
         }
@@ -75,7 +75,7 @@
         assertThat(calls.failed(Call.ACCEPT)).isPositive();
     }
 
-    /** A second without any accept: the thread rests meanwhile, and what waited is served at once after it. */
+    /** No accept succeeds for a second: the thread must not spin meanwhile, and pending connections are served right after it. */
     @Test
     void aSecondWithoutAcceptCostsNoProcessorAndNoQuery() throws Exception {
         sockets.start(folder, "").client();
@@ -95,7 +95,7 @@
         assertThat(cpu.toMillis()).isLessThan(300);
     }
 
-    /** What was sent on a connection that waits to be accepted counts from then: its time goes on. */
+    /** A query's timeout also runs while its connection waits to be accepted. */
     @Test
     void theTimeThatAQueryWaitedToBeAcceptedComesOffItsOwn() throws Exception {
         sockets.cache.always = null;
@@ -117,7 +117,7 @@
         calls.fail(Call.ACCEPT, FailingCalls.ENFILE, 1, FailingCalls.ALWAYS);
         Sockets.Client client = sockets.client();
         ask(client, "id");
-        Thread.sleep(400); // over the time at which no more connections are accepted
+        Thread.sleep(400); // past the time at which no more connections are accepted
         calls.stop(Call.ACCEPT);
         assertThat(client.answer()).isEqualTo(VALUE);
     }
@@ -150,12 +150,12 @@
         sockets.origin.always = Sockets.ok(VALUE);
         Sockets.Client client = sockets.start(folder, "").client();
         Sockets.Client other = sockets.client();
-        for (Sockets.Client one : List.of(client, other)) { // a connection is read once more after its answer: at the other's, the first's is over
+        for (Sockets.Client one : List.of(client, other)) { // a connection is read once more after its answer; after the second PING that of the first client is done
             one.send("PING");
             assertThat(one.answer()).isEqualTo("+PONG");
         }
         calls.fail(call, error, 1, 1);
-        boolean answered = call != Call.READ && call != Call.WRITE; // else the call may be this client's own
+        boolean answered = call != Call.READ && call != Call.WRITE; // otherwise the failed call may be on this client's connection
         String first = null;
         try {
             ask(other, "first");
@@ -168,7 +168,7 @@
         assertThat(client.answer()).isEqualTo(VALUE);
     }
 
-    /** Each query gets its one answer in its time, though nothing can be dialled for all of it; and the next once that is over. */
+    /** Each query gets exactly one answer in time even if no connection can be opened for its whole timeout; queries succeed again once the fault is over. */
     @ParameterizedTest
     @CsvSource({"CONNECT,99", "CONNECT,101", "CONNECT,110", "CONNECT,113", "SOCKET,23", "SOCKET,24", "SOCKET,105"})
     void callsThatFailForAsLongAsADeadlineCostNoAnswer(Call call, int error) throws Exception {
@@ -220,7 +220,7 @@
         assertThat(calls.failed(Call.EPOLL_WAIT)).isPositive();
     }
 
-    /** The system takes no more bytes on a connection that commands share; the client of the last one leaves meanwhile. */
+    /** Writes are blocked on a shared connection, and the client of the last command leaves meanwhile. */
     @Test
     void aCommandThatIsNotWrittenWhenItsClientLeavesIsNeverSent() throws Exception {
         sockets.cache.always = null;
@@ -241,7 +241,7 @@
         assertThat(first.answer()).isEqualTo("one");
     }
 
-    /** Rule 3 where the system takes no more bytes: what has not begun to go to a node that drains never does. */
+    /** Rule 3 with writes blocked: a command that has not begun to be written to a node is never sent once the node drains. */
     @Test
     void aCommandThatIsNotWrittenWhenItsNodeDrainsIsNeverSent() throws Exception {
         sockets.cache.always = null;
@@ -263,7 +263,7 @@
         assertThat(sockets.cache.told.stream().map(Sockets.Told::words)).noneMatch(words -> words.contains("second"));
     }
 
-    /** What the next process is to take over is written once the disk takes it, though the list does not change again. */
+    /** The list for the next process is written once the disk accepts writes again, even if it does not change again. */
     @ParameterizedTest
     @CsvSource({"FILE_OPEN,28", "FILE_WRITE,28", "FILE_WRITE,5", "FILE_WRITE,-1", "FILE_RENAME,5"})
     void aListThatCouldNotBeKeptIsKeptLater(Call call, int error) throws Exception {
@@ -277,7 +277,7 @@
         for (int i = 0; i < 2000 && calls.failed(call) == 0; i++) {
             Thread.sleep(10);
         }
-        Sockets.Client meanwhile = sockets.client(); // the first may have said nothing for too long by now
+        Sockets.Client meanwhile = sockets.client(); // the first client may have been closed as idle by now
         ask(meanwhile, "meanwhile");
         assertThat(meanwhile.answer()).isNotEmpty();
         calls.stop(call);
@@ -291,7 +291,7 @@
         assertThat(Files.readString(file)).contains(text);
     }
 
-    /** Another process on the address is seen though the folder could not be used at the start. */
+    /** Another process on the address is detected even if the lock folder could not be used at the start. */
     @Test
     void aFolderThatCouldNotBeUsedAtTheStartIsUsedLater() throws Exception {
         sockets.control = Sockets.freePort();
--- a/src/test/java/dappleseam/proxy/WallClockTest.java
+++ b/src/test/java/dappleseam/proxy/WallClockTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The wall clock of the proxy and that of the list are an hour apart, either way, as after a step: what is cold is told all the same. */
+/** Cold caches are recognised even if the wall clocks of the proxy and the list service differ by an hour, either way, as after a clock step. */
 class WallClockTest {
     private static final long HOUR_MS = 3_600_000;
     private static final int KEYS = 200;
-    /** Of so many keys a warm cache beside another owns about half; a cold one gets half of that, or less. */
+    /** Of {@link #KEYS} keys a warm cache next to another one owns about half; a cold one gets half of that, or less. */
     private static final int WARM_LEAST = 75;
     private static final int COLD_MOST = 65;
 
@@ -42,7 +42,7 @@
         return Sockets.ok("{\"rev\":" + version + ",\"all\":" + whole + ",\"targets\":[" + (whole ? all : "") + entry + "]}");
     }
 
-    /** How many of the queries the second cache gets. */
+    /** Sends queries and counts those that the second cache answers. */
     private int countAtSecond(Sockets.Client client) throws Exception {
         int count = 0;
         for (int i = 0; i < KEYS; i++) {
@@ -55,7 +55,7 @@
     private Sockets.Client afterNews(Sockets.Client client, String list) throws Exception {
         sockets.list.next().answer(list);
         sockets.awaitLog(folder, "node s-2 is");
-        client.send("PING"); // read after the news
+        client.send("PING"); // read after the list
         assertThat(client.answer()).isEqualTo("+PONG");
         return client;
     }
@@ -74,7 +74,7 @@
         assertThat(countAtSecond(sockets.client())).isGreaterThan(WARM_LEAST);
     }
 
-    /** In the first list of a process: a cold cache beside one that started long before. */
+    /** The first list of a process contains a cold cache next to one that started long before. */
     @Test
     void aColdCacheInTheFirstListIsColdThoughTheProxysClockIsAnHourAhead() throws Exception {
         sockets.list.first = listOf(2, true, System.currentTimeMillis() - HOUR_MS);
