--- a/src/main/java/dappleseam/control/Door.java
+++ b/src/main/java/dappleseam/control/Door.java
@@ -41,6 +41,7 @@
     private final ByteBuffer scratch = ByteBuffer.allocate(BUFFER);
     private final List<Caller> callers = new ArrayList<>();
 
+    /** An operator's connection with its one request and the response. */
     private static final class Caller {
         final SocketChannel channel;
         final CallReader call = new CallReader();
--- a/src/main/java/dappleseam/proxy/EventLoop.java
+++ b/src/main/java/dappleseam/proxy/EventLoop.java
@@ -79,6 +79,7 @@
         return new Link(connection, pool, scratch, events);
     }
 
+    /** A scheduled task, ordered by time and then by the order of scheduling. */
     private final class At implements Deadline, Comparable<At> {
         private final double whenMs;
         private final long number = deadlineCount++;
--- a/src/main/java/dappleseam/proxy/KillDelay.java
+++ b/src/main/java/dappleseam/proxy/KillDelay.java
@@ -14,6 +14,7 @@
     /** Time in ms for which replaced settings may still be in use: clients use a new grade 1.2 s after SIGHUP. */
     private static final double SETTLED_MS = 1200;
 
+    /** A kill delay, and when it was replaced. */
     private record Replaced(double delayMs, double atMs) {}
 
     private final ArrayDeque<Replaced> before = new ArrayDeque<>();
--- a/src/main/java/dappleseam/proxy/Proxy.java
+++ b/src/main/java/dappleseam/proxy/Proxy.java
@@ -116,6 +116,7 @@
         }
     }
 
+    /** An execution of a query; the backend is null if it was never sent to one. */
     private record Sent(Execution execution, NodeId node, Backend backend, Loop.Deadline deadline) {
         /** Cancels the execution if it has not been written whole, because its query is answered or its time to start has passed (rule 1). */
         void takeBack() {
--- a/src/test/java/dappleseam/proxy/Sockets.java
+++ b/src/test/java/dappleseam/proxy/Sockets.java
@@ -284,6 +284,7 @@
         assertThat(Files.readString(folder.resolve("log"))).contains(text);
     }
 
+    /** A client's connection to the program. */
     static final class Client {
         final Socket socket;
         private final InputStream in;
