--- a/src/test/java/dappleseam/proxy/InFleetTest.java
+++ b/src/test/java/dappleseam/proxy/InFleetTest.java
@@ -164,7 +164,7 @@
         Sockets.awaitAnswer(sockets.control, "GET /control/ready", "HTTP/1.1 200");
         assertThat(sockets.call("GET /control/fleet")).startsWith("HTTP/1.1 404");
         assertThat(sockets.call("GET /control/counters")).doesNotContain("app_fleet");
-        assertThat(Files.readString(loaded)).contains("dappleseam.proxy.Serve").doesNotContain("dappleseam.fleet").doesNotContain("dappleseam.proxy.InFleet")
+        assertThat(Files.readString(loaded)).contains("dappleseam.proxy.Serve").doesNotContain("dappleseam.fleet").doesNotContain("dappleseam.proxy.FleetMembership")
                 .doesNotContain("dataformat.cbor");
     }
 }
