--- a/src/test/java/dappleseam/proxy/FailingCalls.java
+++ b/src/test/java/dappleseam/proxy/FailingCalls.java
@@ -35,7 +35,7 @@
     static final int ETIMEDOUT = 110;
     static final int EHOSTUNREACH = 113;
 
-    /** Number of failures that never runs out. */
+    /** A failure count without a limit. */
     static final int ALWAYS = -1;
     private static final int INTS = 5;
     private static final int BYTES = Integer.BYTES * INTS;
--- a/src/test/java/dappleseam/proxy/ServeTest.java
+++ b/src/test/java/dappleseam/proxy/ServeTest.java
@@ -420,7 +420,7 @@
         assertThat(sockets.cache.told).anyMatch(t -> t.words().contains("closed") && t.from() == given.from());
     }
 
-    /** A write must not cross the node's own close of an idle connection. */
+    /** A write could cross the node's own close of an idle connection, so the proxy closes it first. */
     @Test
     void anIdleConnectionIsClosedBeforeTheNodeWould() throws Exception {
         Sockets.Client client = sockets.start(folder, ",\"idleCloseS\":2").client();
