--- a/src/main/java/dappleseam/control/FleetDesk.java
+++ b/src/main/java/dappleseam/control/FleetControl.java
@@ -1,13 +1,13 @@
 package dappleseam.control;
 
 /** The fleet requests of the control server; absent if the proxy is in no fleet. No call blocks. */
-public interface FleetDesk {
+public interface FleetControl {
     /** The fleet metrics in the Prometheus text format. */
-    String figures();
+    String metrics();
 
     /** This proxy's view of the fleet as JSON. */
-    String view();
+    String viewJson();
 
     /** Records that a member will not come back; false if the name is invalid. */
-    boolean hasEnded(String name);
+    boolean reportEnded(String name);
 }
--- a/src/main/java/dappleseam/control/Staff.java
+++ b/src/main/java/dappleseam/control/ServiceControl.java
@@ -1,13 +1,13 @@
 package dappleseam.control;
 
 /** The service requests of the control server. No call blocks. */
-public interface Staff {
+public interface ServiceControl {
     /** Whether the proxy accepts clients. */
     boolean isReady();
 
-    /** Sends clients away, until {@link #inService}. */
-    void outOfService();
+    /** Sends clients away, until {@link #returnToService}. */
+    void takeOutOfService();
 
     /** Accepts clients again. */
-    void inService();
+    void returnToService();
 }
--- a/src/main/java/dappleseam/diagnostics/ThreadTimes.java
+++ b/src/main/java/dappleseam/diagnostics/ThreadTimes.java
@@ -7,15 +7,15 @@
 
 /** CPU time and run-queue wait time of one thread, in ms since it started; from Linux' schedstat. */
 public record ThreadTimes(double ranMs, double waitedMs) {
-    private static final Path OF_CALLER = Path.of("/proc/thread-self/schedstat");
+    private static final Path SCHEDSTAT = Path.of("/proc/thread-self/schedstat");
     private static final double NANOS_PER_MS = 1e6;
     /** Returned where the system does not provide the figures. */
     private static final ThreadTimes UNKNOWN = new ThreadTimes(Double.NaN, Double.NaN);
 
     /** The times of the calling thread; NaN where the system does not provide them. */
-    public static ThreadTimes ofCaller() {
+    public static ThreadTimes ofCurrentThread() {
         try {
-            return parse(Files.readString(OF_CALLER, StandardCharsets.US_ASCII));
+            return parse(Files.readString(SCHEDSTAT, StandardCharsets.US_ASCII));
         } catch (IOException | RuntimeException e) {
             return UNKNOWN;
         }
--- a/src/main/java/dappleseam/proxy/Seats.java
+++ b/src/main/java/dappleseam/proxy/AddressLocks.java
@@ -14,47 +14,47 @@
  * Detects whether another process serves the same address, as during an upgrade. The process that came first locks the primary
  * file, the one that takes over the secondary file. The system releases the locks of a process however it dies.
  */
-final class Seats {
+final class AddressLocks {
     /** Descriptors used for the lock files. */
     static final int DESCRIPTORS = 3;
-    private static final Logger LOG = System.getLogger(Seats.class.getName());
+    private static final Logger LOG = System.getLogger(AddressLocks.class.getName());
     /** Version of the locking protocol, and name of the folder: incompatible versions of the program use separate files. */
     static final String VERSION = "dappleseam-seats-1";
 
     private final Path folder;
     private final String name;
     /** The lock files; null until they could be opened. */
-    private FileChannel first;
-    private FileChannel second;
+    private FileChannel primaryFile;
+    private FileChannel secondaryFile;
     /** Locked by the secondary process once it listens for clients. */
-    private FileChannel listens;
+    private FileChannel listeningFile;
     private boolean isListening;
-    private FileLock mine;
-    private FileLock listening;
-    private boolean isFirst;
-    private volatile boolean beside;
+    private FileLock ownLock;
+    private FileLock listeningLock;
+    private boolean isPrimary;
+    private volatile boolean hasOther;
 
-    private Seats(Path folder, String name) {
+    private AddressLocks(Path folder, String name) {
         this.folder = folder;
         this.name = name;
     }
 
     /** Tries to acquire a lock in that folder. If the folder cannot be used, the process assumes it is alone until a later refresh succeeds. */
-    static Seats take(Path folder, InetSocketAddress listen) {
-        Seats seats = new Seats(folder, name(listen));
-        seats.look();
-        if (seats.first == null) {
+    static AddressLocks acquire(Path folder, InetSocketAddress listen) {
+        AddressLocks locks = new AddressLocks(folder, name(listen));
+        locks.refresh();
+        if (locks.primaryFile == null) {
             LOG.log(Level.WARNING, "another process on this address would not be seen: {0} cannot be used", folder);
         }
-        return seats;
+        return locks;
     }
 
     private void openFiles() {
         try {
             Path at = Files.createDirectories(folder.resolve(VERSION));
-            second = second == null ? open(at.resolve(name + "-second")) : second;
-            listens = listens == null ? open(at.resolve(name + "-listens")) : listens;
-            first = open(at.resolve(name + "-first"));
+            secondaryFile = secondaryFile == null ? open(at.resolve(name + "-second")) : secondaryFile;
+            listeningFile = listeningFile == null ? open(at.resolve(name + "-listens")) : listeningFile;
+            primaryFile = open(at.resolve(name + "-first"));
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.DEBUG, "address locks: {0}", e.toString());
         }
@@ -66,8 +66,8 @@
     }
 
     /** Whether this process holds the primary lock. */
-    synchronized boolean isFirst() {
-        return isFirst;
+    synchronized boolean isPrimary() {
+        return isPrimary;
     }
 
     private static FileChannel open(Path file) throws IOException {
@@ -75,39 +75,39 @@
     }
 
     /** Updates the state of the locks, without blocking. */
-    synchronized void look() {
-        if (first == null) {
+    synchronized void refresh() {
+        if (primaryFile == null) {
             openFiles();
         }
-        if (first == null) {
+        if (primaryFile == null) {
             return;
         }
         try {
-            if (!isFirst) {
-                FileLock lock = first.tryLock();
+            if (!isPrimary) {
+                FileLock lock = primaryFile.tryLock();
                 if (lock != null) {
-                    isFirst = true;
-                    if (mine != null) {
-                        mine.release();
+                    isPrimary = true;
+                    if (ownLock != null) {
+                        ownLock.release();
                     }
-                    mine = lock;
-                    if (listening != null) {
-                        listening.release();
-                        listening = null;
+                    ownLock = lock;
+                    if (listeningLock != null) {
+                        listeningLock.release();
+                        listeningLock = null;
                     }
-                } else if (mine == null) {
-                    mine = second.tryLock(); // a third process holds neither, and tries again at the next refresh
+                } else if (ownLock == null) {
+                    ownLock = secondaryFile.tryLock(); // a third process holds neither, and tries again at the next refresh
                 }
             }
-            lockListening();
-            beside = !isFirst || isTaken(second);
+            acquireListeningLock();
+            hasOther = !isPrimary || isLocked(secondaryFile);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "address locks: {0}", e.toString());
         }
     }
 
-    private static boolean isTaken(FileChannel seat) throws IOException {
-        FileLock lock = seat.tryLock();
+    private static boolean isLocked(FileChannel lockFile) throws IOException {
+        FileLock lock = lockFile.tryLock();
         if (lock == null) {
             return true;
         }
@@ -116,30 +116,30 @@
     }
 
     /** Whether another process serves this address, or is about to. */
-    boolean areShared() {
-        return beside;
+    boolean isShared() {
+        return hasOther;
     }
 
     /** Records that this process listens for clients from now on. */
-    synchronized void listens() {
+    synchronized void markListening() {
         isListening = true;
         try {
-            lockListening();
+            acquireListeningLock();
         } catch (IOException | RuntimeException e) { // retried at the next refresh
             LOG.log(Level.WARNING, "address locks: {0}", e.toString());
         }
     }
 
-    private void lockListening() throws IOException {
-        if (isListening && listening == null && first != null && !isFirst) {
-            listening = listens.tryLock();
+    private void acquireListeningLock() throws IOException {
+        if (isListening && listeningLock == null && primaryFile != null && !isPrimary) {
+            listeningLock = listeningFile.tryLock();
         }
     }
 
     /** Whether the other process listens for clients, so that this one can hand them over. */
-    synchronized boolean otherListens() {
+    synchronized boolean isOtherListening() {
         try {
-            return first != null && isFirst && isTaken(listens);
+            return primaryFile != null && isPrimary && isLocked(listeningFile);
         } catch (IOException | RuntimeException e) {
             LOG.log(Level.WARNING, "address locks: {0}", e.toString());
             return false;
--- a/src/main/java/dappleseam/proxy/BackgroundLog.java
+++ b/src/main/java/dappleseam/proxy/AsyncLogHandler.java
@@ -16,22 +16,22 @@
 import java.util.logging.SimpleFormatter;
 
 /** Writes log lines to standard error on a thread of its own; lines are dropped while the queue is full. */
-final class BackgroundLog extends Handler {
-    private static final int MOST_LINES = 1000;
-    private static final BackgroundLog INSTANCE = new BackgroundLog();
+final class AsyncLogHandler extends Handler {
+    private static final int MAX_QUEUED_LINES = 1000;
+    private static final AsyncLogHandler INSTANCE = new AsyncLogHandler();
     /** A strong reference: java.util.logging holds loggers weakly, and would lose the level. */
-    private static final Logger LIBRARIES = Logger.getLogger("org");
+    private static final Logger LIBRARY_LOGGER = Logger.getLogger("org");
 
-    private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(MOST_LINES);
-    private final Formatter texts = new SimpleFormatter();
+    private final ArrayBlockingQueue<String> lines = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+    private final Formatter formatter = new SimpleFormatter();
 
-    private BackgroundLog() {}
+    private AsyncLogHandler() {}
 
     /** Replaces the handlers of java.util.logging, which System.Logger writes to. */
     static void start() {
         LogManager.getLogManager().reset();
         Logger.getLogger("").addHandler(INSTANCE);
-        LIBRARIES.setLevel(Level.WARNING);
+        LIBRARY_LOGGER.setLevel(Level.WARNING);
         Thread writer = new Thread(INSTANCE::write, "log");
         writer.setDaemon(true);
         writer.start();
@@ -49,8 +49,8 @@
     }
 
     /** Waits until all queued lines have been passed to the writer, for that long at most. */
-    static void written(long mostMs) {
-        long until = System.nanoTime() + mostMs * 1_000_000;
+    static void awaitWritten(long maxMs) {
+        long until = System.nanoTime() + maxMs * 1_000_000;
         try {
             while (!INSTANCE.lines.isEmpty() && System.nanoTime() < until) {
                 Thread.sleep(1);
@@ -66,7 +66,7 @@
         if (isLoggable(entry)) {
             StringWriter line = new StringWriter();
             line.append(entry.getInstant().toString()).append(' ').append(entry.getLevel().getName()).append(' ')
-                    .append(texts.formatMessage(entry)).append('\n');
+                    .append(formatter.formatMessage(entry)).append('\n');
             if (entry.getThrown() != null) {
                 entry.getThrown().printStackTrace(new PrintWriter(line));
             }
--- a/src/main/java/dappleseam/proxy/EventLoopMonitor.java
+++ b/src/main/java/dappleseam/proxy/EventLoopMonitor.java
@@ -11,7 +11,7 @@
 final class EventLoopMonitor {
     private static final Logger LOG = System.getLogger(EventLoopMonitor.class.getName());
     /** Lateness in ms from which a stall is logged. */
-    static final double HELD_UP_MS = 250;
+    static final double STALL_MS = 250;
     /** Interval in ms between samples of the thread's times while nothing is late. */
     private static final double SAMPLE_MS = 1000;
 
@@ -19,13 +19,13 @@
     private ThreadTimes sampled;
 
     /** Called when a wake-up that was due at {@code dueMs} is handled at {@code nowMs}. */
-    void fired(double dueMs, double nowMs) {
-        boolean isHeldUp = nowMs > dueMs + HELD_UP_MS;
-        if (!isHeldUp && nowMs < sampledAtMs + SAMPLE_MS) {
+    void wakeUpHandled(double dueMs, double nowMs) {
+        boolean isStalled = nowMs > dueMs + STALL_MS;
+        if (!isStalled && nowMs < sampledAtMs + SAMPLE_MS) {
             return;
         }
-        ThreadTimes times = ThreadTimes.ofCaller();
-        if (isHeldUp && sampled != null) {
+        ThreadTimes times = ThreadTimes.ofCurrentThread();
+        if (isStalled && sampled != null) {
             ThreadTimes spent = times.since(sampled);
             LOG.log(Level.WARNING, "the I/O thread is {0} ms late: of the last {1} ms it worked {2} and waited {3} for a processor", Math.round(nowMs - dueMs),
                     Math.round(nowMs - sampledAtMs), Math.round(spent.ranMs()), Math.round(spent.waitedMs()));
--- a/src/main/java/dappleseam/proxy/Nodes.java
+++ b/src/main/java/dappleseam/proxy/NodeTable.java
@@ -1,15 +1,15 @@
 package dappleseam.proxy;
 
-import dappleseam.list.Listed;
+import dappleseam.list.ListEntry;
 import dappleseam.list.NodeList;
 import dappleseam.origin.Origin;
 import dappleseam.query.Backend;
-import dappleseam.query.Connections;
-import dappleseam.query.Reuse;
+import dappleseam.query.ConnectionPolicy;
+import dappleseam.query.ReuseStats;
 import dappleseam.router.Member;
 import dappleseam.router.NodeId;
 import dappleseam.servers.CacheNode;
-import dappleseam.wire.Loop;
+import dappleseam.wire.IoLoop;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -18,36 +18,36 @@
 import java.util.Map;
 
 /** The nodes on the service list, each with the backend that connects to it. */
-final class Nodes {
-    private static final Logger LOG = System.getLogger(Nodes.class.getName());
+final class NodeTable {
+    private static final Logger LOG = System.getLogger(NodeTable.class.getName());
     /** Maximum number of nodes logged individually per list: enough for a fleet of ordinary size at its start. */
-    private static final int MOST_LOGGED = 40;
+    private static final int MAX_LOGGED_CHANGES = 40;
 
-    private final Loop loop;
+    private final IoLoop loop;
     private int originModel;
-    private Connections connections;
-    private final Map<NodeId, Peer> peers = new HashMap<>();
-    private long version;
+    private ConnectionPolicy policy;
+    private final Map<NodeId, ListedNode> nodes = new HashMap<>();
+    private long listVersion;
     /** Number of lists received so far. */
-    private long lists;
+    private long listCount;
     /** Whether the list has changed since it was last published. */
     private boolean hasChanged;
     /** The list as last published; read by other threads. */
-    private volatile NodeList last = new NodeList(0, true, List.of());
+    private volatile NodeList published = new NodeList(0, true, List.of());
     /** Number of changes logged for the list that is being applied. */
-    private int logged;
+    private int loggedChanges;
 
     /** A listed node and its backend. */
-    private static final class Peer {
-        final Listed entry;
+    private static final class ListedNode {
+        final ListEntry entry;
         final Backend backend;
         /** Number of the last list that contained it. */
-        long listedIn;
+        long lastListed;
 
-        Peer(Listed entry, Backend backend, long listedIn) {
+        ListedNode(ListEntry entry, Backend backend, long lastListed) {
             this.entry = entry;
             this.backend = backend;
-            this.listedIn = listedIn;
+            this.lastListed = lastListed;
         }
 
         InetSocketAddress endpoint() {
@@ -55,56 +55,56 @@
         }
     }
 
-    Nodes(Loop loop, int originModel, Connections connections) {
+    NodeTable(IoLoop loop, int originModel, ConnectionPolicy policy) {
         this.loop = loop;
         this.originModel = originModel;
-        this.connections = connections;
+        this.policy = policy;
     }
 
     /** Applies new settings to all backends. */
-    void limit(int newOriginModel, Connections newConnections) {
+    void setLimits(int newOriginModel, ConnectionPolicy newPolicy) {
         originModel = newOriginModel;
-        connections = newConnections;
-        peers.values().forEach(peer -> peer.backend.limit(connections));
+        policy = newPolicy;
+        nodes.values().forEach(listed -> listed.backend.setPolicy(policy));
     }
 
-    Reuse reuse() {
-        return connections.reuse();
+    ReuseStats reuse() {
+        return policy.reuseStats();
     }
 
     int count() {
-        return peers.size();
+        return nodes.size();
     }
 
     /** The node's backend; null if it is not listed. */
     Backend backend(NodeId node) {
-        Peer peer = peers.get(node);
-        return peer == null ? null : peer.backend;
+        ListedNode listed = nodes.get(node);
+        return listed == null ? null : listed.backend;
     }
 
     /** The full list as last published; thread-safe. */
-    NodeList lastList() {
-        return last;
+    NodeList publishedList() {
+        return published;
     }
 
     /** The full list as it is now. */
-    NodeList wholeList() {
-        return new NodeList(version, true, peers.values().stream().map(peer -> peer.entry).toList());
+    NodeList currentList() {
+        return new NodeList(listVersion, true, nodes.values().stream().map(listed -> listed.entry).toList());
     }
 
     /** Makes the current list visible to other threads. */
     void publish() {
         if (hasChanged) {
             hasChanged = false;
-            last = wholeList();
+            published = currentList();
         }
     }
 
     /** The ready caches with their start times in ms. */
     Map<NodeId, Double> readyCaches() {
         Map<NodeId, Double> caches = new HashMap<>();
-        peers.forEach((node, peer) -> {
-            Member member = peer.entry.member();
+        nodes.forEach((node, listed) -> {
+            Member member = listed.entry.member();
             if (member.state() == Member.State.READY && member.model() != originModel) {
                 caches.put(node, member.startedAtMs());
             }
@@ -113,49 +113,49 @@
     }
 
     /** Applies a full list or changes to the current one. */
-    void learn(NodeList list) {
-        version = list.version();
+    void apply(NodeList list) {
+        listVersion = list.version();
         hasChanged = true;
-        logged = 0;
-        lists++;
-        for (Listed entry : list.entries()) {
+        loggedChanges = 0;
+        listCount++;
+        for (ListEntry entry : list.entries()) {
             Member m = entry.member();
-            Peer peer = peers.get(m.node());
+            ListedNode listed = nodes.get(m.node());
             if (m.state() == Member.State.GONE) {
-                forget(m.node());
-            } else if (entry.endpoint() != null && (peer == null || !peer.entry.equals(entry))) {
-                know(entry, peer);
-            } else if (peer != null) {
-                peer.listedIn = lists;
+                removeNode(m.node());
+            } else if (entry.endpoint() != null && (listed == null || !listed.entry.equals(entry))) {
+                putNode(entry, listed);
+            } else if (listed != null) {
+                listed.lastListed = listCount;
             }
         }
-        if (list.whole()) {
-            peers.entrySet().stream().filter(e -> e.getValue().listedIn != lists).map(Map.Entry::getKey).toList().forEach(this::forget);
+        if (list.full()) {
+            nodes.entrySet().stream().filter(e -> e.getValue().lastListed != listCount).map(Map.Entry::getKey).toList().forEach(this::removeNode);
         }
-        if (logged > MOST_LOGGED) {
-            LOG.log(Level.INFO, "{0} more nodes have changed, {1} are listed", logged - MOST_LOGGED, peers.size());
+        if (loggedChanges > MAX_LOGGED_CHANGES) {
+            LOG.log(Level.INFO, "{0} more nodes have changed, {1} are listed", loggedChanges - MAX_LOGGED_CHANGES, nodes.size());
         }
     }
 
     /** Whether to log another change: logging all of a large fleet would take longer than applying its list. */
-    private boolean mayLog() {
-        return ++logged <= MOST_LOGGED;
+    private boolean shouldLog() {
+        return ++loggedChanges <= MAX_LOGGED_CHANGES;
     }
 
     /** Adds a node, or replaces one whose entry has changed. */
-    private void know(Listed entry, Peer before) {
+    private void putNode(ListEntry entry, ListedNode previous) {
         Member m = entry.member();
-        if (mayLog()) {
+        if (shouldLog()) {
             LOG.log(Level.INFO, "node {0} is {1} at {2}: {3}", entry.uid(), name(m.node()), entry.endpoint(), m.state());
         }
-        boolean stays = before != null && before.endpoint().equals(entry.endpoint());
-        if (before != null && !stays) {
-            before.backend.retire();
+        boolean sameEndpoint = previous != null && previous.endpoint().equals(entry.endpoint());
+        if (previous != null && !sameEndpoint) {
+            previous.backend.retire();
         }
-        Backend backend = stays ? before.backend : backend(m, entry.endpoint());
-        peers.put(m.node(), new Peer(entry, backend, lists));
+        Backend backend = sameEndpoint ? previous.backend : backend(m, entry.endpoint());
+        nodes.put(m.node(), new ListedNode(entry, backend, listCount));
         if (m.state() == Member.State.DRAINING) {
-            backend.endWaiting();
+            backend.failWaiting();
         }
     }
 
@@ -165,16 +165,16 @@
     }
 
     private Backend backend(Member m, InetSocketAddress endpoint) {
-        return m.model() == originModel ? new Origin(loop, endpoint, connections) : new CacheNode(loop, endpoint, connections);
+        return m.model() == originModel ? new Origin(loop, endpoint, policy) : new CacheNode(loop, endpoint, policy);
     }
 
-    private void forget(NodeId node) {
-        Peer peer = peers.remove(node);
-        if (peer != null) {
-            if (mayLog()) {
+    private void removeNode(NodeId node) {
+        ListedNode listed = nodes.remove(node);
+        if (listed != null) {
+            if (shouldLog()) {
                 LOG.log(Level.INFO, "node {0} has left the list", name(node));
             }
-            peer.backend.retire();
+            listed.backend.retire();
         }
     }
 }
--- a/src/main/java/dappleseam/proxy/Proxy.java
+++ b/src/main/java/dappleseam/proxy/Proxy.java
@@ -1,26 +1,26 @@
 package dappleseam.proxy;
 
-import dappleseam.clients.Owed;
-import dappleseam.clients.Queries;
-import dappleseam.control.Figures;
+import dappleseam.clients.PendingReply;
+import dappleseam.clients.QueryHandler;
+import dappleseam.control.Metrics;
 import dappleseam.list.ListReader;
 import dappleseam.list.ListWatch;
 import dappleseam.list.NodeList;
 import dappleseam.list.StartTimes;
 import dappleseam.query.Backend;
 import dappleseam.query.Command;
-import dappleseam.query.Connections;
-import dappleseam.query.Ending;
+import dappleseam.query.ConnectionPolicy;
+import dappleseam.query.ExecutionResult;
 import dappleseam.query.Execution;
-import dappleseam.query.Reached;
-import dappleseam.query.Reuse;
+import dappleseam.query.WriteProgress;
+import dappleseam.query.ReuseStats;
 import dappleseam.query.Slots;
 import dappleseam.query.Transfer;
-import dappleseam.router.Asking;
-import dappleseam.router.Deployment;
+import dappleseam.router.QueryRequest;
+import dappleseam.router.RouterSettings;
 import dappleseam.router.Host;
 import dappleseam.router.Key;
-import dappleseam.router.Learnt;
+import dappleseam.router.NodeHealth;
 import dappleseam.router.Member;
 import dappleseam.router.NodeId;
 import dappleseam.router.Outcome;
@@ -28,9 +28,9 @@
 import dappleseam.router.Router;
 import dappleseam.router.ServiceGrade;
 import dappleseam.router.TimerId;
-import dappleseam.site.Post;
-import dappleseam.site.Site;
-import dappleseam.wire.Loop;
+import dappleseam.site.ProxyConfig;
+import dappleseam.site.Settings;
+import dappleseam.wire.IoLoop;
 import java.io.IOException;
 import java.lang.System.Logger;
 import java.lang.System.Logger.Level;
@@ -47,145 +47,145 @@
  * Connects the router with clients and nodes: holds the open queries, carries out the router's decisions and reports events to it.
  * Runs on the I/O thread, except where a method says otherwise.
  */
-final class Proxy implements Host, Queries, Execution.Owner, Lookout.Whole {
+final class Proxy implements Host, QueryHandler, Execution.Listener, FleetObserver.ProxyCallbacks {
     private static final Logger LOG = System.getLogger(Proxy.class.getName());
     /** The reply to an aborted query. */
-    private static final String FAILED = "-ERR failed";
+    private static final String ABORT_REPLY = "-ERR failed";
     /** Number of recent query ids that are remembered: more than there can be open queries, and a busy proxy's queries of some seconds. */
-    private static final int IDS = 8 << 10;
+    private static final int MAX_REMEMBERED_IDS = 8 << 10;
     /** A time in ms in a client's command. */
-    private static final Pattern MS = Pattern.compile("\\d{1,7}(\\.\\d{1,6})?");
+    private static final Pattern MILLIS_PATTERN = Pattern.compile("\\d{1,7}(\\.\\d{1,6})?");
     /** A time in s in a client's command. */
-    private static final Pattern SECONDS = Pattern.compile("\\d{1,4}(\\.\\d{1,9})?");
+    private static final Pattern SECONDS_PATTERN = Pattern.compile("\\d{1,4}(\\.\\d{1,9})?");
     private static final double MS_PER_S = 1000;
     /** Margin in ms by which a reply is sent before the client stops waiting for it. */
-    private static final double LAST_HOP_MS = 10;
+    private static final double REPLY_MARGIN_MS = 10;
     /** Time in ms after a query's deadline at which it is aborted if the router has not answered it; a safety net for rule 1. */
-    private static final double FORGOTTEN_MS = 15;
+    private static final double ABORT_GRACE_MS = 15;
     /** Allowance in ms for a repeat's way to the node, taken off the nodes' deduplication window. */
-    private static final double WAY_MS = 20;
+    private static final double NETWORK_DELAY_MS = 20;
     /** Minimum interval in ms between log lines about failed executions: a failing node must not flood the log. */
-    private static final double ERRORS_APART_MS = 1000;
+    private static final double ERROR_LOG_INTERVAL_MS = 1000;
     /** Retry delay in ms sent when the table of open queries is full. */
-    private static final double TABLE_FULL_MS = 250;
+    private static final double TABLE_FULL_RETRY_MS = 250;
 
-    private final Loop loop;
-    private Site site;
-    private final Figures figures;
+    private final IoLoop loop;
+    private Settings settings;
+    private final Metrics metrics;
     private final Router router;
-    private ListReader lists;
-    private final ListWatch watch;
-    private final Nodes nodes;
+    private ListReader listReader;
+    private final ListWatch listWatch;
+    private final NodeTable nodes;
     private final StartTimes startTimes = new StartTimes();
-    private volatile List<Learnt> learnt = List.of();
-    private final Slots<Taken> queries = new Slots<>();
+    private volatile List<NodeHealth> nodeHealth = List.of();
+    private final Slots<PendingQuery> queries = new Slots<>();
     /** Ids of the latest queries, as given by the clients, oldest first; includes all open ones. */
-    private final Set<String> ids = new LinkedHashSet<>();
+    private final Set<String> recentIds = new LinkedHashSet<>();
     /** Events for the router, handled one after the other: its reaction to one may cause the next. */
-    private final ArrayDeque<Runnable> toTell = new ArrayDeque<>();
-    private boolean telling;
-    private boolean hasHeardList;
+    private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
+    private boolean isDispatching;
+    private boolean hasReceivedList;
     private boolean hasListFailed;
     /** Null if this proxy exchanges nothing with a fleet. */
-    private Lookout lookout;
+    private FleetObserver fleetObserver;
     /** The proxy count assigned by the fleet (total over this proxy's share); NaN if the settings' count applies. */
-    private double sharedBy = Double.NaN;
+    private double fleetProxyCount = Double.NaN;
     private double errorLoggedAt;
 
     /** An accepted query, until it is answered and its last execution has ended. */
-    private static final class Taken {
+    private static final class PendingQuery {
         final Command command;
-        final Owed owed;
-        final String grade;
+        final PendingReply reply;
+        final String gradeName;
         /** The grade's settings at the time it was accepted. */
-        final ServiceGrade rules;
-        final int mostExecutions;
-        final double quitAt;
-        final List<Sent> execs = new ArrayList<>(3);
-        Loop.Deadline forgotten;
+        final ServiceGrade serviceGrade;
+        final int maxExecutions;
+        final double clientDeadlineMs;
+        final List<SentExecution> executions = new ArrayList<>(3);
+        IoLoop.PendingTask abortTimer;
         boolean answered;
-        int out;
+        int openExecutions;
 
-        Taken(Command command, Owed owed, String grade, ServiceGrade rules, int mostExecutions, double quitAt) {
+        PendingQuery(Command command, PendingReply reply, String gradeName, ServiceGrade serviceGrade, int maxExecutions, double clientDeadlineMs) {
             this.command = command;
-            this.owed = owed;
-            this.grade = grade;
-            this.rules = rules;
-            this.mostExecutions = mostExecutions;
-            this.quitAt = quitAt;
+            this.reply = reply;
+            this.gradeName = gradeName;
+            this.serviceGrade = serviceGrade;
+            this.maxExecutions = maxExecutions;
+            this.clientDeadlineMs = clientDeadlineMs;
         }
     }
 
     /** An execution of a query; the backend is null if it was never sent to one. */
-    private record Sent(Execution execution, NodeId node, Backend backend, Loop.Deadline deadline) {
+    private record SentExecution(Execution execution, NodeId node, Backend backend, IoLoop.PendingTask timeout) {
         /** Cancels the execution if it has not been written whole, because its query is answered or its time to start has passed (rule 1). */
-        void takeBack() {
-            if (backend != null && !execution.hasEnded() && backend.takeBack(execution)) {
-                execution.end(Ending.of(Outcome.UNSENT));
+        void withdraw() {
+            if (backend != null && !execution.hasEnded() && backend.cancelUnsent(execution)) {
+                execution.end(ExecutionResult.of(Outcome.UNSENT));
             }
         }
     }
 
-    Proxy(Loop loop, Post post, Figures figures) throws IOException {
+    Proxy(IoLoop loop, ProxyConfig config, Metrics metrics) throws IOException {
         this.loop = loop;
-        this.figures = figures;
-        site = post.site();
-        figures.grades(site.gradeNames());
-        lists = new ListReader(site.machines(), site.zones());
-        NodeList known = post.known().isObject() ? lists.read(post.known()) : new NodeList(0, true, List.of());
-        SplittableRandom random = new SplittableRandom(post.seed()); // RandomGenerator's factory would look up all algorithms, which is slow
-        watch = new ListWatch(loop, post.listService(), lists, known.version(), this::news, this::listFailed,
-                this::againMs, random.split());
-        router = new Router(site.deployment(), random, this, loop.nowMs());
-        nodes = new Nodes(loop, site.deployment().originModel(), connections(site, new Reuse()));
-        nodes.learn(known);
-        List<Member> members = startTimes.ofFirst(known, loop.nowMs(), System.currentTimeMillis());
-        tell(() -> router.listGiven(loop.nowMs(), members, true));
+        this.metrics = metrics;
+        settings = config.settings();
+        metrics.setGrades(settings.gradeNames());
+        listReader = new ListReader(settings.modelNames(), settings.zones());
+        NodeList knownList = config.knownList().isObject() ? listReader.read(config.knownList()) : new NodeList(0, true, List.of());
+        SplittableRandom random = new SplittableRandom(config.seed()); // RandomGenerator's factory would look up all algorithms, which is slow
+        listWatch = new ListWatch(loop, config.listService(), listReader, knownList.version(), this::listReceived, this::listFailed,
+                this::listDelayMs, random.split());
+        router = new Router(settings.routerSettings(), random, this, loop.nowMs());
+        nodes = new NodeTable(loop, settings.routerSettings().originModel(), connectionPolicy(settings, new ReuseStats()));
+        nodes.apply(knownList);
+        List<Member> members = startTimes.adjustFirstList(knownList, loop.nowMs(), System.currentTimeMillis());
+        dispatch(() -> router.listReplaced(loop.nowMs(), members, true));
         if (isPushed()) {
-            watch.followAlways();
+            listWatch.watchPermanently();
         }
     }
 
-    private static Connections connections(Site site, Reuse reuse) {
+    private static ConnectionPolicy connectionPolicy(Settings settings, ReuseStats reuse) {
         // If executions may not run in parallel, cancelling one has to close its connection. Each execution then
         // gets a connection of its own, as the close would reset the others on a shared one.
-        boolean together = site.deployment().parallelExecutions();
-        boolean share = together && site.deployment().openPrice() > 0;
-        return new Connections(together ? site.commandsAtOnce() : 1, share, site.idleCloseMs(),
-                site.connectTimeoutMs(), !together, reuse);
+        boolean together = settings.routerSettings().parallelExecutions();
+        boolean share = together && settings.routerSettings().connectionPenalty() > 0;
+        return new ConnectionPolicy(together ? settings.maxCommandsPerConnection() : 1, share, settings.idleCloseMs(),
+                settings.connectTimeoutMs(), !together, reuse);
     }
 
     /** Whether the list is watched all the time; otherwise it is requested only when the router asks for it. */
     private boolean isPushed() {
-        return site.deployment().askEveryMs() == 0;
+        return settings.routerSettings().askEveryMs() == 0;
     }
 
     /** Applies a new configuration: its settings hold for later queries, and the list service may have moved. */
-    void reloaded(Post post) {
-        Site before = site;
-        site = post.site();
-        figures.grades(site.gradeNames());
-        nodes.limit(site.deployment().originModel(), connections(site, nodes.reuse()));
-        Deployment told = Double.isNaN(sharedBy) ? site.deployment() : site.deployment().sharedBy(sharedBy);
-        tell(() -> router.settingsChanged(loop.nowMs(), told));
-        if (!before.machines().equals(site.machines()) || !before.zones().equals(site.zones())) {
-            lists = new ListReader(site.machines(), site.zones());
-            watch.readAnew(lists);
-        }
-        watch.moveTo(post.listService());
+    void applyConfiguration(ProxyConfig config) {
+        Settings previous = settings;
+        settings = config.settings();
+        metrics.setGrades(settings.gradeNames());
+        nodes.setLimits(settings.routerSettings().originModel(), connectionPolicy(settings, nodes.reuse()));
+        RouterSettings effectiveSettings = Double.isNaN(fleetProxyCount) ? settings.routerSettings() : settings.routerSettings().withProxyCount(fleetProxyCount);
+        dispatch(() -> router.settingsChanged(loop.nowMs(), effectiveSettings));
+        if (!previous.modelNames().equals(settings.modelNames()) || !previous.zones().equals(settings.zones())) {
+            listReader = new ListReader(settings.modelNames(), settings.zones());
+            listWatch.refetchWith(listReader);
+        }
+        listWatch.moveTo(config.listService());
         if (isPushed()) {
-            watch.followAlways();
+            listWatch.watchPermanently();
         }
     }
 
     /** Called just before the first client is accepted. */
     void prepare() {
-        tell(router::prepare);
+        dispatch(router::prepare);
     }
 
     /** Whether the list service has answered since the start. */
-    boolean hasHeardList() {
-        return hasHeardList;
+    boolean hasReceivedList() {
+        return hasReceivedList;
     }
 
     /** Whether a request to the list service has failed since the start. */
@@ -194,176 +194,176 @@
     }
 
     /** The nodes' health as last published; thread-safe. */
-    List<Learnt> learnt() {
-        return learnt;
+    List<NodeHealth> nodeHealth() {
+        return nodeHealth;
     }
 
     /** Restores node health saved by another process or received from the fleet. */
-    void recall(List<Learnt> known) {
-        List<Learnt> ofProcesses = known.stream().map(one -> one.startedAt(startTimes.startedAtMs(one.node(), one.startedAtMs()))).toList();
-        tell(() -> router.recall(loop.nowMs(), ofProcesses));
+    void restoreNodeHealth(List<NodeHealth> saved) {
+        List<NodeHealth> current = saved.stream().map(health -> health.withStartedAt(startTimes.startedAtMs(health.node(), health.startedAtMs()))).toList();
+        dispatch(() -> router.restoreNodeHealth(loop.nowMs(), current));
     }
 
     /** Publishes what takes a pass over all nodes: node health, the list and the gauges. */
     void publish() {
-        learnt = router.learnt().stream().map(one -> one.startedAt(startTimes.bootMs(one.node()))).toList();
-        if (lookout != null) {
-            lookout.look(loop.nowMs(), learnt, nodes.readyCaches());
+        nodeHealth = router.nodeHealth().stream().map(health -> health.withStartedAt(startTimes.bootMs(health.node()))).toList();
+        if (fleetObserver != null) {
+            fleetObserver.update(loop.nowMs(), nodeHealth, nodes.readyCaches());
         }
         nodes.publish();
-        figures.list(nodes.count(), router.avoided(loop.nowMs()));
+        metrics.setNodeCounts(nodes.count(), router.unavailableCount(loop.nowMs()));
     }
 
     /** Sets the observer that is notified from now on. */
-    void tellOfCaches(Lookout to) {
-        lookout = to;
+    void setFleetObserver(FleetObserver observer) {
+        fleetObserver = observer;
     }
 
     @Override
-    public double proxies() {
-        return site.deployment().proxies();
+    public double configuredProxyCount() {
+        return settings.routerSettings().proxyCount();
     }
 
     @Override
-    public void stands(double proxies, double place) {
-        sharedBy = proxies;
-        tell(() -> router.toldOfFleet(proxies, place));
+    public void shareChanged(double proxyCount, double position) {
+        fleetProxyCount = proxyCount;
+        dispatch(() -> router.fleetShareChanged(proxyCount, position));
     }
 
     @Override
-    public void callIn(double ms) {
-        loop.at(loop.nowMs() + ms, watch::follow);
+    public void requestListIn(double afterMs) {
+        loop.scheduleAt(loop.nowMs() + afterMs, listWatch::startWatching);
     }
 
-    private double againMs(double ownMs) {
-        return lookout == null ? ownMs : lookout.listAgainMs(loop.nowMs(), ownMs);
+    private double listDelayMs(double defaultMs) {
+        return fleetObserver == null ? defaultMs : fleetObserver.listRetryDelayMs(loop.nowMs(), defaultMs);
     }
 
     /** Aborts all open queries: the process is about to end. */
     void abortAll() {
-        for (Taken taken : queries.all()) {
-            if (!taken.answered) {
-                answered(taken, Figures.End.FAILED);
-                taken.owed.line(FAILED);
+        for (PendingQuery pendingQuery : queries.all()) {
+            if (!pendingQuery.answered) {
+                markAnswered(pendingQuery, Metrics.QueryResult.FAILED);
+                pendingQuery.reply.replyLine(ABORT_REPLY);
             }
         }
     }
 
-    private void tell(Runnable event) {
-        toTell.add(event);
-        if (telling) {
+    private void dispatch(Runnable event) {
+        pendingEvents.add(event);
+        if (isDispatching) {
             return;
         }
-        telling = true;
+        isDispatching = true;
         try {
-            while (!toTell.isEmpty()) {
+            while (!pendingEvents.isEmpty()) {
                 try {
-                    toTell.poll().run();
+                    pendingEvents.poll().run();
                 } catch (RuntimeException e) { // the affected query is aborted at its deadline; the others go on
                     LOG.log(Level.ERROR, "the router failed", e);
                 }
             }
         } finally {
-            telling = false;
+            isDispatching = false;
         }
     }
 
-    private void news(NodeList list) {
+    private void listReceived(NodeList list) {
         double now = loop.nowMs();
-        boolean isFirst = !hasHeardList;
-        hasHeardList = true;
-        if (lookout != null) {
-            lookout.listCalled(loop.nowMs(), true);
+        boolean isFirst = !hasReceivedList;
+        hasReceivedList = true;
+        if (fleetObserver != null) {
+            fleetObserver.listRequestEnded(loop.nowMs(), true);
         }
-        nodes.learn(list);
+        nodes.apply(list);
         if (isFirst) { // evaluated together with the list from the configuration file
-            List<Member> all = startTimes.ofFirst(nodes.wholeList(), now, System.currentTimeMillis());
-            tell(() -> router.listGiven(loop.nowMs(), all, false));
+            List<Member> all = startTimes.adjustFirstList(nodes.currentList(), now, System.currentTimeMillis());
+            dispatch(() -> router.listReplaced(loop.nowMs(), all, false));
             return;
         }
-        List<Member> members = startTimes.of(list, now);
-        if (list.whole()) {
-            tell(() -> router.listGiven(loop.nowMs(), members, false));
+        List<Member> members = startTimes.adjustUpdate(list, now);
+        if (list.full()) {
+            dispatch(() -> router.listReplaced(loop.nowMs(), members, false));
         } else {
-            tell(() -> router.listChanged(loop.nowMs(), members));
+            dispatch(() -> router.listChanged(loop.nowMs(), members));
         }
     }
 
     private void listFailed(String cause) {
         hasListFailed = true;
         LOG.log(Level.WARNING, "list: a call failed: {0}", cause);
-        if (lookout != null) {
-            lookout.listCalled(loop.nowMs(), false);
+        if (fleetObserver != null) {
+            fleetObserver.listRequestEnded(loop.nowMs(), false);
         }
         if (!isPushed()) {
-            tell(() -> router.listFailed(loop.nowMs()));
+            dispatch(() -> router.listFailed(loop.nowMs()));
         }
     }
 
     /** The full list as last published; thread-safe. */
-    NodeList lastList() {
-        return nodes.lastList();
+    NodeList publishedList() {
+        return nodes.publishedList();
     }
 
     @Override
-    public QueryId take(Command command, Owed owed, double waitedMs) {
-        String named = command.fact("c");
-        int grade = site.gradeNames().indexOf(named);
-        double waits = waits(command, grade);
-        if (grade < 0 || waits <= 0) {
+    public QueryId submit(Command command, PendingReply reply, double waitedMs) {
+        String requestedGrade = command.fact("c");
+        int grade = settings.gradeNames().indexOf(requestedGrade);
+        double clientTimeoutMs = clientTimeoutMs(command, grade);
+        if (grade < 0 || clientTimeoutMs <= 0) {
             command.release();
-            figures.turnedAway(named, Figures.End.FAILED);
-            owed.line("-ERR malformed list of names and values");
+            metrics.queryRefused(requestedGrade, Metrics.QueryResult.FAILED);
+            reply.replyLine("-ERR malformed list of names and values");
             return null;
         }
-        if (queries.isFull(site.mostHeld())) {
-            reject(command, owed);
+        if (queries.isFull(settings.mostHeld())) {
+            reject(command, reply);
             return null;
         }
-        if (!ids.add(command.id())) { // nodes identify a query by its id, which another open or recent query uses
+        if (!recentIds.add(command.id())) { // nodes identify a query by its id, which another open or recent query uses
             command.release();
-            figures.turnedAway(named, Figures.End.FAILED);
-            owed.line("-ERR this id is in use");
+            metrics.queryRefused(requestedGrade, Metrics.QueryResult.FAILED);
+            reply.replyLine("-ERR this id is in use");
             return null;
         }
-        if (ids.size() > IDS) {
-            ids.remove(ids.iterator().next());
+        if (recentIds.size() > MAX_REMEMBERED_IDS) {
+            recentIds.remove(recentIds.iterator().next());
         }
-        double left = Math.max(1, waits - waitedMs - LAST_HOP_MS);
-        Taken taken = new Taken(command, owed, named, site.deployment().grades().get(grade), site.deployment().mostExecutions(),
-                loop.nowMs() + left);
-        figures.taken();
-        if (lookout != null) {
-            lookout.taken();
+        double leftMs = Math.max(1, clientTimeoutMs - waitedMs - REPLY_MARGIN_MS);
+        PendingQuery pendingQuery = new PendingQuery(command, reply, requestedGrade, settings.routerSettings().grades().get(grade), settings.routerSettings().mostExecutions(),
+                loop.nowMs() + leftMs);
+        metrics.queryAccepted();
+        if (fleetObserver != null) {
+            fleetObserver.queryAccepted();
         }
-        QueryId id = new QueryId(queries.put(taken));
-        taken.forgotten = loop.at(taken.quitAt + FORGOTTEN_MS, () -> forgotten(id));
-        tell(() -> router.query(loop.nowMs(), id, new Asking(grade, key(command.key()), taken.quitAt - loop.nowMs(),
-                workMs(command), command.isWrite(), command.fact("r").equals("1"))));
+        QueryId id = new QueryId(queries.put(pendingQuery));
+        pendingQuery.abortTimer = loop.scheduleAt(pendingQuery.clientDeadlineMs + ABORT_GRACE_MS, () -> abortOverdue(id));
+        dispatch(() -> router.query(loop.nowMs(), id, new QueryRequest(grade, parseKey(command.key()), pendingQuery.clientDeadlineMs - loop.nowMs(),
+                costEstimateMs(command), command.isWrite(), command.fact("r").equals("1"))));
         return id;
     }
 
     @Override
-    public void reject(Command command, Owed owed) {
+    public void reject(Command command, PendingReply reply) {
         command.release();
-        figures.turnedAway(command.fact("c"), Figures.End.REJECTED);
-        owed.busy(site.deployment().maxRetryAfterMs() > 0 ? TABLE_FULL_MS : 0);
+        metrics.queryRefused(command.fact("c"), Metrics.QueryResult.REJECTED);
+        reply.replyBusy(settings.routerSettings().maxRetryAfterMs() > 0 ? TABLE_FULL_RETRY_MS : 0);
     }
 
     /** The command's {@code d} in ms, limited to the statement timeout; -1 if it is missing or not a plain number. */
-    private double waits(Command command, int grade) {
+    private double clientTimeoutMs(Command command, int grade) {
         String text = command.fact("d");
-        return grade < 0 || !MS.matcher(text).matches() ? -1
-                : Math.min(Double.parseDouble(text), site.deployment().grades().get(grade).timeoutMs());
+        return grade < 0 || !MILLIS_PATTERN.matcher(text).matches() ? -1
+                : Math.min(Double.parseDouble(text), settings.routerSettings().grades().get(grade).timeoutMs());
     }
 
     /** The client's cost estimate, given in s, in ms; 0 if it is missing or invalid. */
-    private static double workMs(Command command) {
+    private static double costEstimateMs(Command command) {
         String text = command.fact("costGuessS");
-        return SECONDS.matcher(text).matches() ? MS_PER_S * Double.parseDouble(text) : 0;
+        return SECONDS_PATTERN.matcher(text).matches() ? MS_PER_S * Double.parseDouble(text) : 0;
     }
 
-    private static Key key(String text) {
+    private static Key parseKey(String text) {
         try {
             return new Key(Long.parseUnsignedLong(text, 16));
         } catch (NumberFormatException e) {
@@ -371,69 +371,69 @@
         }
     }
 
-    private void forgotten(QueryId id) {
-        Taken taken = queries.get(id.value());
-        if (taken != null && !taken.answered) {
-            LOG.log(Level.ERROR, "query {0} had no answer at its statement timeout", taken.command.id());
-            taken.owed.line(FAILED);
+    private void abortOverdue(QueryId id) {
+        PendingQuery pendingQuery = queries.get(id.value());
+        if (pendingQuery != null && !pendingQuery.answered) {
+            LOG.log(Level.ERROR, "query {0} had no answer at its statement timeout", pendingQuery.command.id());
+            pendingQuery.reply.replyLine(ABORT_REPLY);
             clientLeft(id);
         }
     }
 
     @Override
     public void clientLeft(QueryId id) {
-        Taken taken = queries.get(id.value());
-        if (taken != null && !taken.answered) {
-            answered(taken, Figures.End.FAILED);
-            tell(() -> router.clientLeft(loop.nowMs(), id));
-            tell(() -> freeIfOver(id, taken));
+        PendingQuery pendingQuery = queries.get(id.value());
+        if (pendingQuery != null && !pendingQuery.answered) {
+            markAnswered(pendingQuery, Metrics.QueryResult.FAILED);
+            dispatch(() -> router.clientLeft(loop.nowMs(), id));
+            dispatch(() -> releaseIfDone(id, pendingQuery));
         }
     }
 
-    private void answered(Taken taken, Figures.End how) {
-        figures.ended(taken.grade, how);
-        answered(taken);
+    private void markAnswered(PendingQuery pendingQuery, Metrics.QueryResult result) {
+        metrics.queryEnded(pendingQuery.gradeName, result);
+        markAnswered(pendingQuery);
     }
 
     /** Rule 1: executions that still wait for a connection, such as a second copy, are not sent after the answer. */
-    private static void answered(Taken taken) {
-        taken.answered = true;
-        taken.forgotten.callOff();
-        List.copyOf(taken.execs).forEach(Sent::takeBack);
+    private static void markAnswered(PendingQuery pendingQuery) {
+        pendingQuery.answered = true;
+        pendingQuery.abortTimer.cancelTask();
+        List.copyOf(pendingQuery.executions).forEach(SentExecution::withdraw);
     }
 
-    private void freeIfOver(QueryId id, Taken taken) {
-        if (taken.answered && taken.out == 0 && queries.get(id.value()) == taken) {
+    private void releaseIfDone(QueryId id, PendingQuery pendingQuery) {
+        if (pendingQuery.answered && pendingQuery.openExecutions == 0 && queries.get(id.value()) == pendingQuery) {
             queries.free(id.value());
-            taken.command.release();
+            pendingQuery.command.release();
         }
     }
 
     @Override
     public void execute(QueryId id, NodeId node, double timeoutMs) {
-        Taken taken = queries.get(id.value());
-        if (taken == null) {
+        PendingQuery pendingQuery = queries.get(id.value());
+        if (pendingQuery == null) {
             LOG.log(Level.ERROR, "an execution for an unknown query");
             return;
         }
         double now = loop.nowMs();
-        double until = timeoutMs == 0 ? taken.quitAt : Math.min(taken.quitAt, now + timeoutMs);
-        boolean clientIsHere = taken.execs.isEmpty() || taken.owed.isClientHere(); // the first one starts while its query is being read
-        Execution execution = new Execution(id, taken.execs.size(), taken.command, now, until, this);
+        double until = timeoutMs == 0 ? pendingQuery.clientDeadlineMs : Math.min(pendingQuery.clientDeadlineMs, now + timeoutMs);
+        boolean clientIsHere = pendingQuery.executions.isEmpty() || pendingQuery.reply.isClientConnected(); // the first one starts while its query is being read
+        Execution execution = new Execution(id, pendingQuery.executions.size(), pendingQuery.command, now, until, this);
         Backend backend = nodes.backend(node);
-        taken.out++;
-        if (!clientIsHere || taken.answered || backend == null || taken.execs.size() >= taken.mostExecutions) {
-            taken.execs.add(new Sent(execution, node, null, () -> { }));
-            execution.end(Ending.of(Outcome.UNSENT));
+        pendingQuery.openExecutions++;
+        if (!clientIsHere || pendingQuery.answered || backend == null || pendingQuery.executions.size() >= pendingQuery.maxExecutions) {
+            pendingQuery.executions.add(new SentExecution(execution, node, null, () -> { }));
+            execution.end(ExecutionResult.of(Outcome.UNSENT));
             return;
         }
-        Loop.Deadline deadline = loop.at(until, () -> timedOut(execution, backend));
-        double windowEnds = windowEnds(taken);
-        Sent sent = new Sent(execution, node, backend, deadline);
-        if (windowEnds < until) {
-            loop.at(windowEnds, sent::takeBack);
+        IoLoop.PendingTask timeout = loop.scheduleAt(until, () -> timeOut(execution, backend));
+        double deduplicationEndsAt = deduplicationEndsAt(pendingQuery);
+        SentExecution sent = new SentExecution(execution, node, backend, timeout);
+        if (deduplicationEndsAt < until) {
+            loop.scheduleAt(deduplicationEndsAt, sent::withdraw);
         }
-        taken.execs.add(sent);
+        pendingQuery.executions.add(sent);
         backend.begin(execution);
     }
 
@@ -441,97 +441,97 @@
      * The time by which a repeat has to be written whole: nodes deduplicate only for a limited time after the first execution, and
      * a repeat may have to wait for a connection. Infinite for grades without deduplication.
      */
-    private static double windowEnds(Taken taken) {
-        return taken.rules.repeat() != ServiceGrade.Repeat.DEDUPLICATED ? Double.POSITIVE_INFINITY
-                : taken.execs.stream().filter(s -> s.execution.mayHaveRun()).mapToDouble(s -> s.execution.sentAt).min()
-                        .orElse(Double.POSITIVE_INFINITY) + taken.rules.windowMs() - WAY_MS;
+    private static double deduplicationEndsAt(PendingQuery pendingQuery) {
+        return pendingQuery.serviceGrade.semantics() != ServiceGrade.Semantics.DEDUPLICATED ? Double.POSITIVE_INFINITY
+                : pendingQuery.executions.stream().filter(s -> s.execution.mayHaveRun()).mapToDouble(s -> s.execution.sentAt).min()
+                        .orElse(Double.POSITIVE_INFINITY) + pendingQuery.serviceGrade.dedupWindowMs() - NETWORK_DELAY_MS;
     }
 
     @Override
     public boolean mayBegin(Execution execution) {
-        Taken taken = queries.get(execution.query.value());
+        PendingQuery pendingQuery = queries.get(execution.query.value());
         double now = loop.nowMs();
-        return taken != null && !taken.answered && now < execution.waitUntil && taken.owed.isClientHere() && !taken.answered;
+        return pendingQuery != null && !pendingQuery.answered && now < execution.deadlineMs && pendingQuery.reply.isClientConnected() && !pendingQuery.answered;
     }
 
     @Override
     public void written(Execution execution) {
-        figures.executed();
+        metrics.executionSent();
     }
 
-    private void timedOut(Execution execution, Backend backend) {
-        Reached reached = backend.giveUp(execution);
-        execution.end(Ending.of(reached == Reached.WHOLE ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED));
+    private void timeOut(Execution execution, Backend backend) {
+        WriteProgress progress = backend.stopWaiting(execution);
+        execution.end(ExecutionResult.of(progress == WriteProgress.COMPLETE ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED));
     }
 
     @Override
     public void cancel(QueryId id, int number) {
-        Taken taken = queries.get(id.value());
-        if (taken != null && !taken.execs.get(number).execution.hasEnded()) {
-            Sent sent = taken.execs.get(number);
-            Reached reached = sent.backend.giveUp(sent.execution);
-            sent.execution.end(Ending.of(reached == Reached.WHOLE ? Outcome.CANCELLED : Outcome.UNSENT));
+        PendingQuery pendingQuery = queries.get(id.value());
+        if (pendingQuery != null && !pendingQuery.executions.get(number).execution.hasEnded()) {
+            SentExecution sent = pendingQuery.executions.get(number);
+            WriteProgress progress = sent.backend.stopWaiting(sent.execution);
+            sent.execution.end(ExecutionResult.of(progress == WriteProgress.COMPLETE ? Outcome.CANCELLED : Outcome.UNSENT));
         }
     }
 
     @Override
-    public void ended(Execution execution, Ending ending) {
-        Taken taken = queries.get(execution.query.value());
-        taken.execs.get(execution.number).deadline.callOff();
-        double took = loop.nowMs() - execution.sentAt;
-        if (lookout != null) {
-            tellOf(taken.execs.get(execution.number).node, execution.sentAt, took, ending.outcome());
-        }
-        if (ending.outcome() == Outcome.COMPLETED) {
-            if (taken.answered) {
-                ending.release();
-            } else if (ending.transfer() == null) {
-                answered(taken, Figures.End.COMPLETED);
-                taken.owed.value(ending.value());
+    public void ended(Execution execution, ExecutionResult executionResult) {
+        PendingQuery pendingQuery = queries.get(execution.query.value());
+        pendingQuery.executions.get(execution.number).timeout.cancelTask();
+        double tookMs = loop.nowMs() - execution.sentAt;
+        if (fleetObserver != null) {
+            reportOutcome(pendingQuery.executions.get(execution.number).node, execution.sentAt, tookMs, executionResult.outcome());
+        }
+        if (executionResult.outcome() == Outcome.COMPLETED) {
+            if (pendingQuery.answered) {
+                executionResult.release();
+            } else if (executionResult.transfer() == null) {
+                markAnswered(pendingQuery, Metrics.QueryResult.COMPLETED);
+                pendingQuery.reply.replyValue(executionResult.value());
             } else { // the reply starts with the first bytes; the query ends once the client has the last
-                answered(taken);
-                Transfer transfer = ending.transfer();
-                transfer.into(taken.owed::more, () -> figures.ended(taken.grade,
-                        transfer.isDone() ? Figures.End.COMPLETED : Figures.End.FAILED));
-                taken.owed.begun(transfer);
+                markAnswered(pendingQuery);
+                Transfer transfer = executionResult.transfer();
+                transfer.connect(pendingQuery.reply::transferAdvanced, () -> metrics.queryEnded(pendingQuery.gradeName,
+                        transfer.isDone() ? Metrics.QueryResult.COMPLETED : Metrics.QueryResult.FAILED));
+                pendingQuery.reply.replyTransfer(transfer);
             }
-        } else if (ending.outcome() == Outcome.ERRED && loop.nowMs() > errorLoggedAt + ERRORS_APART_MS) {
+        } else if (executionResult.outcome() == Outcome.ERRED && loop.nowMs() > errorLoggedAt + ERROR_LOG_INTERVAL_MS) {
             errorLoggedAt = loop.nowMs();
-            LOG.log(Level.WARNING, "execution ended ERRED: {0}", ending.cause());
+            LOG.log(Level.WARNING, "execution ended ERRED: {0}", executionResult.cause());
         }
-        tell(() -> {
-            router.executionEnded(loop.nowMs(), execution.query, execution.number, ending.outcome(), took,
-                    taken.answered);
-            taken.out--;
-            freeIfOver(execution.query, taken);
+        dispatch(() -> {
+            router.executionEnded(loop.nowMs(), execution.query, execution.number, executionResult.outcome(), tookMs,
+                    pendingQuery.answered);
+            pendingQuery.openExecutions--;
+            releaseIfDone(execution.query, pendingQuery);
         });
     }
 
-    private void tellOf(NodeId node, double sentAt, double took, Outcome outcome) {
+    private void reportOutcome(NodeId node, double sentAt, double tookMs, Outcome outcome) {
         switch (outcome) {
-            case COMPLETED, MISS, FULL -> lookout.heard(node, loop.nowMs(), took);
-            case TIMED_OUT, CANCELLED -> lookout.unanswered(node, sentAt, loop.nowMs(), took);
-            case CONNECT_FAILED -> lookout.unanswered(node, sentAt, loop.nowMs(), Double.POSITIVE_INFINITY);
+            case COMPLETED, MISS, FULL -> fleetObserver.cacheAnswered(node, loop.nowMs(), tookMs);
+            case TIMED_OUT, CANCELLED -> fleetObserver.unanswered(node, sentAt, loop.nowMs(), tookMs);
+            case CONNECT_FAILED -> fleetObserver.unanswered(node, sentAt, loop.nowMs(), Double.POSITIVE_INFINITY);
             default -> { } // says something about the connection or this proxy, not about the node
         }
     }
 
     @Override
     public void reject(QueryId id, double retryAfterMs) {
-        answer(id, Figures.End.REJECTED, owed -> owed.busy(retryAfterMs));
+        finish(id, Metrics.QueryResult.REJECTED, reply -> reply.replyBusy(retryAfterMs));
     }
 
     @Override
     public void abort(QueryId id) {
-        answer(id, Figures.End.FAILED, owed -> owed.line(FAILED));
+        finish(id, Metrics.QueryResult.FAILED, reply -> reply.replyLine(ABORT_REPLY));
     }
 
-    private void answer(QueryId id, Figures.End how, Consumer<Owed> last) {
-        Taken taken = queries.get(id.value());
-        if (taken != null && !taken.answered) {
-            answered(taken, how);
-            last.accept(taken.owed);
-            tell(() -> freeIfOver(id, taken));
+    private void finish(QueryId id, Metrics.QueryResult result, Consumer<PendingReply> send) {
+        PendingQuery pendingQuery = queries.get(id.value());
+        if (pendingQuery != null && !pendingQuery.answered) {
+            markAnswered(pendingQuery, result);
+            send.accept(pendingQuery.reply);
+            dispatch(() -> releaseIfDone(id, pendingQuery));
         }
     }
 
@@ -545,17 +545,17 @@
 
     @Override
     public void followList() {
-        double inMs = againMs(0);
-        if (inMs > 0) {
-            callIn(inMs);
+        double retryDelayMs = listDelayMs(0);
+        if (retryDelayMs > 0) {
+            requestListIn(retryDelayMs);
         } else {
-            watch.follow();
+            listWatch.startWatching();
         }
     }
 
     @Override
-    public void wake(TimerId timer, double delayMs) {
-        loop.at(loop.nowMs() + delayMs, () -> tell(() -> router.woken(loop.nowMs(), timer)));
+    public void startTimer(TimerId timer, double delayMs) {
+        loop.scheduleAt(loop.nowMs() + delayMs, () -> dispatch(() -> router.timerFired(loop.nowMs(), timer)));
     }
 
     @Override
--- a/src/main/java/dappleseam/proxy/Shutdown.java
+++ b/src/main/java/dappleseam/proxy/Shutdown.java
@@ -1,7 +1,7 @@
 package dappleseam.proxy;
 
-import dappleseam.clients.ClientFront;
-import dappleseam.wire.Loop;
+import dappleseam.clients.ClientFrontend;
+import dappleseam.wire.IoLoop;
 
 /**
  * A graceful shutdown, as a sequence of states on the I/O thread. Connected clients are served until shortly before the platform would kill the
@@ -23,40 +23,40 @@
     }
 
     /** Time in ms after SIGTERM until no more connections are accepted, and interval in ms between steps. */
-    private static final double ACCEPT_MORE_MS = 450;
-    private static final double LOOK_AGAIN_MS = 10;
+    private static final double ACCEPT_DURATION_MS = 450;
+    private static final double POLL_INTERVAL_MS = 10;
     /** Times in ms before the kill at which idle clients are closed, open queries are aborted, and reading stops. */
     private static final double CLOSE_LEAD_MS = 350;
     private static final double ABORT_LEAD_MS = 200;
     private static final double END_LEAD_MS = 100;
     /** Rounds of aborting and closing per step: a query that is read while a connection closes is answered in the next round. */
-    private static final int ROUNDS = 4;
+    private static final int ABORT_ROUNDS = 4;
 
-    private final Loop loop;
-    private final ClientFront front;
+    private final IoLoop loop;
+    private final ClientFrontend front;
     private final Runnable abortAll;
-    private final Runnable whenEnded;
+    private final Runnable onEnded;
     /** When the platform may kill the process. */
     private double killAt;
     /** When the process received SIGTERM; NaN before. */
-    private double beganAt = Double.NaN;
+    private double signalledAt = Double.NaN;
     private State state = State.ACCEPTING;
 
     /** Created at the start, as loading the class at shutdown would use up time before the kill. {@code abortAll} answers all open queries. */
-    Shutdown(Loop loop, ClientFront front, Runnable abortAll, Runnable whenEnded) {
+    Shutdown(IoLoop loop, ClientFrontend front, Runnable abortAll, Runnable onEnded) {
         this.loop = loop;
         this.front = front;
         this.abortAll = abortAll;
-        this.whenEnded = whenEnded;
+        this.onEnded = onEnded;
     }
 
     /**
      * Starts the shutdown. SIGTERM came {@code signalledMsAgo}, and the kill follows {@code killAfterMs} after the signal. With {@code handOver}
      * another process takes the clients, and this one closes its connections as they become idle.
      */
-    void begin(boolean handOver, double toldMsAgo, double killAfterMs) {
-        beganAt = loop.nowMs() - toldMsAgo;
-        killAt = beganAt + killAfterMs;
+    void begin(boolean handOver, double signalledMsAgo, double killAfterMs) {
+        signalledAt = loop.nowMs() - signalledMsAgo;
+        killAt = signalledAt + killAfterMs;
         if (handOver) {
             front.handOver();
             state = State.CLOSING;
@@ -65,18 +65,18 @@
     }
 
     /** Brings the kill forward to that time after SIGTERM if it is earlier than known so far, after a change of settings. */
-    void killWithin(double killAfterMs) {
-        if (!Double.isNaN(beganAt)) {
-            killAt = Math.min(killAt, beganAt + killAfterMs);
+    void shortenKillDelay(double killAfterMs) {
+        if (!Double.isNaN(signalledAt)) {
+            killAt = Math.min(killAt, signalledAt + killAfterMs);
         }
     }
 
     private void step() {
-        State due = due();
-        if (state == State.ACCEPTING && due != State.ACCEPTING) {
+        State next = dueState();
+        if (state == State.ACCEPTING && next != State.ACCEPTING) {
             front.stopListening();
         }
-        state = due;
+        state = next;
         switch (state) {
             case CLOSING -> front.closeIdle();
             case ABORTING -> abortAndClose();
@@ -85,16 +85,16 @@
         if (state == State.ENDED || state != State.ACCEPTING && !front.hasClients() && !front.isListening()) {
             end();
         } else {
-            loop.at(loop.nowMs() + LOOK_AGAIN_MS, this::step);
+            loop.scheduleAt(loop.nowMs() + POLL_INTERVAL_MS, this::step);
         }
     }
 
-    private State due() {
+    private State dueState() {
         double now = loop.nowMs();
         State byTime = now >= killAt - END_LEAD_MS ? State.ENDED
                 : now >= killAt - ABORT_LEAD_MS ? State.ABORTING
                 : now >= killAt - CLOSE_LEAD_MS ? State.CLOSING
-                : now >= beganAt + ACCEPT_MORE_MS ? State.SERVING : State.ACCEPTING;
+                : now >= signalledAt + ACCEPT_DURATION_MS ? State.SERVING : State.ACCEPTING;
         return byTime.compareTo(state) > 0 ? byTime : state;
     }
 
@@ -103,7 +103,7 @@
      * at once, and a query read between the last answer and the end would be lost.
      */
     private void abortAndClose() {
-        for (int i = 0; i < ROUNDS; i++) {
+        for (int i = 0; i < ABORT_ROUNDS; i++) {
             abortAll.run();
             front.closeIdle();
         }
@@ -111,8 +111,8 @@
 
     private void end() {
         state = State.ENDED;
-        front.takeNoMore(); // first, as queries that this reads are aborted with the rest
+        front.stopReading(); // first, as queries that this reads are aborted with the rest
         abortAll.run();
-        whenEnded.run();
+        onEnded.run();
     }
 }
--- a/src/test/java/dappleseam/proxy/EventLoopTest.java
+++ b/src/test/java/dappleseam/proxy/EventLoopTest.java
@@ -29,28 +29,28 @@
 
 class EventLoopTest {
     private static final int DIALS = 20_000;
-    private static final int AT_ONCE = 64;
+    private static final int CONCURRENT_DIALS = 64;
     private static final int CLOSERS = 5;
 
     /** A late thread, as right after a start, has to read pending answers before it runs timeouts; otherwise nodes that answered count as silent. */
     @Test
-    void aThreadThatIsLateReadsBeforeItJudges() throws Exception {
+    void lateThreadReadsBeforeItRunsDeadlines() throws Exception {
         BlockingQueue<String> happened = new LinkedBlockingQueue<>();
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         worker.getIoThread().execute(() -> {
             try {
                 EventLoop loop = new EventLoop(worker.getIoThread(), new BufferPool(8), 1);
                 ChannelPipe<StreamConnection, StreamConnection> pipe = worker.getIoThread().createFullDuplexPipeConnection();
-                loop.link(pipe.getLeftSide(), new Link.Events() {
+                loop.createLink(pipe.getLeftSide(), new Link.Listener() {
                     @Override
                     public void received(ByteBuffer bytes) {
                         happened.add("read");
                     }
 
                     @Override
-                    public void ended(String cause) {}
+                    public void disconnected(String cause) {}
                 }).resume();
-                loop.at(loop.nowMs() + 5, () -> happened.add("due"));
+                loop.scheduleAt(loop.nowMs() + 5, () -> happened.add("due"));
                 pipe.getRightSide().getSinkChannel().write(ByteBuffer.wrap(new byte[1]));
                 Thread.sleep(50);
             } catch (IOException | InterruptedException e) {
@@ -64,17 +64,17 @@
 
     /** Connections close on other threads while the loop opens new ones: a count that drifts leads to no connections or too many. */
     @Test
-    void theCountOfConnectionsHoldsWhileOthersCloseThem() throws Exception {
+    void connectionCountHoldsWhileOtherThreadsClose() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         ExecutorService closers = Executors.newFixedThreadPool(CLOSERS);
-        try (ServerSocket peer = new ServerSocket(0, AT_ONCE, InetAddress.getLoopbackAddress())) {
+        try (ServerSocket peer = new ServerSocket(0, CONCURRENT_DIALS, InetAddress.getLoopbackAddress())) {
             closers.execute(() -> acceptAll(peer));
-            EventLoop loop = new EventLoop(worker.getIoThread(), new BufferPool(8), AT_ONCE + 1);
+            EventLoop loop = new EventLoop(worker.getIoThread(), new BufferPool(8), CONCURRENT_DIALS + 1);
             CountDownLatch closed = new CountDownLatch(DIALS);
-            Semaphore room = new Semaphore(AT_ONCE);
+            Semaphore room = new Semaphore(CONCURRENT_DIALS);
             for (int i = 0; i < DIALS; i++) {
                 assertThat(room.tryAcquire(20, TimeUnit.SECONDS)).as("room for connection %d", i).isTrue();
-                worker.getIoThread().execute(() -> loop.dial((InetSocketAddress) peer.getLocalSocketAddress(), 10_000, connection -> closers.execute(() -> {
+                worker.getIoThread().execute(() -> loop.connect((InetSocketAddress) peer.getLocalSocketAddress(), 10_000, connection -> closers.execute(() -> {
                     IoUtils.safeClose(connection);
                     room.release();
                     closed.countDown();
@@ -86,10 +86,10 @@
             assertThat(closed.await(20, TimeUnit.SECONDS)).isTrue();
             CompletableFuture<List<Boolean>> counts = new CompletableFuture<>();
             worker.getIoThread().execute(() -> {
-                loop.limitDialled(2);
-                boolean mayDialOne = loop.mayDial();
-                loop.limitDialled(1);
-                counts.complete(List.of(mayDialOne, loop.mayDial()));
+                loop.limitConnections(2);
+                boolean mayDialOne = loop.mayConnect();
+                loop.limitConnections(1);
+                counts.complete(List.of(mayDialOne, loop.mayConnect()));
             });
             assertThat(counts.get(20, TimeUnit.SECONDS)).as("exactly one more connection is allowed").containsExactly(true, false);
         } finally {
--- a/src/test/java/dappleseam/proxy/FailingCalls.java
+++ b/src/test/java/dappleseam/proxy/FailingCalls.java
@@ -36,10 +36,10 @@
     static final int EHOSTUNREACH = 113;
 
     /** A failure count without a limit. */
-    static final int ALWAYS = -1;
-    private static final int INTS = 5;
-    private static final int BYTES = Integer.BYTES * INTS;
-    private static final int BUILD_S = 60;
+    static final int UNLIMITED = -1;
+    private static final int INTS_PER_RULE = 5;
+    private static final int RULE_BYTES = Integer.BYTES * INTS_PER_RULE;
+    private static final int BUILD_TIMEOUT_S = 60;
 
     private final Path library;
     private final Path file;
@@ -50,9 +50,9 @@
         file = folder.resolve("failing_calls");
         Process build = new ProcessBuilder("cc", "-shared", "-fPIC", "-O1", "-o", library.toString(), "src/test/c/failing_calls.c", "-ldl")
                 .inheritIO().start();
-        assertThat(build.waitFor(BUILD_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(build.waitFor(BUILD_TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
         assertThat(build.exitValue()).as("exit status of the C compiler").isZero();
-        Files.write(file, new byte[BYTES * Call.values().length]);
+        Files.write(file, new byte[RULE_BYTES * Call.values().length]);
         try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             rules = channel.map(FileChannel.MapMode.READ_WRITE, 0, channel.size());
         }
@@ -60,14 +60,14 @@
     }
 
     /** Adds the variables that load the library to a program's environment. */
-    void into(Map<String, String> environment) {
+    void addTo(Map<String, String> environment) {
         environment.put("LD_PRELOAD", library.toString());
         environment.put("FAILING_CALLS", file.toString());
     }
 
     /** From now on every nth call of a kind fails, that many times. */
     void fail(Call call, int error, int every, int times) {
-        ByteBuffer rule = rules.slice(call.ordinal() * BYTES, BYTES).order(ByteOrder.nativeOrder());
+        ByteBuffer rule = rules.slice(call.ordinal() * RULE_BYTES, RULE_BYTES).order(ByteOrder.nativeOrder());
         rule.putInt(2 * Integer.BYTES, 0); // off while the rule changes
         rule.putInt(0, error);
         rule.putInt(Integer.BYTES, every);
@@ -80,7 +80,7 @@
     }
 
     /** How many calls of a kind have failed. */
-    int failed(Call call) {
-        return rules.getInt(call.ordinal() * BYTES + (INTS - 1) * Integer.BYTES);
+    int failedCount(Call call) {
+        return rules.getInt(call.ordinal() * RULE_BYTES + (INTS_PER_RULE - 1) * Integer.BYTES);
     }
 }
--- a/src/test/java/dappleseam/proxy/InFleetTest.java
+++ b/src/test/java/dappleseam/proxy/FleetMembershipTest.java
@@ -1,14 +1,14 @@
 package dappleseam.proxy;
 
-import static dappleseam.proxy.Sockets.hit;
+import static dappleseam.proxy.ServeFixture.hit;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dappleseam.Main;
-import dappleseam.fleet.membership.Life;
+import dappleseam.fleet.membership.Generation;
 import dappleseam.fleet.membership.MemberName;
-import dappleseam.fleet.membership.Notice;
-import dappleseam.fleet.peers.Envelope;
-import dappleseam.fleet.peers.Letter;
+import dappleseam.fleet.membership.MemberEntry;
+import dappleseam.fleet.peers.MessageCodec;
+import dappleseam.fleet.peers.FleetMessage;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -29,29 +29,29 @@
 import picocli.CommandLine;
 
 /** The program as a member of a fleet: configuration, status and invalid input; and without a fleet. */
-class InFleetTest {
+class FleetMembershipTest {
     @TempDir
     Path folder;
-    private Sockets sockets;
-    private int bind;
+    private ServeFixture fixture;
+    private int fleetPort;
 
     @BeforeEach
     void prepare() throws Exception {
-        sockets = new Sockets();
-        sockets.control = Sockets.freePort();
+        fixture = new ServeFixture();
+        fixture.controlPort = ServeFixture.freePort();
         try (DatagramSocket free = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            bind = free.getLocalPort();
+            fleetPort = free.getLocalPort();
         }
-        sockets.command = "serve --fleet " + fleet("");
+        fixture.command = "serve --fleet " + writeFleetFile("");
     }
 
     @AfterEach
     void end() throws Exception {
-        sockets.close();
+        fixture.close();
     }
 
-    private Path fleet(String more) throws IOException {
-        return Files.writeString(folder.resolve("fleet.json"), "{\"fleet\":\"f\",\"bind\":\"127.0.0.1:" + bind + "\",\"period_ms\":100" + more + "}");
+    private Path writeFleetFile(String more) throws IOException {
+        return Files.writeString(folder.resolve("fleet.json"), "{\"fleet\":\"f\",\"bind\":\"127.0.0.1:" + fleetPort + "\",\"period_ms\":100" + more + "}");
     }
 
     private static String fleetCommand(String... args) {
@@ -67,25 +67,25 @@
     }
 
     @Test
-    void theDoorAndTheSubCommandShowTheView() throws Exception {
-        sockets.start(folder, "").client();
-        Sockets.awaitAnswer(sockets.control, "GET /control/counters", "app_fleet_joined 1\n");
-        assertThat(sockets.call("GET /control/counters")).contains("app_fleet_members{state=\"alive\"} 1\n", "app_fleet_counted 1\n",
+    void controlServerAndSubcommandShowTheView() throws Exception {
+        fixture.start(folder, "").client();
+        ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/counters", "app_fleet_joined 1\n");
+        assertThat(fixture.request("GET /control/counters")).contains("app_fleet_members{state=\"alive\"} 1\n", "app_fleet_counted 1\n",
                 "app_fleet_standing{kind=\"starting\"} 1\n");
-        assertThat(sockets.call("GET /control/fleet")).contains("\"standing\":\"starting\"", "\"name\":\"p\"");
-        assertThat(sockets.call("POST /control/fleet/ended/x")).startsWith("HTTP/1.1 200");
-        assertThat(sockets.call("POST /control/fleet/ended/x!")).startsWith("HTTP/1.1 400");
-        assertThat(fleetCommand("fleet", "127.0.0.1:" + sockets.control)).startsWith("0 p: status starting").contains("alive    p ");
+        assertThat(fixture.request("GET /control/fleet")).contains("\"standing\":\"starting\"", "\"name\":\"p\"");
+        assertThat(fixture.request("POST /control/fleet/ended/x")).startsWith("HTTP/1.1 200");
+        assertThat(fixture.request("POST /control/fleet/ended/x!")).startsWith("HTTP/1.1 400");
+        assertThat(fleetCommand("fleet", "127.0.0.1:" + fixture.controlPort)).startsWith("0 p: status starting").contains("alive    p ");
     }
 
     /** Thousands of invalid datagrams are counted by kind and have no other effect; queries are answered meanwhile. */
     @Test
     void garbageIsCountedAndQueriesGoOn() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
-        Sockets.awaitAnswer(sockets.control, "GET /control/counters", "app_fleet_joined 1\n");
+        ServeFixture.Client client = fixture.start(folder, "").client();
+        ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/counters", "app_fleet_joined 1\n");
         SplittableRandom random = new SplittableRandom(1);
-        Notice self = new Notice(new MemberName("x"), new InetSocketAddress("127.0.0.1", 9), new Life(1, 1), 0, Notice.State.ALIVE, 0);
-        byte[] sound = new Envelope("f").write(new Letter(Letter.Kind.NACK, self, 1, null, null, List.of(), false, null));
+        MemberEntry self = new MemberEntry(new MemberName("x"), new InetSocketAddress("127.0.0.1", 9), new Generation(1, 1), 0, MemberEntry.State.ALIVE, 0);
+        byte[] sound = new MessageCodec("f").encode(new FleetMessage(FleetMessage.Kind.NACK, self, 1, null, null, List.of(), false, null));
         try (DatagramSocket from = new DatagramSocket()) {
             for (int i = 0; i < 6000; i++) {
                 byte[] bytes = new byte[1 + random.nextInt(1600)];
@@ -93,17 +93,17 @@
                 if (i % 3 == 0 && bytes.length > 1) { // starts like a valid datagram
                     System.arraycopy(sound, 0, bytes, 0, 2);
                 }
-                from.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), bind));
+                from.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), fleetPort));
                 if (i % 1000 == 0) {
                     client.send("C.GET", "00000000000000aa", "q" + i, "c=read,d=9000");
-                    sockets.cache.next().answer(hit("value"));
+                    fixture.cache.next().answer(hit("value"));
                     assertThat(client.answer()).isEqualTo("value");
                 }
             }
         }
         String figures = "";
         for (int i = 0; i < 500 && !(isCounted(figures, "size") && isCounted(figures, "version") && isCounted(figures, "damaged")); i++) {
-            figures = sockets.call("GET /control/counters");
+            figures = fixture.request("GET /control/counters");
             Thread.sleep(20);
         }
         assertThat(isCounted(figures, "size") && isCounted(figures, "version") && isCounted(figures, "damaged")).as(figures).isTrue();
@@ -116,54 +116,54 @@
     }
 
     @Test
-    void aFaultyFileEndsTheStartByItsKey() throws Exception {
-        fleet(",\"most\":1");
-        sockets.start(folder, "");
-        assertThat(sockets.program.waitFor(Sockets.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-        assertThat(sockets.program.exitValue()).isEqualTo(1);
+    void faultyFileEndsTheStartAndNamesTheKey() throws Exception {
+        writeFleetFile(",\"most\":1");
+        fixture.start(folder, "");
+        assertThat(fixture.program.waitFor(ServeFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(fixture.program.exitValue()).isEqualTo(1);
         assertThat(Files.readString(folder.resolve("log"))).contains("dappleseam serve: most: is no number from 2 to 20000");
     }
 
     @Test
-    void aFaultyFileAtSighupChangesNothing() throws Exception {
-        sockets.start(folder, "").client();
-        fleet(",\"seeds\":[\"nowhere\"]");
-        sockets.hangUp();
-        sockets.awaitLog(folder, "configuration not taken: seeds[0]: is not an address and a port");
-        Sockets.awaitAnswer(sockets.control, "GET /control/counters", "app_config_reload_errors_total 1\n");
-        fleet(",\"counted\":7");
-        sockets.hangUp();
-        Sockets.awaitAnswer(sockets.control, "GET /control/counters", "app_config_reloads_total 1\n");
-        Sockets.awaitAnswer(sockets.control, "GET /control/counters", "app_fleet_counted 7\n");
+    void faultyFileAtSighupChangesNothing() throws Exception {
+        fixture.start(folder, "").client();
+        writeFleetFile(",\"seeds\":[\"nowhere\"]");
+        fixture.sendHangUp();
+        fixture.awaitLog(folder, "configuration not taken: seeds[0]: is not an address and a port");
+        ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/counters", "app_config_reload_errors_total 1\n");
+        writeFleetFile(",\"counted\":7");
+        fixture.sendHangUp();
+        ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/counters", "app_config_reloads_total 1\n");
+        ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/counters", "app_fleet_counted 7\n");
     }
 
     @Test
-    void aTakenAddressIsWaitedForAndNoQueryCares() throws Exception {
-        try (DatagramSocket other = new DatagramSocket(bind, InetAddress.getByName("127.0.0.1"))) {
-            Sockets.Client client = sockets.start(folder, "").client();
-            sockets.awaitLog(folder, "which another process has");
-            assertThat(sockets.call("GET /control/counters")).contains("app_fleet_joined 0\n");
+    void busyAddressIsWaitedForWithoutAffectingQueries() throws Exception {
+        try (DatagramSocket other = new DatagramSocket(fleetPort, InetAddress.getByName("127.0.0.1"))) {
+            ServeFixture.Client client = fixture.start(folder, "").client();
+            fixture.awaitLog(folder, "which another process has");
+            assertThat(fixture.request("GET /control/counters")).contains("app_fleet_joined 0\n");
             client.send("C.GET", "00000000000000aa", "q1", "c=read,d=9000");
-            sockets.cache.next().answer(hit("value"));
+            fixture.cache.next().answer(hit("value"));
             assertThat(client.answer()).isEqualTo("value");
         }
-        Sockets.awaitAnswer(sockets.control, "GET /control/counters", "app_fleet_joined 1\n");
+        ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/counters", "app_fleet_joined 1\n");
     }
 
     /** Without a fleet file no fleet class is loaded, and the control server has no fleet requests. */
     @Test
-    void withoutTheFileNothingOfItIsThere() throws Exception {
+    void withoutTheFileNoFleetClassIsLoaded() throws Exception {
         Path loaded = folder.resolve("loaded");
         ProcessBuilder plain = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
                 "-Xlog:class+load:file=" + loaded, "-cp", System.getProperty("java.class.path"), "dappleseam.proxy.Serve");
-        sockets.port = Sockets.freePort();
-        plain.environment().put("NODE_CONFIG", sockets.config(folder, "").toString());
+        fixture.port = ServeFixture.freePort();
+        plain.environment().put("NODE_CONFIG", fixture.config(folder, "").toString());
         plain.environment().put("TMPDIR", folder.toString());
-        sockets.program = plain.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
-        sockets.client();
-        Sockets.awaitAnswer(sockets.control, "GET /control/ready", "HTTP/1.1 200");
-        assertThat(sockets.call("GET /control/fleet")).startsWith("HTTP/1.1 404");
-        assertThat(sockets.call("GET /control/counters")).doesNotContain("app_fleet");
+        fixture.program = plain.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+        fixture.client();
+        ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/ready", "HTTP/1.1 200");
+        assertThat(fixture.request("GET /control/fleet")).startsWith("HTTP/1.1 404");
+        assertThat(fixture.request("GET /control/counters")).doesNotContain("app_fleet");
         assertThat(Files.readString(loaded)).contains("dappleseam.proxy.Serve").doesNotContain("dappleseam.fleet").doesNotContain("dappleseam.proxy.FleetMembership")
                 .doesNotContain("dataformat.cbor");
     }
--- a/src/test/java/dappleseam/proxy/OperatingTest.java
+++ b/src/test/java/dappleseam/proxy/OperationsTest.java
@@ -1,7 +1,7 @@
 package dappleseam.proxy;
 
-import static dappleseam.proxy.Sockets.hit;
-import static dappleseam.proxy.Sockets.ok;
+import static dappleseam.proxy.ServeFixture.hit;
+import static dappleseam.proxy.ServeFixture.ok;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.io.IOException;
@@ -20,16 +20,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Operates the running program: control server, drains, reloads and upgrades. */
-class OperatingTest {
+class OperationsTest {
     @TempDir
     Path folder;
-    private Sockets sockets;
+    private ServeFixture fixture;
     private Process second;
 
     @BeforeEach
     void prepare() throws Exception {
-        sockets = new Sockets();
-        sockets.control = Sockets.freePort();
+        fixture = new ServeFixture();
+        fixture.controlPort = ServeFixture.freePort();
     }
 
     @AfterEach
@@ -37,32 +37,32 @@
         if (second != null) {
             second.destroyForcibly().waitFor();
         }
-        sockets.close();
+        fixture.close();
     }
 
-    private static void read(Sockets.Client client, String id) throws IOException {
+    private static void sendRead(ServeFixture.Client client, String id) throws IOException {
         client.send("C.GET", "00000000000000aa", id, "c=read,d=9000");
     }
 
-    private void awaitFigures(String part) throws Exception {
-        Sockets.awaitAnswer(sockets.control, "GET /control/counters", part);
+    private void awaitMetrics(String part) throws Exception {
+        ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/counters", part);
     }
 
     @Test
-    void theFiguresAreWhatPassed() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void metricsCountWhatHappened() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         for (int i = 0; i < 3; i++) {
-            read(client, "id" + i);
-            sockets.cache.next().answer(hit("value"));
+            sendRead(client, "id" + i);
+            fixture.cache.next().answer(hit("value"));
             assertThat(client.answer()).isEqualTo("value");
         }
         client.send("C.SET", "00000000000000aa", "w1", "c=put,d=9000", "v");
-        sockets.origin.next().from().close();
+        fixture.origin.next().connection().close();
         assertThat(client.answer()).startsWith("-ERR");
-        read(client, "open");
-        sockets.cache.next();
-        awaitFigures("app_pending 1\n");
-        assertThat(sockets.call("GET /control/counters")).contains("app_completed_total{lane=\"read\"} 3\n",
+        sendRead(client, "open");
+        fixture.cache.next();
+        awaitMetrics("app_pending 1\n");
+        assertThat(fixture.request("GET /control/counters")).contains("app_completed_total{lane=\"read\"} 3\n",
                 "app_failed_total{lane=\"put\"} 1\n", "app_rejected_total{lane=\"read\"} 0\n",
                 "app_upstream_requests_total 5\n", "app_members 2\n", "app_members_unavailable 0\n",
                 "app_config_reloads_total 0\n", "app_config_reload_errors_total 0\n");
@@ -70,15 +70,15 @@
 
     /** Callers with incomplete requests must not block others from the control server. */
     @Test
-    void theDoorAnswersWhileOthersFinishNoCall() throws Exception {
-        sockets.start(folder, "").client();
+    void controlServerAnswersDespiteIncompleteRequests() throws Exception {
+        fixture.start(folder, "").client();
         List<Socket> halves = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            Socket half = new Socket("127.0.0.1", sockets.control);
+            Socket half = new Socket("127.0.0.1", fixture.controlPort);
             half.getOutputStream().write("GET /control/rea".getBytes(StandardCharsets.US_ASCII));
             halves.add(half);
         }
-        Sockets.awaitAnswer(sockets.control, "GET /control/ready", "HTTP/1.1 200 OK");
+        ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/ready", "HTTP/1.1 200 OK");
         for (Socket half : halves) {
             half.setSoTimeout(10_000);
             assertThat(half.getInputStream().read()).isNegative(); // each is closed by the timeout
@@ -91,33 +91,33 @@
         "GET /control/out-of-service HTTP/1.1, 405", "nonsense, 400", "'GET /control/ready HTTP/1.1\r\nbroken', 400",
         "'GET /control/ready HTTP/1.1\r\nTransfer-Encoding: chunked', 400",
         "'POST /control/in-service HTTP/1.1\r\nContent-Length: 99999', 413", "long, 431"})
-    void whatIsNoCallIsRefused(String head, String status) throws Exception {
-        sockets.start(folder, "").client();
+    void invalidRequestsAreRefused(String head, String status) throws Exception {
+        fixture.start(folder, "").client();
         String sent = head.equals("long") ? "GET /control/ready HTTP/1.1\r\nX: " + "x".repeat(6000) : head;
-        assertThat(Sockets.call(sockets.control, sent)).startsWith("HTTP/1.1 " + status);
+        assertThat(ServeFixture.request(fixture.controlPort, sent)).startsWith("HTTP/1.1 " + status);
     }
 
     @Test
-    void aDoorThatCannotOpenIsNamed() throws Exception {
-        sockets.control = sockets.list.server.getLocalPort();
-        sockets.start(folder, "");
-        assertThat(sockets.program.waitFor(Sockets.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-        assertThat(sockets.program.exitValue()).isEqualTo(1);
+    void unavailableControlAddressIsReported() throws Exception {
+        fixture.controlPort = fixture.list.server.getLocalPort();
+        fixture.start(folder, "");
+        assertThat(fixture.program.waitFor(ServeFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(fixture.program.exitValue()).isEqualTo(1);
         assertThat(Files.readString(folder.resolve("log"))).contains("dappleseam serve: control: ");
     }
 
     /** Rule 1 in a drain: open queries are answered before their connection closes, and idle connections close. */
     @Test
-    void aDrainSendsClientsAwayAndEnds() throws Exception {
-        Sockets.Client busy = sockets.start(folder, "").client();
-        Sockets.Client idle = sockets.client();
+    void drainSendsClientsAway() throws Exception {
+        ServeFixture.Client busy = fixture.start(folder, "").client();
+        ServeFixture.Client idle = fixture.client();
         idle.send("PING");
         assertThat(idle.answer()).isEqualTo("+PONG");
-        read(busy, "id1");
-        Sockets.Told asked = sockets.cache.next();
-        assertThat(sockets.call("POST /control/out-of-service")).startsWith("HTTP/1.1 200");
-        assertThat(sockets.call("GET /control/ready")).startsWith("HTTP/1.1 503");
-        Sockets.Client late = sockets.client();
+        sendRead(busy, "id1");
+        ServeFixture.Received asked = fixture.cache.next();
+        assertThat(fixture.request("POST /control/out-of-service")).startsWith("HTTP/1.1 200");
+        assertThat(fixture.request("GET /control/ready")).startsWith("HTTP/1.1 503");
+        ServeFixture.Client late = fixture.client();
         late.send("PING");
         assertThat(late.answer()).startsWith("-ERR");
         assertThat(idle.isAtEnd()).isTrue();
@@ -125,21 +125,21 @@
         asked.answer(hit("value"));
         assertThat(busy.answer()).isEqualTo("value");
         assertThat(busy.isAtEnd()).isTrue();
-        assertThat(sockets.call("POST /control/in-service")).startsWith("HTTP/1.1 200");
-        Sockets.awaitAnswer(sockets.control, "GET /control/ready", "HTTP/1.1 200");
-        Sockets.Client again = sockets.client();
+        assertThat(fixture.request("POST /control/in-service")).startsWith("HTTP/1.1 200");
+        ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/ready", "HTTP/1.1 200");
+        ServeFixture.Client again = fixture.client();
         again.send("PING");
         assertThat(again.answer()).isEqualTo("+PONG");
     }
 
     /** 4 s after the request no connection may carry a query of the last 2 s, even that of a client that is never idle. */
     @Test
-    void aDrainEndsTheConnectionOfAClientThatAlwaysAsks() throws Exception {
-        sockets.origin.always = Sockets.ok("value");
+    void drainEndsTheConnectionOfABusyClient() throws Exception {
+        fixture.origin.constantAnswer = ServeFixture.ok("value");
         Thread cache = new Thread(() -> {
             try {
                 while (true) {
-                    Sockets.Told asked = sockets.cache.next();
+                    ServeFixture.Received asked = fixture.cache.next();
                     Thread.sleep(30);
                     asked.answer(hit("value"));
                 }
@@ -149,17 +149,17 @@
         });
         cache.setDaemon(true);
         cache.start();
-        Sockets.Client client = sockets.start(folder, "").client();
+        ServeFixture.Client client = fixture.start(folder, "").client();
         long id = 0;
         for (; id < 3; id++) { // from here on some queries are always in flight
-            read(client, "id" + id);
+            sendRead(client, "id" + id);
         }
-        assertThat(sockets.call("POST /control/out-of-service")).startsWith("HTTP/1.1 200");
+        assertThat(fixture.request("POST /control/out-of-service")).startsWith("HTTP/1.1 200");
         long until = System.nanoTime() + 4_000_000_000L;
         boolean isOpen = true;
         try {
             for (; isOpen && System.nanoTime() < until; id++) {
-                read(client, "id" + id);
+                sendRead(client, "id" + id);
                 assertThat(client.answer()).matches("value|-BUSY.*");
             }
         } catch (IOException e) { // the unread query is reset, and the client would send it elsewhere
@@ -174,29 +174,29 @@
 
     /** Rule 2 over new settings: queries accepted as repeatable stay so, later ones are not repeated. */
     @Test
-    void openQueriesKeepTheirRulesOverNewSettings() throws Exception {
-        sockets.grades = OLD_GRADES;
-        Sockets.Client before = sockets.start(folder, "").client();
+    void openQueriesKeepTheirGradeOverNewSettings() throws Exception {
+        fixture.grades = OLD_GRADES;
+        ServeFixture.Client before = fixture.start(folder, "").client();
         before.send("C.SET", "00000000000000aa", "w1", "c=put,d=9000", "v");
-        Sockets.Told first = sockets.origin.next();
-        sockets.grades = OLD_GRADES.replace("\"put\",\"semantics\":\"read_like\"", "\"put\",\"semantics\":\"non_idempotent\"")
+        ServeFixture.Received first = fixture.origin.next();
+        fixture.grades = OLD_GRADES.replace("\"put\",\"semantics\":\"read_like\"", "\"put\",\"semantics\":\"non_idempotent\"")
                 .replace("\"read\"", "\"fresh\"");
-        sockets.config(folder, "");
-        sockets.hangUp();
-        awaitFigures("app_config_reloads_total 1\n");
-        Sockets.Client after = sockets.client();
+        fixture.config(folder, "");
+        fixture.sendHangUp();
+        awaitMetrics("app_config_reloads_total 1\n");
+        ServeFixture.Client after = fixture.client();
         after.send("C.SET", "00000000000000ab", "w2", "c=put,d=9000", "v");
-        Sockets.Told second = sockets.origin.next();
-        first.from().close();
-        assertThat(sockets.origin.next().words()).contains("X-Correlation-Id: w1"); // repeated, as its grade allowed when it was accepted
-        second.from().close();
+        ServeFixture.Received second = fixture.origin.next();
+        first.connection().close();
+        assertThat(fixture.origin.next().elements()).contains("X-Correlation-Id: w1"); // repeated, as its grade allowed when it was accepted
+        second.connection().close();
         assertThat(after.answer()).startsWith("-ERR");
         after.send("C.GET", "00000000000000aa", "r1", "c=fresh,d=9000");
-        sockets.cache.next().answer(hit("value"));
+        fixture.cache.next().answer(hit("value"));
         assertThat(after.answer()).isEqualTo("value");
         after.send("C.GET", "00000000000000aa", "r2", "c=read,d=9000");
         assertThat(after.answer()).startsWith("-ERR");
-        assertThat(sockets.call("GET /control/counters")).contains("app_completed_total{lane=\"fresh\"} 1\n",
+        assertThat(fixture.request("GET /control/counters")).contains("app_completed_total{lane=\"fresh\"} 1\n",
                 "app_completed_total{lane=\"read\"} 0\n", "app_failed_total{lane=\"put\"} 1\n");
     }
 
@@ -205,40 +205,40 @@
     @CsvSource(delimiter = '|', value = {"empty | . | config.json", "cut | . | config.json", "\"retryAfter\":true, | '' | settings.ceilings.retryAfter",
         "\"mostExecutions\":3 | \"mostExecutions\":0 | settings.ceilings.mostExecutions",
         "\"statementTimeoutS\":30} | \"statementTimeoutS\":0} | settings.serviceGrades[0].statementTimeoutS"})
-    void aBrokenFileChangesNothing(String sound, String faulty, String key) throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
-        sockets.grades = sockets.grades.replace("\"read\"", "\"fresh\"");
-        String text = Files.readString(sockets.config(folder, ""));
+    void brokenFileChangesNothing(String sound, String faulty, String key) throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
+        fixture.grades = fixture.grades.replace("\"read\"", "\"fresh\"");
+        String text = Files.readString(fixture.config(folder, ""));
         Files.writeString(folder.resolve("config.json"), sound.equals("empty") ? ""
                 : sound.equals("cut") ? text.substring(0, text.length() / 2) : text.replace(sound, faulty));
-        sockets.hangUp();
-        awaitFigures("app_config_reload_errors_total 1\n");
-        sockets.awaitLog(folder, "configuration not taken: " + key);
-        read(client, "id1");
-        sockets.cache.next().answer(hit("value"));
+        fixture.sendHangUp();
+        awaitMetrics("app_config_reload_errors_total 1\n");
+        fixture.awaitLog(folder, "configuration not taken: " + key);
+        sendRead(client, "id1");
+        fixture.cache.next().answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
-        assertThat(sockets.call("GET /control/counters")).contains("app_config_reloads_total 0\n").doesNotContain("fresh");
+        assertThat(fixture.request("GET /control/counters")).contains("app_config_reloads_total 0\n").doesNotContain("fresh");
     }
 
-    private int startBeside() throws Exception {
-        int first = sockets.control;
-        sockets.control = Sockets.freePort();
-        second = sockets.launch(folder, sockets.config(folder, ""));
-        Sockets.awaitAnswer(sockets.control, "GET /control/ready", "HTTP/1.1 200");
+    private int startSecond() throws Exception {
+        int first = fixture.controlPort;
+        fixture.controlPort = ServeFixture.freePort();
+        second = fixture.launch(folder, fixture.config(folder, ""));
+        ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/ready", "HTTP/1.1 200");
         return first;
     }
 
     /** Rules 1 and 2 in an upgrade: a write that is open at the old process runs once and is answered there. */
     @Test
-    void aNewProcessTakesOverUnderLoad() throws Exception {
-        Sockets.Client writer = sockets.start(folder, "").client();
+    void newProcessTakesOverUnderLoad() throws Exception {
+        ServeFixture.Client writer = fixture.start(folder, "").client();
         writer.send("C.SET", "00000000000000aa", "w1", "c=put,d=9000", "v");
-        Sockets.Told asked = sockets.origin.next();
-        startBeside();
-        sockets.program.destroy(); // SIGTERM
-        sockets.awaitLog(folder, "another process takes the clients");
+        ServeFixture.Received asked = fixture.origin.next();
+        startSecond();
+        fixture.program.destroy(); // SIGTERM
+        fixture.awaitLog(folder, "another process takes the clients");
         for (int i = 0; i < 200; i++) { // all reach the new process: none is refused, reset or left unread
-            Sockets.Client client = new Sockets.Client(new Socket("127.0.0.1", sockets.port));
+            ServeFixture.Client client = new ServeFixture.Client(new Socket("127.0.0.1", fixture.port));
             client.send("PING");
             assertThat(client.answer()).isEqualTo("+PONG");
             client.socket.close();
@@ -246,76 +246,76 @@
         asked.answer(ok("receipt"));
         assertThat(writer.answer()).isEqualTo("receipt");
         assertThat(writer.isAtEnd()).isTrue();
-        assertThat(sockets.program.waitFor(2, TimeUnit.SECONDS)).isTrue();
-        assertThat(sockets.origin.told.stream().filter(t -> t.words().get(0).startsWith("PUT"))).isEmpty();
+        assertThat(fixture.program.waitFor(2, TimeUnit.SECONDS)).isTrue();
+        assertThat(fixture.origin.received.stream().filter(t -> t.elements().get(0).startsWith("PUT"))).isEmpty();
         assertThat(second.isAlive()).isTrue();
     }
 
     /** If the new process of an upgrade dies, the old one serves on, and treats a later SIGTERM as the only process. */
     @Test
-    void theOldProcessServesOnWhereTheNewOneDies() throws Exception {
-        sockets.start(folder, "").client();
-        int door = startBeside();
+    void oldProcessServesOnWhenTheNewOneDies() throws Exception {
+        fixture.start(folder, "").client();
+        int door = startSecond();
         second.destroyForcibly().waitFor();
-        sockets.awaitLog(folder, "alone on this address");
-        Sockets.Client client = sockets.client();
-        read(client, "id1");
-        sockets.cache.next().answer(hit("value"));
+        fixture.awaitLog(folder, "alone on this address");
+        ServeFixture.Client client = fixture.client();
+        sendRead(client, "id1");
+        fixture.cache.next().answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
-        assertThat(Sockets.call(door, "GET /control/ready HTTP/1.1")).startsWith("HTTP/1.1 200");
-        sockets.program.destroy();
-        sockets.awaitLog(folder, "no other process is here");
+        assertThat(ServeFixture.request(door, "GET /control/ready HTTP/1.1")).startsWith("HTTP/1.1 200");
+        fixture.program.destroy();
+        fixture.awaitLog(folder, "no other process is here");
     }
 
     /** Rule 3 in an upgrade: a drain known to the old process holds in the new one, even with the list service down. */
     @Test
-    void aNewProcessKeepsTheDrainsThatTheOldOneWasToldOf() throws Exception {
-        sockets.start(folder, "").client();
-        String list = "{\"rev\":7,\"all\":true,\"targets\":[" + Sockets.entry("s-1", sockets.cache, "m", "draining") + ","
-                + Sockets.entry("s-0", sockets.origin, "origin", "ready") + "]}";
-        sockets.list.next().answer(ok(list));
-        sockets.awaitLog(folder, "DRAINING");
-        awaitFigures("app_members_unavailable 1\n");
+    void newProcessKeepsTheDrainsKnownToTheOldOne() throws Exception {
+        fixture.start(folder, "").client();
+        String list = "{\"rev\":7,\"all\":true,\"targets\":[" + ServeFixture.entry("s-1", fixture.cache, "m", "draining") + ","
+                + ServeFixture.entry("s-0", fixture.origin, "origin", "ready") + "]}";
+        fixture.list.next().answer(ok(list));
+        fixture.awaitLog(folder, "DRAINING");
+        awaitMetrics("app_members_unavailable 1\n");
         Thread.sleep(500); // the old process writes it within 0.1 s
-        startBeside();
-        sockets.awaitLog(folder, "list taken over at version 7, the file had 1");
-        sockets.program.destroy();
-        sockets.awaitLog(folder, "another process takes the clients");
-        Sockets.Client client = sockets.client();
-        read(client, "id1");
-        sockets.origin.next().answer(ok("value"));
+        startSecond();
+        fixture.awaitLog(folder, "list taken over at version 7, the file had 1");
+        fixture.program.destroy();
+        fixture.awaitLog(folder, "another process takes the clients");
+        ServeFixture.Client client = fixture.client();
+        sendRead(client, "id1");
+        fixture.origin.next().answer(ok("value"));
         assertThat(client.answer()).isEqualTo("value");
-        assertThat(sockets.cache.told).isEmpty();
+        assertThat(fixture.cache.received).isEmpty();
     }
 
     /** Node health of the old process reaches the new one, for the first seconds after a switch; a start does not depend on it. */
     @Test
-    void aNewProcessHearsWhatTheOldOneLearntOfANode() throws Exception {
-        sockets.start(folder, "").client();
-        sockets.awaitLog(folder, "nothing learnt is taken over");
-        Sockets.Client client = sockets.client();
-        read(client, "id1");
-        sockets.cache.next().answer("-BUSY\r\n");
-        sockets.origin.next().answer(ok("value"));
+    void newProcessInheritsNodeHealth() throws Exception {
+        fixture.start(folder, "").client();
+        fixture.awaitLog(folder, "nothing learnt is taken over");
+        ServeFixture.Client client = fixture.client();
+        sendRead(client, "id1");
+        fixture.cache.next().answer("-BUSY\r\n");
+        fixture.origin.next().answer(ok("value"));
         assertThat(client.answer()).isEqualTo("value");
         Thread.sleep(1500); // it is written once a second
-        startBeside();
-        sockets.awaitLog(folder, "learnt before of 1 nodes");
+        startSecond();
+        fixture.awaitLog(folder, "learnt before of 1 nodes");
     }
 
     /** The control server has to answer while the proxy is busy and clients hold all its connections. */
     @Test
-    void theDoorAnswersInTimeWhileClientsTakeAllThereIs() throws Exception {
-        sockets.sockets = 160;
-        sockets.start(folder, "").client();
+    void controlServerAnswersInTimeWhileClientsUseAllConnections() throws Exception {
+        fixture.descriptorLimit = 160;
+        fixture.start(folder, "").client();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            silent.add(new Socket("127.0.0.1", sockets.port));
+            silent.add(new Socket("127.0.0.1", fixture.port));
         }
         byte[] flood = "*1\r\n$4\r\nPING\r\n".repeat(1000).getBytes(StandardCharsets.US_ASCII);
         List<Thread> busy = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            Sockets.Client client = sockets.client();
+            ServeFixture.Client client = fixture.client();
             Thread sender = new Thread(() -> {
                 try {
                     while (true) {
@@ -341,11 +341,11 @@
             thread.start();
         });
         for (int i = 0; i < 30; i++) { // each call waits 1 s at most
-            assertThat(sockets.call("GET /control/ready")).startsWith("HTTP/1.1 200");
-            assertThat(sockets.call("GET /control/counters")).contains("app_members 2\n");
+            assertThat(fixture.request("GET /control/ready")).startsWith("HTTP/1.1 200");
+            assertThat(fixture.request("GET /control/counters")).contains("app_members 2\n");
         }
-        assertThat(sockets.call("POST /control/out-of-service")).startsWith("HTTP/1.1 200");
-        assertThat(sockets.call("GET /control/ready")).startsWith("HTTP/1.1 503");
+        assertThat(fixture.request("POST /control/out-of-service")).startsWith("HTTP/1.1 200");
+        assertThat(fixture.request("GET /control/ready")).startsWith("HTTP/1.1 503");
         for (Socket one : silent) {
             one.close();
         }
--- a/src/test/java/dappleseam/proxy/ServeTest.java
+++ b/src/test/java/dappleseam/proxy/ServeTest.java
@@ -1,8 +1,8 @@
 package dappleseam.proxy;
 
-import static dappleseam.proxy.Sockets.MISS;
-import static dappleseam.proxy.Sockets.hit;
-import static dappleseam.proxy.Sockets.ok;
+import static dappleseam.proxy.ServeFixture.MISS;
+import static dappleseam.proxy.ServeFixture.hit;
+import static dappleseam.proxy.ServeFixture.ok;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -32,72 +32,72 @@
 /** Tests the running program over sockets, as a client and in place of its peers. */
 class ServeTest {
     /** Size of a list of some 200 caches. */
-    private static final int LONG_LIST = 30_000;
+    private static final int LONG_LIST_BYTES = 30_000;
     @TempDir
     Path folder;
-    private Sockets sockets;
+    private ServeFixture fixture;
 
     @BeforeEach
     void prepare() throws Exception {
-        sockets = new Sockets();
+        fixture = new ServeFixture();
     }
 
     @AfterEach
     void end() throws Exception {
-        sockets.close();
+        fixture.close();
     }
 
     @Test
-    void aReadIsAnsweredWithWhatTheCacheSends() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void readReturnsTheValueOfTheCache() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000,size=3");
-        Sockets.Told asked = sockets.cache.next();
-        assertThat(asked.words().subList(0, 3)).containsExactly("C.GET", "00000000000000aa", "id1");
-        assertThat(asked.words().get(3)).matches("c=read,d=(8\\d{3}|[1-7]\\d{3}),size=3");
+        ServeFixture.Received asked = fixture.cache.next();
+        assertThat(asked.elements().subList(0, 3)).containsExactly("C.GET", "00000000000000aa", "id1");
+        assertThat(asked.elements().get(3)).matches("c=read,d=(8\\d{3}|[1-7]\\d{3}),size=3");
         asked.answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
     }
 
     @Test
-    void aMissIsFetchedFromTheOrigin() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void missIsFetchedFromTheOrigin() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
-        sockets.cache.next().answer(MISS);
-        Sockets.Told asked = sockets.origin.next();
-        assertThat(asked.words()).contains("GET /00000000000000aa HTTP/1.1", "X-Correlation-Id: id1");
-        assertThat(asked.words()).filteredOn(line -> line.startsWith("X-Facts: ")).singleElement().asString()
+        fixture.cache.next().answer(MISS);
+        ServeFixture.Received asked = fixture.origin.next();
+        assertThat(asked.elements()).contains("GET /00000000000000aa HTTP/1.1", "X-Correlation-Id: id1");
+        assertThat(asked.elements()).filteredOn(line -> line.startsWith("X-Facts: ")).singleElement().asString()
                 .matches("X-Facts: c=read,d=(8\\d{3}|[1-7]\\d{3})"); // the remaining time, as sent to a cache
         asked.answer(ok("fetched"));
         assertThat(client.answer()).isEqualTo("fetched");
     }
 
     @Test
-    void aWriteGoesToTheOriginWithItsValue() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void writeGoesToTheOriginWithItsValue() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.SET", "00000000000000aa", "id1", "c=put,d=9000,k=77", "X".repeat(20000));
-        Sockets.Told asked = sockets.origin.next();
-        assertThat(asked.words()).contains("PUT /00000000000000aa HTTP/1.1", "Content-Length: 20000");
+        ServeFixture.Received asked = fixture.origin.next();
+        assertThat(asked.elements()).contains("PUT /00000000000000aa HTTP/1.1", "Content-Length: 20000");
         asked.answer(ok("receipt"));
         assertThat(client.answer()).isEqualTo("receipt");
     }
 
     /** Rule 2: a write that may have run is aborted, never rejected or repeated. */
     @Test
-    void aWriteWhoseConnectionBreaksIsAborted() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void writeOnABrokenConnectionIsAborted() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.SET", "00000000000000aa", "id1", "c=put,d=9000", "v");
-        sockets.origin.next().from().close();
+        fixture.origin.next().connection().close();
         assertThat(client.answer()).startsWith("-ERR");
-        assertThat(sockets.origin.told).noneMatch(t -> t.words().get(0).startsWith("PUT"));
+        assertThat(fixture.origin.received).noneMatch(t -> t.elements().get(0).startsWith("PUT"));
     }
 
     @Test
-    void aWriteThatNeverRanIsRejected() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void writeThatNeverRanIsRejected() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.SET", "00000000000000aa", "id1", "c=put,d=9000", "v");
         String notRun = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
-        for (Sockets.Told asked = sockets.origin.next(); asked != null;
-                asked = sockets.origin.told.poll(500, TimeUnit.MILLISECONDS)) {
+        for (ServeFixture.Received asked = fixture.origin.next(); asked != null;
+                asked = fixture.origin.received.poll(500, TimeUnit.MILLISECONDS)) {
             asked.answer(notRun);
         }
         assertThat(client.answer()).startsWith("-BUSY");
@@ -106,12 +106,12 @@
     /** Pipelined commands must be answered in order, whatever the order of the nodes' answers. */
     @Test
     void answersComeInTheOrderOfTheCommands() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
         client.send("C.SET", "00000000000000bb", "id2", "c=put,d=9000", "v");
         client.send("PING");
-        sockets.origin.next().answer(ok("second"));
-        sockets.cache.next().answer(hit("first"));
+        fixture.origin.next().answer(ok("second"));
+        fixture.cache.next().answer(hit("first"));
         assertThat(client.answer()).isEqualTo("first");
         assertThat(client.answer()).isEqualTo("second");
         assertThat(client.answer()).isEqualTo("+PONG");
@@ -119,58 +119,58 @@
 
     /** On a shared connection, the answer for a client that has left is dropped, and the others still get theirs. */
     @Test
-    void aClientThatLeavesDoesNotDisturbItsNeighbour() throws Exception {
-        sockets.sockets = 96;
-        Sockets.Client writer = sockets.start(folder, "").client();
-        sockets.list.next();
+    void leavingClientDoesNotDisturbOthersOnTheConnection() throws Exception {
+        fixture.descriptorLimit = 96;
+        ServeFixture.Client writer = fixture.start(folder, "").client();
+        fixture.list.next();
         for (int i = 0; i < 22; i++) { // together with those to the list service and one to the cache, all connections that may be opened
             writer.send("C.SET", "00000000000000cc", "w" + i, "c=put,d=20000", "v");
-            sockets.origin.next();
+            fixture.origin.next();
         }
-        Sockets.Client leaving = sockets.client();
-        Sockets.Client staying = sockets.client();
+        ServeFixture.Client leaving = fixture.client();
+        ServeFixture.Client staying = fixture.client();
         leaving.send("C.GET", "00000000000000aa", "id1", "c=read,d=20000");
-        Sockets.Told first = sockets.cache.next();
+        ServeFixture.Received first = fixture.cache.next();
         staying.send("C.GET", "00000000000000bb", "id2", "c=read,d=20000");
-        Sockets.Told second = sockets.cache.next();
-        assertThat(second.from()).isSameAs(first.from());
+        ServeFixture.Received second = fixture.cache.next();
+        assertThat(second.connection()).isSameAs(first.connection());
         leaving.socket.close();
-        Sockets.Client third = sockets.client();
+        ServeFixture.Client third = fixture.client();
         for (int i = 0; i < 2; i++) { // after two rounds the loop has seen the connection's end
             third.send("PING");
             assertThat(third.answer()).isEqualTo("+PONG");
         }
         first.answer(MISS + hit("mine"));
         assertThat(staying.answer()).isEqualTo("mine");
-        assertThat(sockets.origin.told).isEmpty();
+        assertThat(fixture.origin.received).isEmpty();
     }
 
-    private void assertTwoReadsHaveAConnectionEach(Sockets.Client client) throws Exception {
+    private void assertTwoReadsDoNotShareAConnection(ServeFixture.Client client) throws Exception {
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=20000");
         client.send("C.GET", "00000000000000bb", "id2", "c=read,d=20000");
-        assertThat(sockets.cache.next().from()).isNotSameAs(sockets.cache.next().from());
+        assertThat(fixture.cache.next().connection()).isNotSameAs(fixture.cache.next().connection());
     }
 
     /** After a malformed answer, queries must not wait behind slow ones or be affected by bad answers before theirs. */
     @Test
-    void afterTroubleTwoCommandsHaveAConnectionEach() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void afterASpoiltAnswerCommandsDoNotShareAConnection() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id0", "c=read,d=20000");
-        sockets.cache.next().answer("noise\r\n");
-        sockets.origin.next().answer(ok("value"));
+        fixture.cache.next().answer("noise\r\n");
+        fixture.origin.next().answer(ok("value"));
         assertThat(client.answer()).isEqualTo("value");
-        assertTwoReadsHaveAConnectionEach(client);
+        assertTwoReadsDoNotShareAConnection(client);
     }
 
     /** A connection carries one query at a time, although the connection penalty would favour sharing. */
     @Test
-    void whereAConnectionCarriesOneQueryTwoOpenOnesHaveOneEach() throws Exception {
-        Sockets.Client client = sockets.start(folder, ",\"streamsPerConn\":1").client();
+    void withOneQueryPerConnectionOpenQueriesDoNotShare() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, ",\"streamsPerConn\":1").client();
         client.send("C.GET", "00000000000000aa", "id0", "c=read,d=9000");
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000,r=1,costGuessS=0.03");
-        Sockets.Told first = sockets.cache.next();
-        Sockets.Told second = sockets.cache.next();
-        assertThat(first.from()).isNotSameAs(second.from());
+        ServeFixture.Received first = fixture.cache.next();
+        ServeFixture.Received second = fixture.cache.next();
+        assertThat(first.connection()).isNotSameAs(second.connection());
         first.answer(hit("value"));
         second.answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
@@ -179,29 +179,29 @@
 
     /** Queries must not wait behind an answer that never comes, on a connection that stays open. */
     @Test
-    void afterAnAnswerThatNeverCameTwoCommandsHaveAConnectionEach() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void afterAMissingAnswerCommandsDoNotShareAConnection() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id0", "c=read,d=600");
-        sockets.cache.next();
+        fixture.cache.next();
         assertThat(client.answer()).startsWith("-BUSY");
-        assertTwoReadsHaveAConnectionEach(client);
+        assertTwoReadsDoNotShareAConnection(client);
     }
 
     /** Rule 1: a query is answered even if its cache stays silent. */
     @Test
-    void aSilentCacheIsGivenUpBeforeTheStatementTimeout() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void silentCacheIsGivenUpBeforeTheStatementTimeout() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         long sent = System.nanoTime();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=600");
-        sockets.cache.next();
+        fixture.cache.next();
         assertThat(client.answer()).matches("-(BUSY|ERR).*");
         assertThat(System.nanoTime() - sent).isGreaterThan(400_000_000L);
     }
 
     /** Invalid input must never reach a cache, as a single -SYNTAX answer from a cache voids a whole day of service. */
     @Test
-    void badInputGetsAnErrorAndGoesNoFurther() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void badInputIsAnsweredWithAnErrorAndNotForwarded() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "key with spaces", "id1", "c=read,d=600");
         client.send("C.GET", "00000000000000aa", "id1", "c=unknown,d=600");
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=soon");
@@ -216,43 +216,43 @@
         client.raw("GET / HTTP/1.1\r\n");
         assertThat(client.answer()).startsWith("-ERR");
         assertThat(client.isAtEnd()).isTrue();
-        assertThat(sockets.cache.told).isEmpty();
+        assertThat(fixture.cache.received).isEmpty();
     }
 
     /** Clients that connect and stay silent, or query once and stay, must not keep others out. */
     @Test
-    void silentClientsMakeRoomForOthers() throws Exception {
-        sockets.sockets = 96;
-        Sockets.Client asker = sockets.start(folder, "").client();
+    void silentClientsAreClosedForOthers() throws Exception {
+        fixture.descriptorLimit = 96;
+        ServeFixture.Client asker = fixture.start(folder, "").client();
         asker.send("C.GET", "00000000000000aa", "id", "c=read,d=20000");
-        Sockets.Told asked = sockets.cache.next();
-        List<Sockets.Client> silent = new ArrayList<>();
+        ServeFixture.Received asked = fixture.cache.next();
+        List<ServeFixture.Client> silent = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            silent.add(sockets.client());
+            silent.add(fixture.client());
         }
-        Sockets.Client honest = sockets.client();
+        ServeFixture.Client honest = fixture.client();
         honest.send("PING");
         assertThat(honest.answer()).isEqualTo("+PONG");
         asked.answer(hit("value"));
         assertThat(asker.answer()).isEqualTo("value");
-        for (Sockets.Client client : silent) {
+        for (ServeFixture.Client client : silent) {
             assertThat(client.isAtEnd()).isTrue(); // the last ones at the time limit for a first command
         }
     }
 
     /** At the connection limit, a new client must not be closed for the next one before its first command arrives. */
     @Test
-    void aNewClientDoesNotMakeWayForTheNext() throws Exception {
-        sockets.sockets = 96;
-        sockets.start(folder, "").client().socket.close();
+    void newClientIsNotClosedForTheNext() throws Exception {
+        fixture.descriptorLimit = 96;
+        fixture.start(folder, "").client().socket.close();
         for (int i = 0; i < 30; i++) {
-            Sockets.Client once = sockets.client();
+            ServeFixture.Client once = fixture.client();
             once.send("C.GET", "00000000000000aa", "id" + i, "c=read,d=20000");
-            sockets.cache.next().answer(hit("value"));
+            fixture.cache.next().answer(hit("value"));
             assertThat(once.answer()).isEqualTo("value");
         }
-        Sockets.Client fresh = sockets.client();
-        Sockets.Client next = sockets.client();
+        ServeFixture.Client fresh = fixture.client();
+        ServeFixture.Client next = fixture.client();
         next.send("PING");
         assertThat(next.answer()).isEqualTo("+PONG");
         fresh.send("PING");
@@ -261,14 +261,14 @@
 
     /** Clients that query once and stay connected must not use up all client connections, so that no other can connect. */
     @Test
-    void clientsThatAskOnceLeaveRoomForOthersToAsk() throws Exception {
-        sockets.sockets = 192; // 64 for clients' queries, of which a quarter is kept free: the latest 48 may stay
-        List<Sockets.Client> clients = new ArrayList<>();
-        sockets.start(folder, "").client().socket.close();
+    void clientsThatQueryOnceLeaveRoomForOthers() throws Exception {
+        fixture.descriptorLimit = 192; // 64 for clients' queries, of which a quarter is kept free: the latest 48 may stay
+        List<ServeFixture.Client> clients = new ArrayList<>();
+        fixture.start(folder, "").client().socket.close();
         for (int i = 0; i < 50; i++) {
-            clients.add(sockets.client());
+            clients.add(fixture.client());
             clients.get(i).send("C.GET", "00000000000000aa", "id" + i, "c=read,d=20000");
-            sockets.cache.next().answer(hit("value"));
+            fixture.cache.next().answer(hit("value"));
             assertThat(clients.get(i).answer()).isEqualTo("value");
         }
         for (int i = 0; i < 2; i++) { // well before the general idle timeout
@@ -281,8 +281,8 @@
 
     /** An incomplete command must not hold buffers and a descriptor for ever. */
     @Test
-    void halfACommandIsEndedWithAnError() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void incompleteCommandEndsWithAnError() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.raw("*4\r\n$5\r\nC.GET\r\n$16\r\n0000");
         assertThat(client.answer()).startsWith("-ERR");
         assertThat(client.isAtEnd()).isTrue();
@@ -290,172 +290,172 @@
 
     /** Two queries with one id: the answer could go to the wrong one. */
     @Test
-    void anIdThatIsOpenIsNotTakenAgain() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
-        Sockets.Client other = sockets.client();
+    void duplicateIdIsRefused() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
+        ServeFixture.Client other = fixture.client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=20000");
-        Sockets.Told asked = sockets.cache.next();
+        ServeFixture.Received asked = fixture.cache.next();
         other.send("C.GET", "00000000000000bb", "id1", "c=read,d=20000");
         assertThat(other.answer()).startsWith("-ERR");
         asked.answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
         other.send("C.GET", "00000000000000bb", "id1", "c=read,d=20000"); // sent while the first was open, arrived later
         assertThat(other.answer()).startsWith("-ERR");
-        assertThat(sockets.cache.told).isEmpty();
+        assertThat(fixture.cache.received).isEmpty();
     }
 
     /** Bytes after an answer must not be taken for the answer to the next query. */
     @Test
-    void aSecondCopyBehindAnAnswerIsGivenToNobody() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void duplicateAnswerIsDropped() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
-        Sockets.Told first = sockets.cache.next();
+        ServeFixture.Received first = fixture.cache.next();
         first.answer(hit("one") + hit("one"));
         assertThat(client.answer()).isEqualTo("one");
         client.send("C.GET", "00000000000000aa", "id2", "c=read,d=9000");
-        Sockets.Told second = sockets.cache.next();
-        assertThat(second.from()).isNotSameAs(first.from());
+        ServeFixture.Received second = fixture.cache.next();
+        assertThat(second.connection()).isNotSameAs(first.connection());
         second.answer(MISS);
-        Sockets.Told third = sockets.origin.next();
+        ServeFixture.Received third = fixture.origin.next();
         third.answer("HTTP/1.1 102 Wait\r\n\r\n" + ok("two") + "noise");
         assertThat(client.answer()).isEqualTo("two");
         client.send("C.SET", "00000000000000aa", "id3", "c=put,d=9000", "v");
-        assertThat(sockets.origin.next().from()).isNotSameAs(third.from());
+        assertThat(fixture.origin.next().connection()).isNotSameAs(third.connection());
     }
 
     /** Rules 1 and 2: a malformed answer is neither a value nor a miss nor a rejection. */
     @Test
-    void aSpoiltAnswerIsAnErrorThatMayHaveRun() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void malformedAnswerIsAnErrorThatMayHaveRun() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         String[] spoilt = {"*-1\r\n", "*0\r\n", "*1\r\n$-1\r\n", "*2\r\n$1\r\nx\r\n$-1\r\n", "$1\r\nx\r\n", "+OK\r\n",
             "-BUSYBODY\r\n", "*3\r\n$2\r\nabc\r\n$-1\r\n$-1\r\n", "*3\r\n$3000000000\r\nx"};
         for (int i = 0; i < spoilt.length; i++) {
             client.send("C.GET", String.format("%016x", i), "id" + i, "c=read,d=9000");
-            Sockets.Told asked = sockets.cache.next();
+            ServeFixture.Received asked = fixture.cache.next();
             asked.answer(spoilt[i]);
-            sockets.origin.next().answer(ok("value" + i)); // the only cache has been tried
+            fixture.origin.next().answer(ok("value" + i)); // the only cache has been tried
             assertThat(client.answer()).isEqualTo("value" + i);
             client.send("C.GET", String.format("%016x", i), "other" + i, "c=read,d=9000");
-            Sockets.Told next = sockets.cache.next();
-            assertThat(next.from()).isNotSameAs(asked.from());
+            ServeFixture.Received next = fixture.cache.next();
+            assertThat(next.connection()).isNotSameAs(asked.connection());
             next.answer(hit("fine"));
             assertThat(client.answer()).isEqualTo("fine");
         }
         client.send("C.SET", "00000000000000aa", "id", "c=put,d=9000", "v");
-        sockets.origin.next().answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n");
+        fixture.origin.next().answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n");
         assertThat(client.answer()).startsWith("-ERR");
     }
 
     /** Rule 3: a change in the list takes effect, and the next watch starts at once. */
     @Test
-    void aDrainingCacheGetsNothingNew() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
-        Sockets.Told watch = sockets.list.next();
-        assertThat(watch.words().get(0)).startsWith("GET /registry/instances?from=1&hold_ms=");
+    void drainingCacheGetsNothingNew() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
+        ServeFixture.Received watch = fixture.list.next();
+        assertThat(watch.elements().get(0)).startsWith("GET /registry/instances?from=1&hold_ms=");
         watch.answer(ok("{\"rev\":2,\"all\":false,\"targets\":["
-                + Sockets.entry("s-1", sockets.cache, "m", "draining") + "]}"));
-        assertThat(sockets.list.next().words().get(0)).startsWith("GET /registry/instances?from=2&hold_ms=");
+                + ServeFixture.entry("s-1", fixture.cache, "m", "draining") + "]}"));
+        assertThat(fixture.list.next().elements().get(0)).startsWith("GET /registry/instances?from=2&hold_ms=");
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
-        sockets.origin.next().answer(ok("from the origin"));
+        fixture.origin.next().answer(ok("from the origin"));
         assertThat(client.answer()).isEqualTo("from the origin");
     }
 
     /** Planned restart: accepted queries are answered, and the program exits by itself with status 0. */
     @Test
-    void sigtermLetsWhatWasTakenEnd() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void sigtermLetsOpenQueriesEnd() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
-        Sockets.Told asked = sockets.cache.next();
-        sockets.program.destroy();
+        ServeFixture.Received asked = fixture.cache.next();
+        fixture.program.destroy();
         Thread.sleep(100);
-        Sockets.Client late = sockets.client();
+        ServeFixture.Client late = fixture.client();
         late.send("PING");
         assertThat(late.answer()).isEqualTo("+PONG");
         asked.answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
         assertThat(client.isAtEnd()).isTrue();
-        assertThat(sockets.program.waitFor(Sockets.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-        assertThat(sockets.program.exitValue()).isZero();
+        assertThat(fixture.program.waitFor(ServeFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(fixture.program.exitValue()).isZero();
     }
 
     /** Clients that were closed soon after SIGTERM found no server until the next start, so they are served for as long as possible. */
     @Test
-    void aConnectedClientIsServedUntilShortlyBeforeTheKill() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void connectedClientIsServedUntilShortlyBeforeTheKill() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("PING");
         assertThat(client.answer()).isEqualTo("+PONG");
-        sockets.program.destroy();
+        fixture.program.destroy();
         Thread.sleep(1200); // no more connections are accepted by now, and the kill is 2.5 s away
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
-        sockets.cache.next().answer(hit("value"));
+        fixture.cache.next().answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
         assertThat(client.isAtEnd()).isTrue();
     }
 
     /** Rule 1 at a planned restart: queries without an answer are aborted before the platform kills. */
     @Test
-    void whatCannotEndIsAbortedBeforeTheKill() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
+    void unansweredQueriesAreAbortedBeforeTheKill() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=19000");
-        sockets.cache.next();
-        sockets.program.destroy();
+        fixture.cache.next();
+        fixture.program.destroy();
         assertThat(client.answer()).startsWith("-ERR");
-        assertThat(sockets.program.waitFor(Sockets.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-        assertThat(sockets.program.exitValue()).isZero();
+        assertThat(fixture.program.waitFor(ServeFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(fixture.program.exitValue()).isZero();
     }
 
     /** Rule 2 if executions may not run in parallel: a cancelled execution ends with its connection. */
     @Test
-    void givingUpClosesTheConnectionWhereCopiesAreBarred() throws Exception {
-        Sockets.Client client = sockets.start(folder, ",\"parallelTries\":false").client();
+    void givingUpClosesTheConnectionWithoutParallelExecutions() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, ",\"parallelTries\":false").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=20000");
         client.send("C.GET", "00000000000000bb", "id2", "c=read,d=700");
-        Sockets.Told one = sockets.cache.next();
-        Sockets.Told other = sockets.cache.next();
-        assertThat(other.from()).isNotSameAs(one.from());
-        Sockets.Told given = other.words().contains("id2") ? other : one;
-        Sockets.Client later = sockets.client();
+        ServeFixture.Received one = fixture.cache.next();
+        ServeFixture.Received other = fixture.cache.next();
+        assertThat(other.connection()).isNotSameAs(one.connection());
+        ServeFixture.Received given = other.elements().contains("id2") ? other : one;
+        ServeFixture.Client later = fixture.client();
         later.send("C.GET", "00000000000000cc", "id3", "c=read,d=3000");
         assertThat(later.answer()).startsWith("-BUSY");
-        assertThat(sockets.cache.told).anyMatch(t -> t.words().contains("closed") && t.from() == given.from());
+        assertThat(fixture.cache.received).anyMatch(t -> t.elements().contains("closed") && t.connection() == given.connection());
     }
 
     /** A write could cross the node's own close of an idle connection, so the proxy closes it first. */
     @Test
-    void anIdleConnectionIsClosedBeforeTheNodeWould() throws Exception {
-        Sockets.Client client = sockets.start(folder, ",\"idleCloseS\":2").client();
+    void idleConnectionIsClosedBeforeTheNodeWould() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, ",\"idleCloseS\":2").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
-        Sockets.Told asked = sockets.cache.next();
+        ServeFixture.Received asked = fixture.cache.next();
         asked.answer(hit("value"));
-        Sockets.Told ended = sockets.cache.told.poll(Sockets.PATIENCE_S, TimeUnit.SECONDS);
-        assertThat(ended.words()).containsExactly("closed");
+        ServeFixture.Received ended = fixture.cache.received.poll(ServeFixture.TIMEOUT_S, TimeUnit.SECONDS);
+        assertThat(ended.elements()).containsExactly("closed");
         assertThat(client.answer()).isEqualTo("value");
     }
 
     /** The list service may be down for a while. */
     @Test
-    void aFailedWatchIsBegunAgain() throws Exception {
-        sockets.start(folder, "").client();
-        sockets.list.next().answer("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-        sockets.list.next().from().close();
-        assertThat(sockets.list.next().words().get(0)).startsWith("GET /registry/instances?from=1&hold_ms=");
+    void failedWatchIsReopened() throws Exception {
+        fixture.start(folder, "").client();
+        fixture.list.next().answer("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+        fixture.list.next().connection().close();
+        assertThat(fixture.list.next().elements().get(0)).startsWith("GET /registry/instances?from=1&hold_ms=");
     }
 
     /** SIGHUP would end a JVM by default; here it reloads the configuration, moves the watch, and keeps the old settings if the file is bad. */
     @Test
     void sighupMovesTheWatchAndABadFileChangesNothing() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
-        sockets.list.next().answer(Sockets.nothingNew(7));
-        sockets.list.next();
+        ServeFixture.Client client = fixture.start(folder, "").client();
+        fixture.list.next().answer(ServeFixture.unchangedList(7));
+        fixture.list.next();
         Path config = folder.resolve("config.json");
         String good = Files.readString(config);
         Files.writeString(config, good.substring(0, good.length() / 2));
-        sockets.hangUp();
-        sockets.awaitLog(folder, "configuration not taken");
-        try (Sockets.Peer other = new Sockets.Peer()) {
-            Files.writeString(config, good.replace(sockets.list.endpoint(), other.endpoint()));
-            sockets.hangUp();
-            assertThat(other.next().words().get(0)).startsWith("GET /registry/instances?from=7&hold_ms=");
+        fixture.sendHangUp();
+        fixture.awaitLog(folder, "configuration not taken");
+        try (ServeFixture.StubPeer other = new ServeFixture.StubPeer()) {
+            Files.writeString(config, good.replace(fixture.list.endpoint(), other.endpoint()));
+            fixture.sendHangUp();
+            assertThat(other.next().elements().get(0)).startsWith("GET /registry/instances?from=7&hold_ms=");
         }
         client.send("PING");
         assertThat(client.answer()).isEqualTo("+PONG");
@@ -464,25 +464,25 @@
     /** Clients beyond the connection limit wait to be accepted while all others have an open query. */
     @Test
     void clientsBeyondTheLimitWait() throws Exception {
-        sockets.sockets = 96;
-        List<Sockets.Client> clients = new ArrayList<>();
-        sockets.start(folder, "").client().socket.close();
+        fixture.descriptorLimit = 96;
+        List<ServeFixture.Client> clients = new ArrayList<>();
+        fixture.start(folder, "").client().socket.close();
         for (int i = 0; i < 59; i++) {
-            clients.add(sockets.client());
+            clients.add(fixture.client());
             if (i < 13) {
                 clients.get(i).send("C.SET", "00000000000000aa", "id" + i, "c=put,d=20000", "v");
             } else {
                 clients.get(i).send("C.GET", "00000000000000aa", "id" + i, "c=read,d=20000");
             }
         }
-        Sockets.Client last = sockets.client();
+        ServeFixture.Client last = fixture.client();
         last.send("PING");
         last.socket.setSoTimeout(300);
         assertThatThrownBy(last::answer).isInstanceOf(SocketTimeoutException.class);
-        for (Sockets.Client client : clients) {
+        for (ServeFixture.Client client : clients) {
             client.socket.close();
         }
-        last.socket.setSoTimeout((int) (1000 * Sockets.PATIENCE_S));
+        last.socket.setSoTimeout((int) (1000 * ServeFixture.TIMEOUT_S));
         assertThat(last.answer()).isEqualTo("+PONG");
     }
 
@@ -493,7 +493,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"{\"limits\":{\"memory_mb\":128,\"sockets\":256}}",
         "{\n\"limits\": {\n  \"sockets\": 256,\n  \"memory_mb\"\n:\t\n 128\n}}\n"})
-    void theLauncherBoundsMemoryByTheConfiguration(String text) throws Exception {
+    void launcherBoundsMemoryByTheConfiguration(String text) throws Exception {
         Path tools = Files.createDirectory(folder.resolve("tools"));
         Path java = Files.writeString(tools.resolve("java"), "#!/bin/sh\necho \"$@\"\n");
         assertThat(java.toFile().setExecutable(true)).isTrue();
@@ -501,51 +501,51 @@
         ProcessBuilder launcher = new ProcessBuilder("/bin/sh", "deploy/serve.sh");
         launcher.environment().put("NODE_CONFIG", config.toString());
         launcher.environment().put("PATH", tools.toString());
-        sockets.program = launcher.start();
-        String flags = new String(sockets.program.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        fixture.program = launcher.start();
+        String flags = new String(fixture.program.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         assertThat(flags).contains("-Xms18m -Xmx18m").contains("-XX:MaxDirectMemorySize=32m").endsWith("Serve\n");
     }
 
     /** Reading a long list with one system call per byte takes seconds on a machine where system calls are slow. */
     @Test
-    void theLauncherReadsALongConfigurationInFewCalls() throws Exception {
+    void launcherReadsALongConfigurationInFewCalls() throws Exception {
         Path tools = Files.createDirectory(folder.resolve("tools"));
         Path java = Files.writeString(tools.resolve("java"), "#!/bin/sh\nwhile read -r line; do echo \"$line\"; done < /proc/$$/io\n");
         assertThat(java.toFile().setExecutable(true)).isTrue();
-        Path config = Files.writeString(folder.resolve("config"), "{\"known\":\"" + "v".repeat(LONG_LIST) + "\",\"limits\":{\"memory_mb\":128}}");
+        Path config = Files.writeString(folder.resolve("config"), "{\"known\":\"" + "v".repeat(LONG_LIST_BYTES) + "\",\"limits\":{\"memory_mb\":128}}");
         ProcessBuilder launcher = new ProcessBuilder("/bin/sh", "deploy/serve.sh");
         launcher.environment().put("NODE_CONFIG", config.toString());
         launcher.environment().put("PATH", tools.toString());
-        sockets.program = launcher.start();
-        String io = new String(sockets.program.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        fixture.program = launcher.start();
+        String io = new String(fixture.program.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         long reads = io.lines().filter(line -> line.startsWith("syscr: ")).mapToLong(line -> Long.parseLong(line.substring(7))).findFirst().orElseThrow();
-        assertThat(reads).isLessThan(LONG_LIST / 100);
+        assertThat(reads).isLessThan(LONG_LIST_BYTES / 100);
     }
 
     /** Code that is slow on its first run is warmed up before the first client is accepted, without contacting nodes. */
     @Test
-    void queriesAreRehearsedBeforeTheFirstClient() throws Exception {
-        assertThat(sockets.start(folder, "").client().socket.isConnected()).isTrue();
-        sockets.awaitLog(folder, "rehearsed: true");
-        assertThat(sockets.cache.told).isEmpty();
-        assertThat(sockets.origin.told).isEmpty();
+    void warmUpRunsBeforeTheFirstClient() throws Exception {
+        assertThat(fixture.start(folder, "").client().socket.isConnected()).isTrue();
+        fixture.awaitLog(folder, "rehearsed: true");
+        assertThat(fixture.cache.received).isEmpty();
+        assertThat(fixture.origin.received).isEmpty();
     }
 
     /** The class archive is created by a check run and contains the classes which that run used, so it has to use sockets. */
     @Test
-    void aCheckUsesSockets() throws Exception {
-        sockets.command = "serve --check";
-        sockets.start(folder, "");
-        assertThat(sockets.list.next().words().get(0)).startsWith("GET /registry/instances");
-        assertThat(sockets.program.waitFor(Sockets.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-        assertThat(sockets.program.exitValue()).isZero();
+    void checkUsesSockets() throws Exception {
+        fixture.command = "serve --check";
+        fixture.start(folder, "");
+        assertThat(fixture.list.next().elements().get(0)).startsWith("GET /registry/instances");
+        assertThat(fixture.program.waitFor(ServeFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(fixture.program.exitValue()).isZero();
     }
 
     @Test
-    void aFaultySettingIsNamed() throws Exception {
-        sockets.start(folder, ",\"mostHeld\":\"many\"");
-        assertThat(sockets.program.waitFor(Sockets.PATIENCE_S, TimeUnit.SECONDS)).isTrue();
-        assertThat(sockets.program.exitValue()).isEqualTo(1);
+    void faultySettingIsNamed() throws Exception {
+        fixture.start(folder, ",\"mostHeld\":\"many\"");
+        assertThat(fixture.program.waitFor(ServeFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
+        assertThat(fixture.program.exitValue()).isEqualTo(1);
         assertThat(Files.readString(folder.resolve("log"))).contains("settings.ceilings.mostHeld");
     }
 }
--- a/src/test/java/dappleseam/proxy/WallClockTest.java
+++ b/src/test/java/dappleseam/proxy/WallClockTest.java
@@ -14,36 +14,36 @@
     private static final long HOUR_MS = 3_600_000;
     private static final int KEYS = 200;
     /** Of {@link #KEYS} keys a warm cache next to another one owns about half; a cold one gets half of that, or less. */
-    private static final int WARM_LEAST = 75;
-    private static final int COLD_MOST = 65;
+    private static final int MIN_WARM = 75;
+    private static final int MAX_COLD = 65;
 
     @TempDir
     Path folder;
-    private Sockets sockets;
-    private Sockets.Peer second;
+    private ServeFixture fixture;
+    private ServeFixture.StubPeer second;
 
     @BeforeEach
     void prepare() throws Exception {
-        sockets = new Sockets();
-        second = new Sockets.Peer();
-        sockets.cache.always = Sockets.hit("first");
-        second.always = Sockets.hit("second");
+        fixture = new ServeFixture();
+        second = new ServeFixture.StubPeer();
+        fixture.cache.constantAnswer = ServeFixture.hit("first");
+        second.constantAnswer = ServeFixture.hit("second");
     }
 
     @AfterEach
     void end() throws Exception {
         second.close();
-        sockets.close();
+        fixture.close();
     }
 
-    private String listOf(int version, boolean whole, long bootMs) {
-        String all = Sockets.entry("s-1", sockets.cache, "m", "ready") + "," + Sockets.entry("s-0", sockets.origin, "origin", "ready") + ",";
-        String entry = Sockets.entry("s-2", second, "m", "ready").replace("\"boot_ms\":0", "\"boot_ms\":" + bootMs);
-        return Sockets.ok("{\"rev\":" + version + ",\"all\":" + whole + ",\"targets\":[" + (whole ? all : "") + entry + "]}");
+    private String listAnswer(int version, boolean whole, long bootMs) {
+        String all = ServeFixture.entry("s-1", fixture.cache, "m", "ready") + "," + ServeFixture.entry("s-0", fixture.origin, "origin", "ready") + ",";
+        String entry = ServeFixture.entry("s-2", second, "m", "ready").replace("\"boot_ms\":0", "\"boot_ms\":" + bootMs);
+        return ServeFixture.ok("{\"rev\":" + version + ",\"all\":" + whole + ",\"targets\":[" + (whole ? all : "") + entry + "]}");
     }
 
     /** Sends queries and counts those that the second cache answers. */
-    private int countAtSecond(Sockets.Client client) throws Exception {
+    private int countAtSecond(ServeFixture.Client client) throws Exception {
         int count = 0;
         for (int i = 0; i < KEYS; i++) {
             client.send("C.GET", String.format("%016x", 0x9e3779b97f4a7c15L * i), "id" + System.nanoTime(), "c=read,d=5000");
@@ -52,32 +52,32 @@
         return count;
     }
 
-    private Sockets.Client afterNews(Sockets.Client client, String list) throws Exception {
-        sockets.list.next().answer(list);
-        sockets.awaitLog(folder, "node s-2 is");
+    private ServeFixture.Client applyList(ServeFixture.Client client, String list) throws Exception {
+        fixture.list.next().answer(list);
+        fixture.awaitLog(folder, "node s-2 is");
         client.send("PING"); // read after the list
         assertThat(client.answer()).isEqualTo("+PONG");
         return client;
     }
 
     @Test
-    void aCacheThatIsNewInTheWatchIsColdThoughTheProxysClockIsAnHourAhead() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
-        assertThat(countAtSecond(afterNews(client, listOf(2, false, System.currentTimeMillis() - HOUR_MS)))).isLessThan(COLD_MOST);
+    void newCacheInTheWatchIsColdWithTheProxyClockAnHourAhead() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
+        assertThat(countAtSecond(applyList(client, listAnswer(2, false, System.currentTimeMillis() - HOUR_MS)))).isLessThan(MAX_COLD);
     }
 
     @Test
-    void aCacheThatIsNewInTheWatchIsWarmInTimeThoughTheProxysClockIsAnHourBehind() throws Exception {
-        Sockets.Client client = sockets.start(folder, "").client();
-        afterNews(client, listOf(2, false, System.currentTimeMillis() + HOUR_MS));
+    void newCacheInTheWatchWarmsUpWithTheProxyClockAnHourBehind() throws Exception {
+        ServeFixture.Client client = fixture.start(folder, "").client();
+        applyList(client, listAnswer(2, false, System.currentTimeMillis() + HOUR_MS));
         TimeUnit.MILLISECONDS.sleep(5500); // warm after 5 s
-        assertThat(countAtSecond(sockets.client())).isGreaterThan(WARM_LEAST);
+        assertThat(countAtSecond(fixture.client())).isGreaterThan(MIN_WARM);
     }
 
     /** The first list of a process contains a cold cache next to one that started long before. */
     @Test
-    void aColdCacheInTheFirstListIsColdThoughTheProxysClockIsAnHourAhead() throws Exception {
-        sockets.list.first = listOf(2, true, System.currentTimeMillis() - HOUR_MS);
-        assertThat(countAtSecond(sockets.start(folder, "").client())).isLessThan(COLD_MOST);
+    void coldCacheInTheFirstListIsColdWithTheProxyClockAnHourAhead() throws Exception {
+        fixture.list.firstAnswer = listAnswer(2, true, System.currentTimeMillis() - HOUR_MS);
+        assertThat(countAtSecond(fixture.start(folder, "").client())).isLessThan(MAX_COLD);
     }
 }
