--- a/src/test/java/dappleseam/fleet/lease/VoterTest.java
+++ b/src/test/java/dappleseam/fleet/lease/VoterTest.java
@@ -163,7 +163,7 @@
         voter.propose(2000, ASKS, TERMS.fingerprint(), LEASE, new Token(5, 1), 0);
         assertThat(last()).contains("NOT_WRITTEN");
         voter.ask(2000, ASKS, TERMS.fingerprint(), LEASE);
-        assertThat(last()).startsWith("told x l 0 0");
+        assertThat(last()).startsWith("status x l 0 0");
     }
 
     @Test
