--- a/src/main/java/dappleseam/proxy/FleetBridge.java
+++ b/src/main/java/dappleseam/proxy/FleetBridge.java
@@ -105,7 +105,7 @@
     @Override
     public void update(double nowMs, List<NodeHealth> health, Map<NodeId, Double> caches) {
         Map<NodeId, NodeHealth> now = new HashMap<>();
-        health.forEach(one -> now.put(one.node(), one));
+        health.forEach(entry -> now.put(entry.node(), entry));
         nodeHealth = now;
         caches.forEach((node, started) -> {
             if (!started.equals(startedAt.get(node))) { // findings on the previous process do not apply to a restarted one
@@ -150,8 +150,8 @@
     }
 
     private double ejectedUntil(NodeId node) {
-        NodeHealth one = nodeHealth.get(node);
-        return one == null || one.startedAtMs() != startedAt.getOrDefault(node, Double.NaN) ? 0 : one.ejectedUntilMs();
+        NodeHealth entry = nodeHealth.get(node);
+        return entry == null || entry.startedAtMs() != startedAt.getOrDefault(node, Double.NaN) ? 0 : entry.ejectedUntilMs();
     }
 
     @Override
@@ -176,12 +176,12 @@
         List<NodeHealth> changed = new ArrayList<>();
         for (Ejection ejection : ejectionPolicy.decide(nowMs, verdicts, caches)) {
             NodeHealth previous = nodeHealth.get(ejection.node());
-            NodeHealth one = previous == null ? new NodeHealth(ejection.node(), ejection.startedAtMs(), ejection.ejectedUntilMs(), 0, 0, 0)
+            NodeHealth entry = previous == null ? new NodeHealth(ejection.node(), ejection.startedAtMs(), ejection.ejectedUntilMs(), 0, 0, 0)
                     : new NodeHealth(ejection.node(), ejection.startedAtMs(), ejection.ejectedUntilMs(), previous.busyUntilMs(), previous.idleWeight(), previous.shedShare());
-            changed.add(one);
+            changed.add(entry);
         }
         if (!changed.isEmpty()) {
-            changed.forEach(one -> nodeHealth.put(one.node(), one)); // until the next update from the router
+            changed.forEach(entry -> nodeHealth.put(entry.node(), entry)); // until the next update from the router
             applyEjections.accept(changed);
         }
     }
--- a/src/main/java/dappleseam/proxy/Proxy.java
+++ b/src/main/java/dappleseam/proxy/Proxy.java
@@ -99,19 +99,19 @@
         final String gradeName;
         /** The grade's settings at the time it was accepted. */
         final ServiceGrade serviceGrade;
-        final int maxExecutions;
+        final int mostExecutions;
         final double clientDeadlineMs;
         final List<SentExecution> executions = new ArrayList<>(3);
         IoLoop.PendingTask abortTimer;
         boolean answered;
         int openExecutions;
 
-        PendingQuery(Command command, PendingReply reply, String gradeName, ServiceGrade serviceGrade, int maxExecutions, double clientDeadlineMs) {
+        PendingQuery(Command command, PendingReply reply, String gradeName, ServiceGrade serviceGrade, int mostExecutions, double clientDeadlineMs) {
             this.command = command;
             this.reply = reply;
             this.gradeName = gradeName;
             this.serviceGrade = serviceGrade;
-            this.maxExecutions = maxExecutions;
+            this.mostExecutions = mostExecutions;
             this.clientDeadlineMs = clientDeadlineMs;
         }
     }
@@ -422,7 +422,7 @@
         Execution execution = new Execution(id, pendingQuery.executions.size(), pendingQuery.command, now, until, this);
         Backend backend = nodes.backend(node);
         pendingQuery.openExecutions++;
-        if (!clientIsHere || pendingQuery.answered || backend == null || pendingQuery.executions.size() >= pendingQuery.maxExecutions) {
+        if (!clientIsHere || pendingQuery.answered || backend == null || pendingQuery.executions.size() >= pendingQuery.mostExecutions) {
             pendingQuery.executions.add(new SentExecution(execution, node, null, () -> { }));
             execution.end(ExecutionResult.of(Outcome.UNSENT));
             return;
--- a/src/test/java/dappleseam/proxy/FleetBridgeTest.java
+++ b/src/test/java/dappleseam/proxy/FleetBridgeTest.java
@@ -47,8 +47,8 @@
         return bridge.observations().stream().filter(s -> s.node().equals(ONE)).findFirst().orElseThrow();
     }
 
-    private void update(Map<NodeId, Double> caches, NodeHealth... learnt) {
-        bridge.update(now, List.of(learnt), caches);
+    private void update(Map<NodeId, Double> caches, NodeHealth... nodeHealth) {
+        bridge.update(now, List.of(nodeHealth), caches);
     }
 
     /** A smaller share applies after a moment, a larger one in steps, and without an assignment the share returns to the settings' in steps. */
--- a/src/test/java/dappleseam/proxy/FleetMembershipTest.java
+++ b/src/test/java/dappleseam/proxy/FleetMembershipTest.java
@@ -85,13 +85,13 @@
         ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/counters", "app_fleet_joined 1\n");
         SplittableRandom random = new SplittableRandom(1);
         MemberEntry self = new MemberEntry(new MemberName("x"), new InetSocketAddress("127.0.0.1", 9), new Generation(1, 1), 0, MemberEntry.State.ALIVE, 0);
-        byte[] sound = new MessageCodec("f").encode(new FleetMessage(FleetMessage.Kind.NACK, self, 1, null, null, List.of(), false, null));
+        byte[] valid = new MessageCodec("f").encode(new FleetMessage(FleetMessage.Kind.NACK, self, 1, null, null, List.of(), false, null));
         try (DatagramSocket from = new DatagramSocket()) {
             for (int i = 0; i < 6000; i++) {
                 byte[] bytes = new byte[1 + random.nextInt(1600)];
                 random.nextBytes(bytes);
                 if (i % 3 == 0 && bytes.length > 1) { // starts like a valid datagram
-                    System.arraycopy(sound, 0, bytes, 0, 2);
+                    System.arraycopy(valid, 0, bytes, 0, 2);
                 }
                 from.send(new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), fleetPort));
                 if (i % 1000 == 0) {
@@ -101,18 +101,18 @@
                 }
             }
         }
-        String figures = "";
-        for (int i = 0; i < 500 && !(isCounted(figures, "size") && isCounted(figures, "version") && isCounted(figures, "damaged")); i++) {
-            figures = fixture.request("GET /control/counters");
+        String metrics = "";
+        for (int i = 0; i < 500 && !(isCounted(metrics, "size") && isCounted(metrics, "version") && isCounted(metrics, "damaged")); i++) {
+            metrics = fixture.request("GET /control/counters");
             Thread.sleep(20);
         }
-        assertThat(isCounted(figures, "size") && isCounted(figures, "version") && isCounted(figures, "damaged")).as(figures).isTrue();
-        assertThat(figures).contains("app_fleet_members{state=\"alive\"} 1\n", "app_fleet_datagrams_sent_total 0\n");
+        assertThat(isCounted(metrics, "size") && isCounted(metrics, "version") && isCounted(metrics, "damaged")).as(metrics).isTrue();
+        assertThat(metrics).contains("app_fleet_members{state=\"alive\"} 1\n", "app_fleet_datagrams_sent_total 0\n");
         assertThat(Files.readString(folder.resolve("log"))).doesNotContain("ERROR");
     }
 
-    private static boolean isCounted(String figures, String why) {
-        return figures.matches("(?s).*app_fleet_datagrams_dropped_total\\{why=\"" + why + "\"\\} [1-9].*");
+    private static boolean isCounted(String metrics, String why) {
+        return metrics.matches("(?s).*app_fleet_datagrams_dropped_total\\{why=\"" + why + "\"\\} [1-9].*");
     }
 
     @Test
--- a/src/test/java/dappleseam/proxy/LongValuesTest.java
+++ b/src/test/java/dappleseam/proxy/LongValuesTest.java
@@ -160,14 +160,14 @@
             writer.start();
         }
         for (int i = 0; i < writers; i++) {
-            ServeFixture.Received asked = fixture.origin.next();
-            int which = Integer.parseInt(asked.elements().stream().filter(w -> w.startsWith("X-Correlation-Id: w"))
+            ServeFixture.Received incoming = fixture.origin.next();
+            int index = Integer.parseInt(incoming.elements().stream().filter(w -> w.startsWith("X-Correlation-Id: w"))
                     .findFirst().orElseThrow().substring(19));
-            assertThat(asked.elements()).contains("Content-Length: " + VALUE_BYTES);
-            assertThat(asked.elements().get(asked.elements().size() - 1).getBytes(StandardCharsets.ISO_8859_1))
-                    .isEqualTo(value(which));
-            asked.answer(ServeFixture.ok("receipt"));
-            assertThat(clients.get(which).answer()).isEqualTo("receipt");
+            assertThat(incoming.elements()).contains("Content-Length: " + VALUE_BYTES);
+            assertThat(incoming.elements().get(incoming.elements().size() - 1).getBytes(StandardCharsets.ISO_8859_1))
+                    .isEqualTo(value(index));
+            incoming.answer(ServeFixture.ok("receipt"));
+            assertThat(clients.get(index).answer()).isEqualTo("receipt");
         }
     }
 
@@ -178,9 +178,9 @@
         fixture.origin.readsBodies = false;
         ServeFixture.Client client = fixture.client();
         client.send("C.SET", "00000000000000aa", "id1", "c=put,d=9000", "X".repeat(VALUE_BYTES));
-        for (ServeFixture.Received asked = fixture.origin.next(); asked != null; asked = fixture.origin.received.poll(500,
+        for (ServeFixture.Received incoming = fixture.origin.next(); incoming != null; incoming = fixture.origin.received.poll(500,
                 java.util.concurrent.TimeUnit.MILLISECONDS)) {
-            asked.connection().close();
+            incoming.connection().close();
         }
         assertThat(client.answer()).startsWith("-BUSY");
     }
--- a/src/test/java/dappleseam/proxy/NodeHealthFileTest.java
+++ b/src/test/java/dappleseam/proxy/NodeHealthFileTest.java
@@ -44,9 +44,9 @@
         assertThatThrownBy(() -> NodeHealthFile.read(file, settings("\"m\""), 15_001)).hasMessage("too old");
         assertThatThrownBy(() -> NodeHealthFile.read(file, settings("\"m\""), 3000)).hasMessage("saved in the future");
         assertThatThrownBy(() -> NodeHealthFile.read(file, settings("\"n\""), 5000)).hasMessage("saved under other settings");
-        byte[] whole = Files.readAllBytes(file);
-        for (int cut : new int[] {0, 5, 40, whole.length - 1}) {
-            Files.write(file, java.util.Arrays.copyOf(whole, cut));
+        byte[] wholeFile = Files.readAllBytes(file);
+        for (int cut : new int[] {0, 5, 40, wholeFile.length - 1}) {
+            Files.write(file, java.util.Arrays.copyOf(wholeFile, cut));
             assertThatThrownBy(() -> NodeHealthFile.read(file, settings("\"m\""), 5000)).isInstanceOf(IOException.class);
         }
         assertThatThrownBy(() -> NodeHealthFile.read(folder.resolve("none"), settings("\"m\""), 5000))
@@ -56,9 +56,9 @@
     @Test
     void onlyInvalidEntriesAreLeftOut() throws IOException {
         Path file = folder.resolve("learnt");
-        String sound = "{\"node\":\"a\",\"started\":1,\"aside\":2,\"busy\":3,\"idle\":4,\"shed\":0.5}";
-        String nodes = String.join(",", sound, sound.replace("0.5", "1.5"), sound.replace("\"a\"", "\"zz\""),
-                sound.replace("\"busy\":3", "\"busy\":-3"), sound.replace("\"idle\":4,", ""), "7");
+        String valid = "{\"node\":\"a\",\"started\":1,\"aside\":2,\"busy\":3,\"idle\":4,\"shed\":0.5}";
+        String nodes = String.join(",", valid, valid.replace("0.5", "1.5"), valid.replace("\"a\"", "\"zz\""),
+                valid.replace("\"busy\":3", "\"busy\":-3"), valid.replace("\"idle\":4,", ""), "7");
         ChecksummedFile.write(file, "dappleseam-learnt-2",
                 json -> json.writeRaw("{\"deployment\":\"m;a,b\",\"at\":5000,\"nodes\":[" + nodes + "]}"));
         assertThat(NodeHealthFile.read(file, settings("\"m\""), 5000))
--- a/src/test/java/dappleseam/proxy/OperationsTest.java
+++ b/src/test/java/dappleseam/proxy/OperationsTest.java
@@ -72,14 +72,14 @@
     @Test
     void controlServerAnswersDespiteIncompleteRequests() throws Exception {
         fixture.start(folder, "").client();
-        List<Socket> halves = new ArrayList<>();
+        List<Socket> incomplete = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             Socket half = new Socket("127.0.0.1", fixture.controlPort);
             half.getOutputStream().write("GET /control/rea".getBytes(StandardCharsets.US_ASCII));
-            halves.add(half);
+            incomplete.add(half);
         }
         ServeFixture.awaitAnswer(fixture.controlPort, "GET /control/ready", "HTTP/1.1 200 OK");
-        for (Socket half : halves) {
+        for (Socket half : incomplete) {
             half.setSoTimeout(10_000);
             assertThat(half.getInputStream().read()).isNegative(); // each is closed by the timeout
             half.close();
@@ -114,15 +114,15 @@
         idle.send("PING");
         assertThat(idle.answer()).isEqualTo("+PONG");
         sendRead(busy, "id1");
-        ServeFixture.Received asked = fixture.cache.next();
+        ServeFixture.Received incoming = fixture.cache.next();
         assertThat(fixture.request("POST /control/out-of-service")).startsWith("HTTP/1.1 200");
         assertThat(fixture.request("GET /control/ready")).startsWith("HTTP/1.1 503");
-        ServeFixture.Client late = fixture.client();
-        late.send("PING");
-        assertThat(late.answer()).startsWith("-ERR");
+        ServeFixture.Client lateClient = fixture.client();
+        lateClient.send("PING");
+        assertThat(lateClient.answer()).startsWith("-ERR");
         assertThat(idle.isAtEnd()).isTrue();
-        assertThat(late.isAtEnd()).isTrue();
-        asked.answer(hit("value"));
+        assertThat(lateClient.isAtEnd()).isTrue();
+        incoming.answer(hit("value"));
         assertThat(busy.answer()).isEqualTo("value");
         assertThat(busy.isAtEnd()).isTrue();
         assertThat(fixture.request("POST /control/in-service")).startsWith("HTTP/1.1 200");
@@ -139,9 +139,9 @@
         Thread cache = new Thread(() -> {
             try {
                 while (true) {
-                    ServeFixture.Received asked = fixture.cache.next();
+                    ServeFixture.Received incoming = fixture.cache.next();
                     Thread.sleep(30);
-                    asked.answer(hit("value"));
+                    incoming.answer(hit("value"));
                 }
             } catch (IOException | InterruptedException | AssertionError e) {
                 return; // the test is over
@@ -233,7 +233,7 @@
     void newProcessTakesOverUnderLoad() throws Exception {
         ServeFixture.Client writer = fixture.start(folder, "").client();
         writer.send("C.SET", "00000000000000aa", "w1", "c=put,d=9000", "v");
-        ServeFixture.Received asked = fixture.origin.next();
+        ServeFixture.Received incoming = fixture.origin.next();
         startSecond();
         fixture.program.destroy(); // SIGTERM
         fixture.awaitLog(folder, "another process takes the clients");
@@ -243,7 +243,7 @@
             assertThat(client.answer()).isEqualTo("+PONG");
             client.socket.close();
         }
-        asked.answer(ok("receipt"));
+        incoming.answer(ok("receipt"));
         assertThat(writer.answer()).isEqualTo("receipt");
         assertThat(writer.isAtEnd()).isTrue();
         assertThat(fixture.program.waitFor(2, TimeUnit.SECONDS)).isTrue();
@@ -255,14 +255,14 @@
     @Test
     void oldProcessServesOnWhenTheNewOneDies() throws Exception {
         fixture.start(folder, "").client();
-        int door = startSecond();
+        int oldControlPort = startSecond();
         second.destroyForcibly().waitFor();
         fixture.awaitLog(folder, "alone on this address");
         ServeFixture.Client client = fixture.client();
         sendRead(client, "id1");
         fixture.cache.next().answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
-        assertThat(ServeFixture.request(door, "GET /control/ready HTTP/1.1")).startsWith("HTTP/1.1 200");
+        assertThat(ServeFixture.request(oldControlPort, "GET /control/ready HTTP/1.1")).startsWith("HTTP/1.1 200");
         fixture.program.destroy();
         fixture.awaitLog(folder, "no other process is here");
     }
--- a/src/test/java/dappleseam/proxy/RaceConditionsTest.java
+++ b/src/test/java/dappleseam/proxy/RaceConditionsTest.java
@@ -67,10 +67,10 @@
         ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
         fixture.cache.next().answer(MISS);
-        ServeFixture.Received asked = fixture.origin.next();
-        asked.answer(NO_LENGTH + "half");
+        ServeFixture.Received incoming = fixture.origin.next();
+        incoming.answer(NO_LENGTH + "half");
         awaitLoopTurn(fixture.client());
-        reset(asked.connection());
+        reset(incoming.connection());
         fixture.origin.next().answer(ok("whole"));
         assertThat(client.answer()).isEqualTo("whole");
     }
@@ -80,9 +80,9 @@
         ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
         fixture.cache.next().answer(MISS);
-        ServeFixture.Received asked = fixture.origin.next();
-        asked.answer(NO_LENGTH + "whole");
-        asked.connection().shutdownOutput();
+        ServeFixture.Received incoming = fixture.origin.next();
+        incoming.answer(NO_LENGTH + "whole");
+        incoming.connection().shutdownOutput();
         assertThat(client.answer()).isEqualTo("whole");
     }
 
@@ -94,9 +94,9 @@
         ServeFixture.Received atCache = fixture.cache.next();
         long from = System.nanoTime();
         Thread.sleep(300); // the timeout sent to the origin must be shorter by at least this time
-        long gone = (System.nanoTime() - from) / 1_000_000;
+        long elapsedMs = (System.nanoTime() - from) / 1_000_000;
         atCache.answer(MISS);
-        assertThat(timeoutSentMs(fixture.origin.next())).isBetween(1000L, 9000 - gone);
+        assertThat(timeoutSentMs(fixture.origin.next())).isBetween(1000L, 9000 - elapsedMs);
     }
 
     private String drainingList(int version) {
@@ -116,10 +116,10 @@
         fixture.start(folder, "");
         ServeFixture.Received silent = fixture.list.next();
         long from = System.nanoTime();
-        ServeFixture.Received anew = fixture.list.next();
+        ServeFixture.Received reopened = fixture.list.next();
         assertThat((System.nanoTime() - from) / 1e9).isLessThan(5);
-        assertThat(anew.connection()).isNotSameAs(silent.connection());
-        anew.answer(ok(drainingList(2)));
+        assertThat(reopened.connection()).isNotSameAs(silent.connection());
+        reopened.answer(ok(drainingList(2)));
         fixture.list.next();
         assertNothingGoesToTheCache(fixture.client());
     }
@@ -189,18 +189,18 @@
     @Test
     void noFurtherExecutionForAClosedClient() throws Exception {
         fixture.start(folder, ",\"streamsPerConn\":1");
-        List<ServeFixture.Received> asked = new ArrayList<>();
+        List<ServeFixture.Received> incoming = new ArrayList<>();
         List<ServeFixture.Client> clients = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             ServeFixture.Client client = fixture.client();
             client.send("C.GET", "00000000000000a" + i, "id" + i, "c=read,d=9000");
-            asked.add(fixture.cache.next());
+            incoming.add(fixture.cache.next());
             clients.add(client);
         }
         ServeFixture.Client other = fixture.client();
         awaitLoopTurn(other);
         fixture.signal("STOP"); // all that is sent now is read at once, in no particular order
-        for (ServeFixture.Received one : asked) {
+        for (ServeFixture.Received one : incoming) {
             one.answer(MISS);
         }
         for (ServeFixture.Client client : clients) {
@@ -288,11 +288,11 @@
     }
 
     /** Starts the program with the delayed peer's endpoint in place of one of its peers. */
-    private void startWith(ServeFixture.StubPeer peer, DelayedPeer late, String more, String firstList) throws Exception {
+    private void startWith(ServeFixture.StubPeer peer, DelayedPeer delayedPeer, String more, String firstList) throws Exception {
         fixture.start(folder, more).client();
         fixture.program.destroyForcibly().waitFor();
         Path config = folder.resolve("config.json");
-        Files.writeString(config, Files.readString(config).replace(peer.endpoint(), late.endpoint()));
+        Files.writeString(config, Files.readString(config).replace(peer.endpoint(), delayedPeer.endpoint()));
         fixture.list.firstAnswer = firstList;
         fixture.program = fixture.launch(folder, config);
     }
@@ -300,11 +300,11 @@
     /** A connection that is established after its query's client has left carries the next query instead. */
     @Test
     void queuedQueryOfAClosedClientIsNeverForwarded() throws Exception {
-        try (DelayedPeer late = new DelayedPeer()) {
-            startWith(fixture.cache, late, ",\"mayCancel\":false", unchangedList(1));
+        try (DelayedPeer delayedPeer = new DelayedPeer()) {
+            startWith(fixture.cache, delayedPeer, ",\"mayCancel\":false", unchangedList(1));
             ServeFixture.Client client = fixture.client();
             awaitLoopTurn(client);
-            late.fill();
+            delayedPeer.fill();
             client.send("C.GET", "00000000000000aa", "left", "c=read,d=9000");
             ServeFixture.Client other = fixture.client();
             awaitLoopTurn(other);
@@ -312,7 +312,7 @@
             awaitLoopTurn(other);
             other.send("C.GET", "00000000000000aa", "stays", "c=read,d=9000");
             awaitLoopTurn(fixture.client());
-            ServeFixture.Received first = late.next();
+            ServeFixture.Received first = delayedPeer.next();
             assertThat(first.elements()).contains("stays");
             first.answer(hit("value"));
             assertThat(other.answer()).isEqualTo("value");
@@ -325,20 +325,20 @@
      */
     @Test
     void queryReadWhileConnectingIsNotSentOnThatConnection() throws Exception {
-        try (DelayedPeer late = new DelayedPeer()) {
-            startWith(fixture.cache, late, ",\"streamsPerConn\":1", unchangedList(1));
+        try (DelayedPeer delayedPeer = new DelayedPeer()) {
+            startWith(fixture.cache, delayedPeer, ",\"streamsPerConn\":1", unchangedList(1));
             ServeFixture.Client client = fixture.client();
             awaitLoopTurn(client);
-            late.fill();
+            delayedPeer.fill();
             client.send("C.GET", "00000000000000aa", "first", "c=read,d=9000");
             awaitLoopTurn(fixture.client());
             fixture.signal("STOP");
-            late.emptyQueue();
-            Socket cameUp = late.accept();
+            delayedPeer.emptyQueue();
+            Socket cameUp = delayedPeer.accept();
             client.send("C.GET", "00000000000000ab", "second", "c=read,d=9000");
             fixture.signal("CONT");
             List<String> one = ServeFixture.readMessage(new BufferedInputStream(cameUp.getInputStream()), true);
-            List<String> other = late.next().elements();
+            List<String> other = delayedPeer.next().elements();
             assertThat(List.of(one.get(2), other.get(2))).containsExactlyInAnyOrder("first", "second");
         }
     }
@@ -346,23 +346,23 @@
     /** Rule 3: an execution that waits for a connection to a node that starts to drain goes elsewhere, and is not sent when the connection is established. */
     @Test
     void drainEndsExecutionsThatWaitForAConnection() throws Exception {
-        try (DelayedPeer late = new DelayedPeer()) {
-            startWith(fixture.cache, late, "", unchangedList(1));
+        try (DelayedPeer delayedPeer = new DelayedPeer()) {
+            startWith(fixture.cache, delayedPeer, "", unchangedList(1));
             ServeFixture.Client client = fixture.client();
             awaitLoopTurn(client);
-            late.fill();
+            delayedPeer.fill();
             client.send("C.GET", "00000000000000aa", "waits", "c=read,d=9000");
             awaitLoopTurn(fixture.client());
-            String there = ServeFixture.entry("s-1", fixture.cache, "m", "draining").replace(fixture.cache.endpoint(), late.endpoint());
+            String there = ServeFixture.entry("s-1", fixture.cache, "m", "draining").replace(fixture.cache.endpoint(), delayedPeer.endpoint());
             nextWatch().answer(ok("{\"rev\":2,\"all\":false,\"targets\":[" + there + "]}"));
-            ServeFixture.Received told = nextWatch();
-            late.emptyQueue(); // the connection is established at the system's retry, after 1 s
+            ServeFixture.Received watch = nextWatch();
+            delayedPeer.emptyQueue(); // the connection is established at the system's retry, after 1 s
             fixture.origin.next().answer(ok("elsewhere"));
             assertThat(client.answer()).isEqualTo("elsewhere");
-            told.answer(ok("{\"rev\":3,\"all\":false,\"targets\":[" + there.replace("draining", "ready") + "]}"));
+            watch.answer(ok("{\"rev\":3,\"all\":false,\"targets\":[" + there.replace("draining", "ready") + "]}"));
             nextWatch();
             client.send("C.GET", "00000000000000aa", "later", "c=read,d=9000");
-            assertThat(late.next().elements()).contains("later");
+            assertThat(delayedPeer.next().elements()).contains("later");
         }
     }
 
@@ -380,17 +380,17 @@
     void nothingIsSentForAnAnsweredQuery() throws Exception {
         fixture.grades = "{\"name\":\"quick\",\"semantics\":\"read_like\",\"sloTimeS\":0.4,\"tardyImportance\":0.5,\"statementTimeoutS\":9},"
                 + fixture.grades;
-        try (DelayedPeer late = new DelayedPeer()) {
-            startWith(fixture.cache, late, ",\"mayCancel\":false", ok("{\"rev\":2,\"all\":false,\"targets\":["
-                    + ServeFixture.entry("s-2", fixture.cache, "m", "ready").replace(fixture.cache.endpoint(), late.endpoint()) + "]}"));
+        try (DelayedPeer delayedPeer = new DelayedPeer()) {
+            startWith(fixture.cache, delayedPeer, ",\"mayCancel\":false", ok("{\"rev\":2,\"all\":false,\"targets\":["
+                    + ServeFixture.entry("s-2", fixture.cache, "m", "ready").replace(fixture.cache.endpoint(), delayedPeer.endpoint()) + "]}"));
             ServeFixture.Client client = fixture.client();
             awaitLoopTurn(client);
-            late.fill();
+            delayedPeer.fill();
             client.send("C.GET", "00000000000000aa", "answered", "c=quick,d=9000");
             fixture.origin.next().answer(ok("copy")); // the second copy, sent after 0.6 of the SLO time
             assertThat(client.answer()).isEqualTo("copy");
             client.send("C.GET", "00000000000000bb", "next", "c=read,d=9000");
-            assertThat(late.next().elements()).contains("next");
+            assertThat(delayedPeer.next().elements()).contains("next");
         }
     }
 
@@ -399,19 +399,19 @@
     void repeatIsNotSentAfterItsWindow() throws Exception {
         fixture.grades = "{\"name\":\"put\",\"semantics\":\"idempotency_key\",\"group\":\"all\",\"windowS\":0.6,"
                 + "\"sloTimeS\":9,\"statementTimeoutS\":9}";
-        try (DelayedPeer late = new DelayedPeer()) {
-            startWith(fixture.origin, late, "", unchangedList(1));
+        try (DelayedPeer delayedPeer = new DelayedPeer()) {
+            startWith(fixture.origin, delayedPeer, "", unchangedList(1));
             ServeFixture.Client client = fixture.client();
             client.send("C.SET", "00000000000000aa", "w1", "c=put,d=9000,k=7", "v");
-            ServeFixture.Received first = late.next();
+            ServeFixture.Received first = delayedPeer.next();
             assertThat(first.elements()).anyMatch(line -> line.contains("w1"));
-            late.fill();
+            delayedPeer.fill();
             reset(first.connection());
             awaitLoopTurn(fixture.client()); // by now it reconnects; the connection is established at the system's retry, after 1 s
-            late.emptyQueue();
+            delayedPeer.emptyQueue();
             assertThat(client.answer()).startsWith("-ERR");
             client.send("C.SET", "00000000000000aa", "w2", "c=put,d=9000,k=8", "v");
-            assertThat(late.next().elements()).anyMatch(line -> line.contains("w2"));
+            assertThat(delayedPeer.next().elements()).anyMatch(line -> line.contains("w2"));
         }
     }
 
@@ -424,15 +424,15 @@
         fixture.origin.next().answer(ok("value"));
         assertThat(client.answer()).isEqualTo("value");
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
-        ServeFixture.Received asked = fixture.cache.next();
+        ServeFixture.Received incoming = fixture.cache.next();
         fixture.signal("STOP");
-        asked.answer(hit("one"));
+        incoming.answer(hit("one"));
         client.send("C.GET", "00000000000000aa", "id2", "c=read,d=9000");
         fixture.signal("CONT");
         assertThat(client.answer()).isEqualTo("one");
         ServeFixture.Received next = fixture.cache.next();
-        assertThat(next.connection()).isNotSameAs(asked.connection());
-        asked.answer(hit("one"));
+        assertThat(next.connection()).isNotSameAs(incoming.connection());
+        incoming.answer(hit("one"));
         next.answer(hit("two"));
         assertThat(client.answer()).isEqualTo("two");
     }
@@ -447,19 +447,19 @@
         client.send("C.GET", "00000000000000bb", "id2", "c=read,d=9000");
         client.send("C.GET", "00000000000000cc", "id3", "c=read,d=9000");
         client.raw("*4\r\n$5\r\nC.GET\r\n$16\r\n00000000"); // and half of a fourth
-        Map<String, ServeFixture.Received> asked = new HashMap<>();
+        Map<String, ServeFixture.Received> incoming = new HashMap<>();
         for (int i = 0; i < 3; i++) {
             ServeFixture.Received next = fixture.cache.next();
-            asked.put(next.elements().get(2), next);
+            incoming.put(next.elements().get(2), next);
         }
-        asked.get("id1").answer(hit("one"));
+        incoming.get("id1").answer(hit("one"));
         assertThat(client.answer()).isEqualTo("one");
         fixture.signal("TERM");
         fixture.signal("HUP");
         fixture.signal("TERM");
         fixture.awaitLog(folder, "told to end");
         client.raw("000000dd\r\n$3\r\nid4\r\n$13\r\nc=read,d=9000\r\n");
-        asked.get("id2").answer(hit("two"));
+        incoming.get("id2").answer(hit("two"));
         assertThat(client.answer()).isEqualTo("two");
         ServeFixture.Received fourth = fixture.cache.next();
         assertThat(fourth.elements()).contains("id4");
@@ -477,8 +477,8 @@
     void partlyForwardedValueIsNotCompletedAtShutdown() throws Exception {
         ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
-        ServeFixture.Received asked = fixture.cache.next();
-        asked.answer("*3\r\n$1000000\r\n" + "v".repeat(300_000));
+        ServeFixture.Received incoming = fixture.cache.next();
+        incoming.answer("*3\r\n$1000000\r\n" + "v".repeat(300_000));
         assertThat(new String(client.bytes(10), StandardCharsets.US_ASCII)).isEqualTo("$1000000\r\n");
         fixture.signal("TERM");
         assertThat(client.rest()).hasSizeLessThan(1_000_000);
@@ -531,9 +531,9 @@
         assertThat(Files.readString(folder.resolve("log"))).doesNotContain("no descriptor left");
     }
 
-    private static long timeoutSentMs(ServeFixture.Received asked) {
-        Matcher told = Pattern.compile("\\bd=(\\d+)").matcher(String.join(" ", asked.elements()));
-        assertThat(told.find()).isTrue();
-        return Long.parseLong(told.group(1));
+    private static long timeoutSentMs(ServeFixture.Received incoming) {
+        Matcher matcher = Pattern.compile("\\bd=(\\d+)").matcher(String.join(" ", incoming.elements()));
+        assertThat(matcher.find()).isTrue();
+        return Long.parseLong(matcher.group(1));
     }
 }
--- a/src/test/java/dappleseam/proxy/ServeTest.java
+++ b/src/test/java/dappleseam/proxy/ServeTest.java
@@ -51,10 +51,10 @@
     void readReturnsTheValueOfTheCache() throws Exception {
         ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000,size=3");
-        ServeFixture.Received asked = fixture.cache.next();
-        assertThat(asked.elements().subList(0, 3)).containsExactly("C.GET", "00000000000000aa", "id1");
-        assertThat(asked.elements().get(3)).matches("c=read,d=(8\\d{3}|[1-7]\\d{3}),size=3");
-        asked.answer(hit("value"));
+        ServeFixture.Received incoming = fixture.cache.next();
+        assertThat(incoming.elements().subList(0, 3)).containsExactly("C.GET", "00000000000000aa", "id1");
+        assertThat(incoming.elements().get(3)).matches("c=read,d=(8\\d{3}|[1-7]\\d{3}),size=3");
+        incoming.answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
     }
 
@@ -63,11 +63,11 @@
         ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
         fixture.cache.next().answer(MISS);
-        ServeFixture.Received asked = fixture.origin.next();
-        assertThat(asked.elements()).contains("GET /00000000000000aa HTTP/1.1", "X-Correlation-Id: id1");
-        assertThat(asked.elements()).filteredOn(line -> line.startsWith("X-Facts: ")).singleElement().asString()
+        ServeFixture.Received incoming = fixture.origin.next();
+        assertThat(incoming.elements()).contains("GET /00000000000000aa HTTP/1.1", "X-Correlation-Id: id1");
+        assertThat(incoming.elements()).filteredOn(line -> line.startsWith("X-Facts: ")).singleElement().asString()
                 .matches("X-Facts: c=read,d=(8\\d{3}|[1-7]\\d{3})"); // the remaining time, as sent to a cache
-        asked.answer(ok("fetched"));
+        incoming.answer(ok("fetched"));
         assertThat(client.answer()).isEqualTo("fetched");
     }
 
@@ -75,9 +75,9 @@
     void writeGoesToTheOriginWithItsValue() throws Exception {
         ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.SET", "00000000000000aa", "id1", "c=put,d=9000,k=77", "X".repeat(20000));
-        ServeFixture.Received asked = fixture.origin.next();
-        assertThat(asked.elements()).contains("PUT /00000000000000aa HTTP/1.1", "Content-Length: 20000");
-        asked.answer(ok("receipt"));
+        ServeFixture.Received incoming = fixture.origin.next();
+        assertThat(incoming.elements()).contains("PUT /00000000000000aa HTTP/1.1", "Content-Length: 20000");
+        incoming.answer(ok("receipt"));
         assertThat(client.answer()).isEqualTo("receipt");
     }
 
@@ -96,9 +96,9 @@
         ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.SET", "00000000000000aa", "id1", "c=put,d=9000", "v");
         String notRun = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
-        for (ServeFixture.Received asked = fixture.origin.next(); asked != null;
-                asked = fixture.origin.received.poll(500, TimeUnit.MILLISECONDS)) {
-            asked.answer(notRun);
+        for (ServeFixture.Received incoming = fixture.origin.next(); incoming != null;
+                incoming = fixture.origin.received.poll(500, TimeUnit.MILLISECONDS)) {
+            incoming.answer(notRun);
         }
         assertThat(client.answer()).startsWith("-BUSY");
     }
@@ -225,15 +225,15 @@
         fixture.descriptorLimit = 96;
         ServeFixture.Client asker = fixture.start(folder, "").client();
         asker.send("C.GET", "00000000000000aa", "id", "c=read,d=20000");
-        ServeFixture.Received asked = fixture.cache.next();
+        ServeFixture.Received incoming = fixture.cache.next();
         List<ServeFixture.Client> silent = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             silent.add(fixture.client());
         }
-        ServeFixture.Client honest = fixture.client();
-        honest.send("PING");
-        assertThat(honest.answer()).isEqualTo("+PONG");
-        asked.answer(hit("value"));
+        ServeFixture.Client newClient = fixture.client();
+        newClient.send("PING");
+        assertThat(newClient.answer()).isEqualTo("+PONG");
+        incoming.answer(hit("value"));
         assertThat(asker.answer()).isEqualTo("value");
         for (ServeFixture.Client client : silent) {
             assertThat(client.isAtEnd()).isTrue(); // the last ones at the time limit for a first command
@@ -294,10 +294,10 @@
         ServeFixture.Client client = fixture.start(folder, "").client();
         ServeFixture.Client other = fixture.client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=20000");
-        ServeFixture.Received asked = fixture.cache.next();
+        ServeFixture.Received incoming = fixture.cache.next();
         other.send("C.GET", "00000000000000bb", "id1", "c=read,d=20000");
         assertThat(other.answer()).startsWith("-ERR");
-        asked.answer(hit("value"));
+        incoming.answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
         other.send("C.GET", "00000000000000bb", "id1", "c=read,d=20000"); // sent while the first was open, arrived later
         assertThat(other.answer()).startsWith("-ERR");
@@ -327,17 +327,17 @@
     @Test
     void malformedAnswerIsAnErrorThatMayHaveRun() throws Exception {
         ServeFixture.Client client = fixture.start(folder, "").client();
-        String[] spoilt = {"*-1\r\n", "*0\r\n", "*1\r\n$-1\r\n", "*2\r\n$1\r\nx\r\n$-1\r\n", "$1\r\nx\r\n", "+OK\r\n",
+        String[] malformed = {"*-1\r\n", "*0\r\n", "*1\r\n$-1\r\n", "*2\r\n$1\r\nx\r\n$-1\r\n", "$1\r\nx\r\n", "+OK\r\n",
             "-BUSYBODY\r\n", "*3\r\n$2\r\nabc\r\n$-1\r\n$-1\r\n", "*3\r\n$3000000000\r\nx"};
-        for (int i = 0; i < spoilt.length; i++) {
+        for (int i = 0; i < malformed.length; i++) {
             client.send("C.GET", String.format("%016x", i), "id" + i, "c=read,d=9000");
-            ServeFixture.Received asked = fixture.cache.next();
-            asked.answer(spoilt[i]);
+            ServeFixture.Received incoming = fixture.cache.next();
+            incoming.answer(malformed[i]);
             fixture.origin.next().answer(ok("value" + i)); // the only cache has been tried
             assertThat(client.answer()).isEqualTo("value" + i);
             client.send("C.GET", String.format("%016x", i), "other" + i, "c=read,d=9000");
             ServeFixture.Received next = fixture.cache.next();
-            assertThat(next.connection()).isNotSameAs(asked.connection());
+            assertThat(next.connection()).isNotSameAs(incoming.connection());
             next.answer(hit("fine"));
             assertThat(client.answer()).isEqualTo("fine");
         }
@@ -365,13 +365,13 @@
     void sigtermLetsOpenQueriesEnd() throws Exception {
         ServeFixture.Client client = fixture.start(folder, "").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
-        ServeFixture.Received asked = fixture.cache.next();
+        ServeFixture.Received incoming = fixture.cache.next();
         fixture.program.destroy();
         Thread.sleep(100);
-        ServeFixture.Client late = fixture.client();
-        late.send("PING");
-        assertThat(late.answer()).isEqualTo("+PONG");
-        asked.answer(hit("value"));
+        ServeFixture.Client lateClient = fixture.client();
+        lateClient.send("PING");
+        assertThat(lateClient.answer()).isEqualTo("+PONG");
+        incoming.answer(hit("value"));
         assertThat(client.answer()).isEqualTo("value");
         assertThat(client.isAtEnd()).isTrue();
         assertThat(fixture.program.waitFor(ServeFixture.TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
@@ -413,11 +413,11 @@
         ServeFixture.Received one = fixture.cache.next();
         ServeFixture.Received other = fixture.cache.next();
         assertThat(other.connection()).isNotSameAs(one.connection());
-        ServeFixture.Received given = other.elements().contains("id2") ? other : one;
+        ServeFixture.Received cancelled = other.elements().contains("id2") ? other : one;
         ServeFixture.Client later = fixture.client();
         later.send("C.GET", "00000000000000cc", "id3", "c=read,d=3000");
         assertThat(later.answer()).startsWith("-BUSY");
-        assertThat(fixture.cache.received).anyMatch(t -> t.elements().contains("closed") && t.connection() == given.connection());
+        assertThat(fixture.cache.received).anyMatch(t -> t.elements().contains("closed") && t.connection() == cancelled.connection());
     }
 
     /** A write could cross the node's own close of an idle connection, so the proxy closes it first. */
@@ -425,8 +425,8 @@
     void idleConnectionIsClosedBeforeTheNodeWould() throws Exception {
         ServeFixture.Client client = fixture.start(folder, ",\"idleCloseS\":2").client();
         client.send("C.GET", "00000000000000aa", "id1", "c=read,d=9000");
-        ServeFixture.Received asked = fixture.cache.next();
-        asked.answer(hit("value"));
+        ServeFixture.Received incoming = fixture.cache.next();
+        incoming.answer(hit("value"));
         ServeFixture.Received ended = fixture.cache.received.poll(ServeFixture.TIMEOUT_S, TimeUnit.SECONDS);
         assertThat(ended.elements()).containsExactly("closed");
         assertThat(client.answer()).isEqualTo("value");
--- a/src/test/java/dappleseam/proxy/SoakTest.java
+++ b/src/test/java/dappleseam/proxy/SoakTest.java
@@ -41,17 +41,17 @@
     Path folder;
 
     private List<String> runSeeds(int seeds, long killEarlyMs) throws Exception {
-        ExecutorService plays = Executors.newFixedThreadPool(CONCURRENT_RUNS);
+        ExecutorService executor = Executors.newFixedThreadPool(CONCURRENT_RUNS);
         List<Future<List<String>>> found = new ArrayList<>();
         for (int seed = FIRST; seed < FIRST + seeds; seed++) {
             int one = seed;
-            found.add(plays.submit(() -> new Run(one, Files.createDirectory(folder.resolve("seed-" + one)), killEarlyMs).run()));
+            found.add(executor.submit(() -> new Run(one, Files.createDirectory(folder.resolve("seed-" + one)), killEarlyMs).run()));
         }
         List<String> breaches = new ArrayList<>();
         for (Future<List<String>> play : found) {
             breaches.addAll(play.get());
         }
-        plays.shutdown();
+        executor.shutdown();
         return breaches;
     }
 
--- a/src/test/java/dappleseam/proxy/SystemCallsTest.java
+++ b/src/test/java/dappleseam/proxy/SystemCallsTest.java
@@ -84,13 +84,13 @@
         assertThat(before.answer()).isEqualTo(VALUE);
         calls.fail(Call.ACCEPT, FailingCalls.ENFILE, 1, FailingCalls.UNLIMITED);
         Duration cpuBefore = fixture.program.toHandle().info().totalCpuDuration().orElseThrow();
-        ServeFixture.Client waits = fixture.client();
-        sendRead(waits, "waits");
+        ServeFixture.Client pending = fixture.client();
+        sendRead(pending, "waits");
         Thread.sleep(1000);
         Duration cpu = fixture.program.toHandle().info().totalCpuDuration().orElseThrow().minus(cpuBefore);
         calls.stop(Call.ACCEPT);
         long from = System.nanoTime();
-        assertThat(waits.answer()).isEqualTo(VALUE);
+        assertThat(pending.answer()).isEqualTo(VALUE);
         assertThat((System.nanoTime() - from) / NANOS_PER_MS).isLessThan(150);
         assertThat(cpu.toMillis()).isLessThan(300);
     }
@@ -269,8 +269,8 @@
     void listThatCouldNotBeSavedIsSavedLater(Call call, int error) throws Exception {
         fixture.controlPort = ServeFixture.freePort();
         fixture.start(folder, "").client();
-        Path kept = folder.resolve("dappleseam-seats-1").resolve("127.0.0.1-" + fixture.port + "-list");
-        awaitText(kept, "\"rev\":1");
+        Path savedList = folder.resolve("dappleseam-seats-1").resolve("127.0.0.1-" + fixture.port + "-list");
+        awaitText(savedList, "\"rev\":1");
         calls.fail(call, error, 1, FailingCalls.UNLIMITED);
         String drains = ServeFixture.entry("s-1", fixture.cache, "m", "draining");
         fixture.list.next().answer(ServeFixture.ok("{\"rev\":2,\"all\":false,\"targets\":[" + drains + "]}"));
@@ -281,7 +281,7 @@
         sendRead(meanwhile, "meanwhile");
         assertThat(meanwhile.answer()).isNotEmpty();
         calls.stop(call);
-        awaitText(kept, "\"state\":\"draining\"");
+        awaitText(savedList, "\"state\":\"draining\"");
     }
 
     private static void awaitText(Path file, String text) throws Exception {
--- a/src/test/java/dappleseam/proxy/WallClockTest.java
+++ b/src/test/java/dappleseam/proxy/WallClockTest.java
@@ -36,10 +36,10 @@
         fixture.close();
     }
 
-    private String listAnswer(int version, boolean whole, long bootMs) {
+    private String listAnswer(int version, boolean full, long bootMs) {
         String all = ServeFixture.entry("s-1", fixture.cache, "m", "ready") + "," + ServeFixture.entry("s-0", fixture.origin, "origin", "ready") + ",";
         String entry = ServeFixture.entry("s-2", second, "m", "ready").replace("\"boot_ms\":0", "\"boot_ms\":" + bootMs);
-        return ServeFixture.ok("{\"rev\":" + version + ",\"all\":" + whole + ",\"targets\":[" + (whole ? all : "") + entry + "]}");
+        return ServeFixture.ok("{\"rev\":" + version + ",\"all\":" + full + ",\"targets\":[" + (full ? all : "") + entry + "]}");
     }
 
     /** Sends queries and counts those that the second cache answers. */
