--- a/src/test/java/dappleseam/proxy/RaceConditionsTest.java
+++ b/src/test/java/dappleseam/proxy/RaceConditionsTest.java
@@ -355,11 +355,11 @@
             awaitLoopTurn(fixture.client());
             String there = ServeFixture.entry("s-1", fixture.cache, "m", "draining").replace(fixture.cache.endpoint(), delayedPeer.endpoint());
             nextWatch().answer(ok("{\"rev\":2,\"all\":false,\"targets\":[" + there + "]}"));
-            ServeFixture.Received watch = nextWatch();
+            ServeFixture.Received openWatch = nextWatch();
             delayedPeer.emptyQueue(); // the connection is established at the system's retry, after 1 s
             fixture.origin.next().answer(ok("elsewhere"));
             assertThat(client.answer()).isEqualTo("elsewhere");
-            watch.answer(ok("{\"rev\":3,\"all\":false,\"targets\":[" + there.replace("draining", "ready") + "]}"));
+            openWatch.answer(ok("{\"rev\":3,\"all\":false,\"targets\":[" + there.replace("draining", "ready") + "]}"));
             nextWatch();
             client.send("C.GET", "00000000000000aa", "later", "c=read,d=9000");
             assertThat(delayedPeer.next().elements()).contains("later");
@@ -532,8 +532,8 @@
     }
 
     private static long timeoutSentMs(ServeFixture.Received incoming) {
-        Matcher matcher = Pattern.compile("\\bd=(\\d+)").matcher(String.join(" ", incoming.elements()));
-        assertThat(matcher.find()).isTrue();
-        return Long.parseLong(matcher.group(1));
+        Matcher timeoutMatch = Pattern.compile("\\bd=(\\d+)").matcher(String.join(" ", incoming.elements()));
+        assertThat(timeoutMatch.find()).isTrue();
+        return Long.parseLong(timeoutMatch.group(1));
     }
 }
