--- a/src/main/java/dappleseam/proxy/FleetMembership.java
+++ b/src/main/java/dappleseam/proxy/FleetMembership.java
@@ -54,7 +54,8 @@
         store = fleetConfig.listStore() == null ? null : fleetConfig.listStore().startsWith("http:") ? new HttpStore(URI.create(fleetConfig.listStore()))
                 : new FolderStore(Path.of(fleetConfig.listStore()));
         usesFeatures = fleetConfig.features().any();
-        agent = new FleetAgent(fleetConfig, Math.max(Announcement.NO_LOCATION, Math.min(Announcement.MAX_LOCATION, config.settings().routerSettings().zone())), config.seed(), handoverFile, store == null ? List.of() : List.of(new LastListTask(lastList, store)), new Relay());
+        agent = new FleetAgent(fleetConfig, Math.max(Announcement.NO_LOCATION, Math.min(Announcement.MAX_LOCATION, config.settings().routerSettings().zone())),
+                config.seed(), handoverFile, store == null ? List.of() : List.of(new LastListTask(lastList, store)), new Relay());
     }
 
     /** Forwards the fleet thread's calls to the bridge, and answers them with nothing while there is none. */
