--- a/src/main/java/dappleseam/proxy/EventLoop.java
+++ b/src/main/java/dappleseam/proxy/EventLoop.java
@@ -153,7 +153,7 @@
 
     @Override
     public PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected,
-                         Consumer<String> onFailed) {
+                               Consumer<String> onFailed) {
         if (!mayConnect()) {
             onFailed.accept("no descriptor left");
             return () -> { };
@@ -163,7 +163,7 @@
 
     @Override
     public PendingTask connectReserved(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected,
-                             Consumer<String> onFailed) {
+                                       Consumer<String> onFailed) {
         return new ConnectAttempt(to, timeoutMs, onConnected, onFailed, 0);
     }
 
--- a/src/main/java/dappleseam/proxy/WarmUp.java
+++ b/src/main/java/dappleseam/proxy/WarmUp.java
@@ -166,7 +166,7 @@
 
     @Override
     public PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected,
-                         Consumer<String> onFailed) {
+                               Consumer<String> onFailed) {
         if (!to.equals(CACHE) && !to.equals(ORIGIN)) {
             return scheduleAt(nowMs(), () -> onFailed.accept("the warm-up has no list service"));
         }
