--- a/src/main/java/dappleseam/proxy/EventLoop.java
+++ b/src/main/java/dappleseam/proxy/EventLoop.java
@@ -20,53 +20,53 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The one I/O thread: its clock, its deadlines in one ordered structure, and its connections to peers. */
+/** The single I/O thread: its clock, its scheduled tasks and its connections to peers. */
 final class EventLoop implements IoLoop {
     private static final Logger LOG = System.getLogger(EventLoop.class.getName());
-    private static final OptionMap DIAL = OptionMap.create(Options.TCP_NODELAY, true);
-    private static final int SCRATCH = 32 << 10;
-    /** Descriptors kept for the connection to the list service, which is not counted among those to nodes. */
-    private static final int KEPT = 1;
-    /** Lateness in ms from which what has come is read before deadlines fall due. */
-    private static final double LATE_MS = 8;
+    private static final OptionMap CONNECT_OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
+    private static final int SCRATCH_BYTES = 32 << 10;
+    /** Descriptors reserved for the connection to the list service, which is not counted among those to nodes. */
+    private static final int RESERVED_DESCRIPTORS = 1;
+    /** Lateness in ms from which pending input is read before due tasks run. */
+    private static final double LATENESS_THRESHOLD_MS = 8;
     private static final double NANOS_PER_MS = 1e6;
-    /** What the time of a machine that has just started is, so that 0 is long ago: ten days, over all spans that are looked back on. */
-    private static final double LONG_AGO_MS = 10 * 86_400_000.0;
-    /** Least delay in ms with which the thread selects before it runs what was put off: it counts whole ones. */
-    private static final long READ_FIRST_MS = 1;
+    /** Offset of the clock, so that 0 is long ago even just after the machine's start: ten days, more than any time span that is looked back on. */
+    private static final double CLOCK_OFFSET_MS = 10 * 86_400_000.0;
+    /** Shortest delay in ms after which the thread selects before it runs postponed tasks: XNIO counts whole ms. */
+    private static final long READ_FIRST_DELAY_MS = 1;
 
     private final XnioIoThread thread;
     private final BufferPool pool;
-    private int mostDialled;
-    private final ByteBuffer scratch = ByteBuffer.allocateDirect(SCRATCH);
-    private final TreeSet<At> deadlines = new TreeSet<>();
-    private long deadlineCount;
-    private double alarmAt = Double.POSITIVE_INFINITY;
-    private XnioExecutor.Key alarm;
-    /** Connections to nodes, on their way or open; they are closed on other threads, too. */
-    private final AtomicInteger dialled = new AtomicInteger();
+    private int maxConnections;
+    private final ByteBuffer scratch = ByteBuffer.allocateDirect(SCRATCH_BYTES);
+    private final TreeSet<ScheduledTask> scheduledTasks = new TreeSet<>();
+    private long scheduledCount;
+    private double wakeUpAt = Double.POSITIVE_INFINITY;
+    private XnioExecutor.Key wakeUp;
+    /** Number of connections to nodes, open or being opened. Atomic, as connections are closed on other threads, too. */
+    private final AtomicInteger openConnections = new AtomicInteger();
     private final EventLoopMonitor monitor = new EventLoopMonitor();
     private boolean hasReadFirst;
 
-    EventLoop(XnioIoThread thread, BufferPool pool, int mostDialled) {
+    EventLoop(XnioIoThread thread, BufferPool pool, int maxConnections) {
         this.thread = thread;
         this.pool = pool;
-        this.mostDialled = mostDialled;
+        this.maxConnections = maxConnections;
     }
 
-    /** Holds so many connections to peers at most from now on; those it has beyond that stay. */
-    void limitDialled(int most) {
-        mostDialled = most;
+    /** Sets the maximum number of connections to peers; existing connections beyond it stay open. */
+    void limitConnections(int newMax) {
+        maxConnections = newMax;
     }
 
     @Override
     public double nowMs() {
-        return machineMs();
+        return monotonicMs();
     }
 
-    /** See {@link IoLoop#nowMs}; for any thread. */
-    static double machineMs() {
-        return LONG_AGO_MS + System.nanoTime() / NANOS_PER_MS;
+    /** See {@link IoLoop#nowMs}; thread-safe. */
+    static double monotonicMs() {
+        return CLOCK_OFFSET_MS + System.nanoTime() / NANOS_PER_MS;
     }
 
     @Override
@@ -79,115 +79,116 @@
         return new Link(connection, pool, scratch, events);
     }
 
-    private final class At implements PendingTask, Comparable<At> {
+    /** A scheduled task, ordered by time and then by the order of scheduling. */
+    private final class ScheduledTask implements PendingTask, Comparable<ScheduledTask> {
         private final double whenMs;
-        private final long number = deadlineCount++;
-        private final Runnable due;
+        private final long number = scheduledCount++;
+        private final Runnable task;
 
-        At(double whenMs, Runnable due) {
+        ScheduledTask(double whenMs, Runnable task) {
             this.whenMs = whenMs;
-            this.due = due;
+            this.task = task;
         }
 
         @Override
-        public int compareTo(At other) {
+        public int compareTo(ScheduledTask other) {
             int byTime = Double.compare(whenMs, other.whenMs);
             return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
 
         @Override
         public void cancelTask() {
-            deadlines.remove(this);
+            scheduledTasks.remove(this);
         }
     }
 
     @Override
-    public PendingTask scheduleAt(double whenMs, Runnable due) {
-        At deadline = new At(whenMs, due);
-        deadlines.add(deadline);
-        setAlarm();
-        return deadline;
+    public PendingTask scheduleAt(double whenMs, Runnable task) {
+        ScheduledTask scheduled = new ScheduledTask(whenMs, task);
+        scheduledTasks.add(scheduled);
+        scheduleWakeUp();
+        return scheduled;
     }
 
-    /** One alarm of the thread's, for the first deadline. */
-    private void setAlarm() {
-        if (deadlines.isEmpty() || deadlines.first().whenMs >= alarmAt) {
+    /** Keeps one wake-up of the I/O thread scheduled, for the earliest task. */
+    private void scheduleWakeUp() {
+        if (scheduledTasks.isEmpty() || scheduledTasks.first().whenMs >= wakeUpAt) {
             return;
         }
-        if (alarm != null) {
-            alarm.remove();
+        if (wakeUp != null) {
+            wakeUp.remove();
         }
-        alarmAt = deadlines.first().whenMs;
-        long delayMs = (long) Math.max(0, Math.ceil(alarmAt - nowMs())); // less than one would be none: a busy wait
-        alarm = thread.executeAfter(this::fire, delayMs, TimeUnit.MILLISECONDS);
+        wakeUpAt = scheduledTasks.first().whenMs;
+        long delayMs = (long) Math.max(0, Math.ceil(wakeUpAt - nowMs())); // rounded up: a delay under 1 ms would count as 0 and spin
+        wakeUp = thread.executeAfter(this::runDue, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    private void fire() {
+    private void runDue() {
         double now = nowMs();
         if (!hasReadFirst) {
-            monitor.fired(alarmAt, now);
+            monitor.wakeUpHandled(wakeUpAt, now);
         }
-        if (now > alarmAt + LATE_MS && !hasReadFirst) {
-            // Guards nodes against this thread's own lateness: their answers may be here, unread.
+        if (now > wakeUpAt + LATENESS_THRESHOLD_MS && !hasReadFirst) {
+            // This thread is late: nodes' answers may have arrived unread and must be read before their timeouts run.
             hasReadFirst = true;
-            alarm = thread.executeAfter(this::fire, READ_FIRST_MS, TimeUnit.MILLISECONDS);
+            wakeUp = thread.executeAfter(this::runDue, READ_FIRST_DELAY_MS, TimeUnit.MILLISECONDS);
             return;
         }
         hasReadFirst = false;
-        alarm = null;
-        alarmAt = Double.POSITIVE_INFINITY;
+        wakeUp = null;
+        wakeUpAt = Double.POSITIVE_INFINITY;
         try {
-            while (!deadlines.isEmpty() && deadlines.first().whenMs <= now) {
-                Runnable due = deadlines.pollFirst().due;
+            while (!scheduledTasks.isEmpty() && scheduledTasks.first().whenMs <= now) {
+                Runnable task = scheduledTasks.pollFirst().task;
                 try {
-                    due.run();
-                } catch (RuntimeException e) { // one fault leaves the other deadlines
+                    task.run();
+                } catch (RuntimeException e) { // a failing task must not stop the others
                     LOG.log(Level.ERROR, "a deadline failed", e);
                 }
             }
         } finally {
-            setAlarm();
+            scheduleWakeUp();
         }
     }
 
     @Override
-    public PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
-                         Consumer<String> failed) {
+    public PendingTask connect(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected,
+                               Consumer<String> onFailed) {
         if (!mayConnect()) {
-            failed.accept("no descriptor left");
+            onFailed.accept("no descriptor left");
             return () -> { };
         }
-        return new Dialling(to, timeoutMs, up, failed, 1);
+        return new ConnectAttempt(to, timeoutMs, onConnected, onFailed, 1);
     }
 
     @Override
-    public PendingTask connectReserved(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up,
-                             Consumer<String> failed) {
-        return new Dialling(to, timeoutMs, up, failed, 0);
+    public PendingTask connectReserved(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected,
+                                       Consumer<String> onFailed) {
+        return new ConnectAttempt(to, timeoutMs, onConnected, onFailed, 0);
     }
 
     @Override
     public boolean mayConnect() {
-        return dialled.get() < mostDialled - KEPT;
+        return openConnections.get() < maxConnections - RESERVED_DESCRIPTORS;
     }
 
-    /** A connection on its way; told once. */
-    private final class Dialling implements PendingTask {
-        private final Consumer<StreamConnection> up;
-        private final Consumer<String> failed;
+    /** A connection being opened; exactly one of the callbacks is called. */
+    private final class ConnectAttempt implements PendingTask {
+        private final Consumer<StreamConnection> onConnected;
+        private final Consumer<String> onFailed;
         private final PendingTask timeout;
         private final IoFuture<StreamConnection> future;
-        /** What it counts among the connections to nodes. */
-        private final int counts;
-        private boolean over;
-
-        Dialling(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> up, Consumer<String> failed, int counts) {
-            this.up = up;
-            this.failed = failed;
-            this.counts = counts;
-            dialled.addAndGet(counts);
-            timeout = scheduleAt(nowMs() + timeoutMs, () -> fail("not up in time"));
-            future = thread.openStreamConnection(to, this::opened, DIAL);
+        /** How much it counts among the connections to nodes: 1, or 0 for the list service. */
+        private final int weight;
+        private boolean isDone;
+
+        ConnectAttempt(InetSocketAddress to, double timeoutMs, Consumer<StreamConnection> onConnected, Consumer<String> onFailed, int weight) {
+            this.onConnected = onConnected;
+            this.onFailed = onFailed;
+            this.weight = weight;
+            openConnections.addAndGet(weight);
+            timeout = scheduleAt(nowMs() + timeoutMs, () -> fail("connect timeout"));
+            future = thread.openStreamConnection(to, this::connected, CONNECT_OPTIONS);
             future.addNotifier((done, none) -> {
                 if (done.getStatus() == IoFuture.Status.FAILED) {
                     IOException e = done.getException();
@@ -196,30 +197,30 @@
             }, null);
         }
 
-        private void opened(StreamConnection connection) {
-            if (over) {
+        private void connected(StreamConnection connection) {
+            if (isDone) {
                 IoUtils.safeClose(connection);
                 return;
             }
-            over = true;
-            connection.setCloseListener(closed -> dialled.addAndGet(-counts));
+            isDone = true;
+            connection.setCloseListener(closed -> openConnections.addAndGet(-weight));
             timeout.cancelTask();
-            up.accept(connection);
+            onConnected.accept(connection);
         }
 
         private void fail(String cause) {
-            if (!over) {
+            if (!isDone) {
                 cancelTask();
-                failed.accept(cause);
+                onFailed.accept(cause);
             }
         }
 
         @Override
         public void cancelTask() {
-            if (!over) {
-                over = true;
+            if (!isDone) {
+                isDone = true;
                 timeout.cancelTask();
-                dialled.addAndGet(-counts);
+                openConnections.addAndGet(-weight);
                 future.cancel();
             }
         }
--- a/src/main/java/dappleseam/proxy/Proxy.java
+++ b/src/main/java/dappleseam/proxy/Proxy.java
@@ -2,7 +2,7 @@
 
 import dappleseam.clients.PendingReply;
 import dappleseam.clients.QueryHandler;
-import dappleseam.control.Figures;
+import dappleseam.control.Metrics;
 import dappleseam.list.ListReader;
 import dappleseam.list.ListWatch;
 import dappleseam.list.NodeList;
@@ -43,322 +43,327 @@
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
 
-/** Between the router and the peers: holds the queries taken, and does what the router decides. */
-final class Proxy implements Host, QueryHandler, Execution.Listener, Lookout.Whole {
+/**
+ * Connects the router with clients and nodes: holds the open queries, carries out the router's decisions and reports events to it.
+ * Runs on the I/O thread, except where a method says otherwise.
+ */
+final class Proxy implements Host, QueryHandler, Execution.Listener, FleetObserver.ProxyCallbacks {
     private static final Logger LOG = System.getLogger(Proxy.class.getName());
-    /** The answer of an aborted query. */
-    private static final String FAILED = "-ERR failed";
-    /** Ids remembered: more than the table of queries holds, and some seconds' worth of a busy proxy. */
-    private static final int IDS = 8 << 10;
-    /** A time in ms as clients write it. */
-    private static final Pattern MS = Pattern.compile("\\d{1,7}(\\.\\d{1,6})?");
-    /** A time in s as clients write it. */
-    private static final Pattern SECONDS = Pattern.compile("\\d{1,4}(\\.\\d{1,9})?");
+    /** The reply to an aborted query. */
+    private static final String ABORT_REPLY = "-ERR failed";
+    /** Number of recent query ids that are remembered: more than there can be open queries, and a busy proxy's queries of some seconds. */
+    private static final int MAX_REMEMBERED_IDS = 8 << 10;
+    /** A time in ms in a client's command. */
+    private static final Pattern MILLIS_PATTERN = Pattern.compile("\\d{1,7}(\\.\\d{1,6})?");
+    /** A time in s in a client's command. */
+    private static final Pattern SECONDS_PATTERN = Pattern.compile("\\d{1,4}(\\.\\d{1,9})?");
     private static final double MS_PER_S = 1000;
-    /** Time in ms by which an answer goes out before the client stops waiting for it. */
-    private static final double LAST_HOP_MS = 10;
-    /** Time in ms past that at which a query the router forgot is aborted; it guards rule 1. */
-    private static final double FORGOTTEN_MS = 15;
-    /** Time in ms that a command may take to a node, of those that nodes know a repeat for. */
-    private static final double WAY_MS = 20;
-    /** Least time in ms between two lines about errors: a failing node must not fill the log. */
-    private static final double ERRORS_APART_MS = 1000;
-    /** Time to come back in ms where no more queries can be held. */
-    private static final double TABLE_FULL_MS = 250;
+    /** Margin in ms by which a reply is sent before the client stops waiting for it. */
+    private static final double REPLY_MARGIN_MS = 10;
+    /** Time in ms after a query's deadline at which it is aborted if the router has not answered it; a safety net for rule 1. */
+    private static final double ABORT_GRACE_MS = 15;
+    /** Allowance in ms for a repeat's way to the node, taken off the nodes' deduplication window. */
+    private static final double NETWORK_DELAY_MS = 20;
+    /** Minimum interval in ms between log lines about failed executions: a failing node must not flood the log. */
+    private static final double ERROR_LOG_INTERVAL_MS = 1000;
+    /** Retry delay in ms sent when the table of open queries is full. */
+    private static final double TABLE_FULL_RETRY_MS = 250;
 
     private final IoLoop loop;
-    private Settings site;
-    private final Figures figures;
+    private Settings settings;
+    private final Metrics metrics;
     private final Router router;
-    private ListReader lists;
-    private final ListWatch watch;
-    private final Nodes nodes;
+    private ListReader listReader;
+    private final ListWatch listWatch;
+    private final NodeTable nodes;
     private final StartTimes startTimes = new StartTimes();
-    private volatile List<NodeHealth> learnt = List.of();
-    private final Slots<Taken> queries = new Slots<>();
-    /** The ids of the queries taken last, as the clients gave them, in order: those of all that are open among them. */
-    private final Set<String> ids = new LinkedHashSet<>();
-    /** Told to the router one after the other: what it does may bring about the next. */
-    private final ArrayDeque<Runnable> toTell = new ArrayDeque<>();
-    private boolean telling;
-    private boolean hasHeardList;
+    private volatile List<NodeHealth> nodeHealth = List.of();
+    private final Slots<PendingQuery> queries = new Slots<>();
+    /** Ids of the latest queries, as given by the clients, oldest first; includes all open ones. */
+    private final Set<String> recentIds = new LinkedHashSet<>();
+    /** Events for the router, handled one after the other: its reaction to one may cause the next. */
+    private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
+    private boolean isDispatching;
+    private boolean hasReceivedList;
     private boolean hasListFailed;
-    /** Null where this proxy tells nobody of its caches. */
-    private Lookout lookout;
-    /** The whole over this proxy's share; NaN where that is as the settings say. */
-    private double sharedBy = Double.NaN;
+    /** Null if this proxy exchanges nothing with a fleet. */
+    private FleetObserver fleetObserver;
+    /** The proxy count assigned by the fleet (total over this proxy's share); NaN if the settings' count applies. */
+    private double fleetProxyCount = Double.NaN;
     private double errorLoggedAt;
 
-    /** A query taken, until it is answered and its last execution has ended. */
-    private static final class Taken {
+    /** An accepted query, until it is answered and its last execution has ended. */
+    private static final class PendingQuery {
         final Command command;
-        final PendingReply owed;
-        final String grade;
-        /** By the rules it was taken under. */
-        final ServiceGrade rules;
+        final PendingReply reply;
+        final String gradeName;
+        /** The grade's settings at the time it was accepted. */
+        final ServiceGrade serviceGrade;
         final int mostExecutions;
-        final double quitAt;
-        final List<Sent> execs = new ArrayList<>(3);
-        IoLoop.PendingTask forgotten;
+        final double clientDeadlineMs;
+        final List<SentExecution> executions = new ArrayList<>(3);
+        IoLoop.PendingTask abortTimer;
         boolean answered;
-        int out;
+        int openExecutions;
 
-        Taken(Command command, PendingReply owed, String grade, ServiceGrade rules, int mostExecutions, double quitAt) {
+        PendingQuery(Command command, PendingReply reply, String gradeName, ServiceGrade serviceGrade, int mostExecutions, double clientDeadlineMs) {
             this.command = command;
-            this.owed = owed;
-            this.grade = grade;
-            this.rules = rules;
+            this.reply = reply;
+            this.gradeName = gradeName;
+            this.serviceGrade = serviceGrade;
             this.mostExecutions = mostExecutions;
-            this.quitAt = quitAt;
+            this.clientDeadlineMs = clientDeadlineMs;
         }
     }
 
-    private record Sent(Execution execution, NodeId node, Backend backend, IoLoop.PendingTask deadline) {
-        /** Guards rule 1 and a node: nothing more of it goes out, as its query is over or its time to begin is. */
-        void takeBack() {
+    /** An execution of a query; the backend is null if it was never sent to one. */
+    private record SentExecution(Execution execution, NodeId node, Backend backend, IoLoop.PendingTask timeout) {
+        /** Cancels the execution if it has not been written whole, because its query is answered or its time to start has passed (rule 1). */
+        void withdraw() {
             if (backend != null && !execution.hasEnded() && backend.cancelUnsent(execution)) {
                 execution.end(ExecutionResult.of(Outcome.UNSENT));
             }
         }
     }
 
-    Proxy(IoLoop loop, ProxyConfig post, Figures figures) throws IOException {
+    Proxy(IoLoop loop, ProxyConfig config, Metrics metrics) throws IOException {
         this.loop = loop;
-        this.figures = figures;
-        site = post.settings();
-        figures.grades(site.gradeNames());
-        lists = new ListReader(site.modelNames(), site.zones());
-        NodeList known = post.knownList().isObject() ? lists.read(post.knownList()) : new NodeList(0, true, List.of());
-        SplittableRandom random = new SplittableRandom(post.seed()); // its factory would search for all there are
-        watch = new ListWatch(loop, post.listService(), lists, known.version(), this::news, this::listFailed,
-                this::againMs, random.split());
-        router = new Router(site.routerSettings(), random, this, loop.nowMs());
-        nodes = new Nodes(loop, site.routerSettings().originModel(), connections(site, new ReuseStats()));
-        nodes.learn(known);
-        List<Member> members = startTimes.adjustFirstList(known, loop.nowMs(), System.currentTimeMillis());
-        tell(() -> router.listReplaced(loop.nowMs(), members, true));
+        this.metrics = metrics;
+        settings = config.settings();
+        metrics.setGrades(settings.gradeNames());
+        listReader = new ListReader(settings.modelNames(), settings.zones());
+        NodeList knownList = config.knownList().isObject() ? listReader.read(config.knownList()) : new NodeList(0, true, List.of());
+        SplittableRandom random = new SplittableRandom(config.seed()); // RandomGenerator's factory would look up all algorithms, which is slow
+        listWatch = new ListWatch(loop, config.listService(), listReader, knownList.version(), this::listReceived, this::listFailed,
+                this::listDelayMs, random.split());
+        router = new Router(settings.routerSettings(), random, this, loop.nowMs());
+        nodes = new NodeTable(loop, settings.routerSettings().originModel(), connectionPolicy(settings, new ReuseStats()));
+        nodes.apply(knownList);
+        List<Member> members = startTimes.adjustFirstList(knownList, loop.nowMs(), System.currentTimeMillis());
+        dispatch(() -> router.listReplaced(loop.nowMs(), members, true));
         if (isPushed()) {
-            watch.watchPermanently();
+            listWatch.watchPermanently();
         }
     }
 
-    private static ConnectionPolicy connections(Settings site, ReuseStats reuse) {
-        // Where two executions may never be out together, giving one up has to end its connection, and so
-        // each has one of its own: a neighbour's would be reset with it.
-        boolean together = site.routerSettings().parallelExecutions();
-        boolean share = together && site.routerSettings().connectionPenalty() > 0;
-        return new ConnectionPolicy(together ? site.maxCommandsPerConnection() : 1, share, site.idleCloseMs(),
-                site.connectTimeoutMs(), !together, reuse);
+    private static ConnectionPolicy connectionPolicy(Settings settings, ReuseStats reuse) {
+        // If executions may not run in parallel, cancelling one has to close its connection. Each execution then
+        // gets a connection of its own, as the close would reset the others on a shared one.
+        boolean together = settings.routerSettings().parallelExecutions();
+        boolean share = together && settings.routerSettings().connectionPenalty() > 0;
+        return new ConnectionPolicy(together ? settings.maxCommandsPerConnection() : 1, share, settings.idleCloseMs(),
+                settings.connectTimeoutMs(), !together, reuse);
     }
 
-    /** The router asks for the list only where it has to; what is pushed there, is watched for here. */
+    /** Whether the list is watched all the time; otherwise it is requested only when the router asks for it. */
     private boolean isPushed() {
-        return site.routerSettings().askEveryMs() == 0;
-    }
-
-    /** A new configuration: its settings hold for queries to come, and the list may be at another address. */
-    void reloaded(ProxyConfig post) {
-        Settings before = site;
-        site = post.settings();
-        figures.grades(site.gradeNames());
-        nodes.limit(site.routerSettings().originModel(), connections(site, nodes.reuse()));
-        RouterSettings told = Double.isNaN(sharedBy) ? site.routerSettings() : site.routerSettings().withProxyCount(sharedBy);
-        tell(() -> router.settingsChanged(loop.nowMs(), told));
-        if (!before.modelNames().equals(site.modelNames()) || !before.zones().equals(site.zones())) {
-            lists = new ListReader(site.modelNames(), site.zones());
-            watch.refetchWith(lists);
-        }
-        watch.moveTo(post.listService());
+        return settings.routerSettings().askEveryMs() == 0;
+    }
+
+    /** Applies a new configuration: its settings hold for later queries, and the list service may have moved. */
+    void applyConfiguration(ProxyConfig config) {
+        Settings previous = settings;
+        settings = config.settings();
+        metrics.setGrades(settings.gradeNames());
+        nodes.setLimits(settings.routerSettings().originModel(), connectionPolicy(settings, nodes.reuse()));
+        RouterSettings effectiveSettings = Double.isNaN(fleetProxyCount) ? settings.routerSettings() : settings.routerSettings().withProxyCount(fleetProxyCount);
+        dispatch(() -> router.settingsChanged(loop.nowMs(), effectiveSettings));
+        if (!previous.modelNames().equals(settings.modelNames()) || !previous.zones().equals(settings.zones())) {
+            listReader = new ListReader(settings.modelNames(), settings.zones());
+            listWatch.refetchWith(listReader);
+        }
+        listWatch.moveTo(config.listService());
         if (isPushed()) {
-            watch.watchPermanently();
+            listWatch.watchPermanently();
         }
     }
 
-    /** Clients are about to be let in. */
+    /** Called just before the first client is accepted. */
     void prepare() {
-        tell(router::prepare);
+        dispatch(router::prepare);
     }
 
-    /** Whether the list service has told of the list since the start. */
-    boolean hasHeardList() {
-        return hasHeardList;
+    /** Whether the list service has answered since the start. */
+    boolean hasReceivedList() {
+        return hasReceivedList;
     }
 
-    /** Whether a call to the list service has failed since the start. */
+    /** Whether a request to the list service has failed since the start. */
     boolean hasListFailed() {
         return hasListFailed;
     }
 
-    /** What was learnt of the nodes when it was last told; for any thread. */
-    List<NodeHealth> learnt() {
-        return learnt;
+    /** The nodes' health as last published; thread-safe. */
+    List<NodeHealth> nodeHealth() {
+        return nodeHealth;
     }
 
-    void recall(List<NodeHealth> known) {
-        List<NodeHealth> ofProcesses = known.stream().map(one -> one.withStartedAt(startTimes.startedAtMs(one.node(), one.startedAtMs()))).toList();
-        tell(() -> router.restoreNodeHealth(loop.nowMs(), ofProcesses));
+    /** Restores node health saved by another process or received from the fleet. */
+    void restoreNodeHealth(List<NodeHealth> saved) {
+        List<NodeHealth> current = saved.stream().map(health -> health.withStartedAt(startTimes.startedAtMs(health.node(), health.startedAtMs()))).toList();
+        dispatch(() -> router.restoreNodeHealth(loop.nowMs(), current));
     }
 
-    /** Tells the figures what takes a walk to count. */
+    /** Publishes what takes a pass over all nodes: node health, the list and the gauges. */
     void publish() {
-        learnt = router.nodeHealth().stream().map(one -> one.withStartedAt(startTimes.bootMs(one.node()))).toList();
-        if (lookout != null) {
-            lookout.look(loop.nowMs(), learnt, nodes.readyCaches());
+        nodeHealth = router.nodeHealth().stream().map(health -> health.withStartedAt(startTimes.bootMs(health.node()))).toList();
+        if (fleetObserver != null) {
+            fleetObserver.update(loop.nowMs(), nodeHealth, nodes.readyCaches());
         }
         nodes.publish();
-        figures.list(nodes.count(), router.unavailableCount(loop.nowMs()));
+        metrics.setNodeCounts(nodes.count(), router.unavailableCount(loop.nowMs()));
     }
 
-    /** Tells it from now on what it is there for. */
-    void tellOfCaches(Lookout to) {
-        lookout = to;
+    /** Sets the observer that is notified from now on. */
+    void setFleetObserver(FleetObserver observer) {
+        fleetObserver = observer;
     }
 
     @Override
-    public double proxies() {
-        return site.routerSettings().proxyCount();
+    public double configuredProxyCount() {
+        return settings.routerSettings().proxyCount();
     }
 
     @Override
-    public void stands(double proxies, double place) {
-        sharedBy = proxies;
-        tell(() -> router.fleetShareChanged(proxies, place));
+    public void shareChanged(double proxyCount, double position) {
+        fleetProxyCount = proxyCount;
+        dispatch(() -> router.fleetShareChanged(proxyCount, position));
     }
 
     @Override
-    public void callIn(double ms) {
-        loop.scheduleAt(loop.nowMs() + ms, watch::startWatching);
+    public void requestListIn(double afterMs) {
+        loop.scheduleAt(loop.nowMs() + afterMs, listWatch::startWatching);
     }
 
-    private double againMs(double ownMs) {
-        return lookout == null ? ownMs : lookout.listAgainMs(loop.nowMs(), ownMs);
+    private double listDelayMs(double defaultMs) {
+        return fleetObserver == null ? defaultMs : fleetObserver.listRetryDelayMs(loop.nowMs(), defaultMs);
     }
 
-    /** Answers at once what has no answer yet: this process is about to end. */
+    /** Aborts all open queries: the process is about to end. */
     void abortAll() {
-        for (Taken taken : queries.all()) {
-            if (!taken.answered) {
-                answered(taken, Figures.End.FAILED);
-                taken.owed.replyLine(FAILED);
+        for (PendingQuery pendingQuery : queries.all()) {
+            if (!pendingQuery.answered) {
+                markAnswered(pendingQuery, Metrics.QueryResult.FAILED);
+                pendingQuery.reply.replyLine(ABORT_REPLY);
             }
         }
     }
 
-    private void tell(Runnable event) {
-        toTell.add(event);
-        if (telling) {
+    private void dispatch(Runnable event) {
+        pendingEvents.add(event);
+        if (isDispatching) {
             return;
         }
-        telling = true;
+        isDispatching = true;
         try {
-            while (!toTell.isEmpty()) {
+            while (!pendingEvents.isEmpty()) {
                 try {
-                    toTell.poll().run();
-                } catch (RuntimeException e) { // the query it concerned is aborted in time; the others go on
+                    pendingEvents.poll().run();
+                } catch (RuntimeException e) { // the affected query is aborted at its deadline; the others go on
                     LOG.log(Level.ERROR, "the router failed", e);
                 }
             }
         } finally {
-            telling = false;
+            isDispatching = false;
         }
     }
 
-    private void news(NodeList list) {
+    private void listReceived(NodeList list) {
         double now = loop.nowMs();
-        boolean isFirst = !hasHeardList;
-        hasHeardList = true;
-        if (lookout != null) {
-            lookout.listCalled(loop.nowMs(), true);
-        }
-        nodes.learn(list);
-        if (isFirst) { // with what the file knew: all of it is judged together
-            List<Member> all = startTimes.adjustFirstList(nodes.wholeList(), now, System.currentTimeMillis());
-            tell(() -> router.listReplaced(loop.nowMs(), all, false));
+        boolean isFirst = !hasReceivedList;
+        hasReceivedList = true;
+        if (fleetObserver != null) {
+            fleetObserver.listRequestEnded(loop.nowMs(), true);
+        }
+        nodes.apply(list);
+        if (isFirst) { // evaluated together with the list from the configuration file
+            List<Member> all = startTimes.adjustFirstList(nodes.currentList(), now, System.currentTimeMillis());
+            dispatch(() -> router.listReplaced(loop.nowMs(), all, false));
             return;
         }
         List<Member> members = startTimes.adjustUpdate(list, now);
         if (list.full()) {
-            tell(() -> router.listReplaced(loop.nowMs(), members, false));
+            dispatch(() -> router.listReplaced(loop.nowMs(), members, false));
         } else {
-            tell(() -> router.listChanged(loop.nowMs(), members));
+            dispatch(() -> router.listChanged(loop.nowMs(), members));
         }
     }
 
     private void listFailed(String cause) {
         hasListFailed = true;
         LOG.log(Level.WARNING, "list: a call failed: {0}", cause);
-        if (lookout != null) {
-            lookout.listCalled(loop.nowMs(), false);
+        if (fleetObserver != null) {
+            fleetObserver.listRequestEnded(loop.nowMs(), false);
         }
         if (!isPushed()) {
-            tell(() -> router.listFailed(loop.nowMs()));
+            dispatch(() -> router.listFailed(loop.nowMs()));
         }
     }
 
-    /** The whole list as last published; for any thread. */
-    NodeList lastList() {
-        return nodes.lastList();
+    /** The full list as last published; thread-safe. */
+    NodeList publishedList() {
+        return nodes.publishedList();
     }
 
     @Override
-    public QueryId submit(Command command, PendingReply owed, double waitedMs) {
-        String named = command.fact("c");
-        int grade = site.gradeNames().indexOf(named);
-        double waits = waits(command, grade);
-        if (grade < 0 || waits <= 0) {
+    public QueryId submit(Command command, PendingReply reply, double waitedMs) {
+        String requestedGrade = command.fact("c");
+        int grade = settings.gradeNames().indexOf(requestedGrade);
+        double clientTimeoutMs = clientTimeoutMs(command, grade);
+        if (grade < 0 || clientTimeoutMs <= 0) {
             command.release();
-            figures.turnedAway(named, Figures.End.FAILED);
-            owed.replyLine("-ERR malformed list of names and values");
+            metrics.queryRefused(requestedGrade, Metrics.QueryResult.FAILED);
+            reply.replyLine("-ERR malformed list of names and values");
             return null;
         }
-        if (queries.isFull(site.mostHeld())) {
-            reject(command, owed);
+        if (queries.isFull(settings.mostHeld())) {
+            reject(command, reply);
             return null;
         }
-        if (!ids.add(command.id())) { // nodes know a query by its id: another's may be open, or just have been
+        if (!recentIds.add(command.id())) { // nodes identify a query by its id, which another open or recent query uses
             command.release();
-            figures.turnedAway(named, Figures.End.FAILED);
-            owed.replyLine("-ERR this id is in use");
+            metrics.queryRefused(requestedGrade, Metrics.QueryResult.FAILED);
+            reply.replyLine("-ERR this id is in use");
             return null;
         }
-        if (ids.size() > IDS) {
-            ids.remove(ids.iterator().next());
+        if (recentIds.size() > MAX_REMEMBERED_IDS) {
+            recentIds.remove(recentIds.iterator().next());
         }
-        double left = Math.max(1, waits - waitedMs - LAST_HOP_MS);
-        Taken taken = new Taken(command, owed, named, site.routerSettings().grades().get(grade), site.routerSettings().mostExecutions(),
-                loop.nowMs() + left);
-        figures.taken();
-        if (lookout != null) {
-            lookout.taken();
+        double leftMs = Math.max(1, clientTimeoutMs - waitedMs - REPLY_MARGIN_MS);
+        PendingQuery pendingQuery = new PendingQuery(command, reply, requestedGrade, settings.routerSettings().grades().get(grade), settings.routerSettings().mostExecutions(),
+                loop.nowMs() + leftMs);
+        metrics.queryAccepted();
+        if (fleetObserver != null) {
+            fleetObserver.queryAccepted();
         }
-        QueryId id = new QueryId(queries.put(taken));
-        taken.forgotten = loop.scheduleAt(taken.quitAt + FORGOTTEN_MS, () -> forgotten(id));
-        tell(() -> router.query(loop.nowMs(), id, new QueryRequest(grade, key(command.key()), taken.quitAt - loop.nowMs(),
-                workMs(command), command.isWrite(), command.fact("r").equals("1"))));
+        QueryId id = new QueryId(queries.put(pendingQuery));
+        pendingQuery.abortTimer = loop.scheduleAt(pendingQuery.clientDeadlineMs + ABORT_GRACE_MS, () -> abortOverdue(id));
+        dispatch(() -> router.query(loop.nowMs(), id, new QueryRequest(grade, parseKey(command.key()), pendingQuery.clientDeadlineMs - loop.nowMs(),
+                costEstimateMs(command), command.isWrite(), command.fact("r").equals("1"))));
         return id;
     }
 
     @Override
-    public void reject(Command command, PendingReply owed) {
+    public void reject(Command command, PendingReply reply) {
         command.release();
-        figures.turnedAway(command.fact("c"), Figures.End.REJECTED);
-        owed.replyBusy(site.routerSettings().maxRetryAfterMs() > 0 ? TABLE_FULL_MS : 0);
+        metrics.queryRefused(command.fact("c"), Metrics.QueryResult.REJECTED);
+        reply.replyBusy(settings.routerSettings().maxRetryAfterMs() > 0 ? TABLE_FULL_RETRY_MS : 0);
     }
 
-    /** What {@code d} says, in ms, up to the statement timeout; -1 where it is missing or no plain number. */
-    private double waits(Command command, int grade) {
+    /** The command's {@code d} in ms, limited to the statement timeout; -1 if it is missing or not a plain number. */
+    private double clientTimeoutMs(Command command, int grade) {
         String text = command.fact("d");
-        return grade < 0 || !MS.matcher(text).matches() ? -1
-                : Math.min(Double.parseDouble(text), site.routerSettings().grades().get(grade).timeoutMs());
+        return grade < 0 || !MILLIS_PATTERN.matcher(text).matches() ? -1
+                : Math.min(Double.parseDouble(text), settings.routerSettings().grades().get(grade).timeoutMs());
     }
 
-    /** The client's guess of the work, which it gives in s; 0 where there is none, or none that can be. */
-    private static double workMs(Command command) {
+    /** The client's cost estimate, given in s, in ms; 0 if it is missing or invalid. */
+    private static double costEstimateMs(Command command) {
         String text = command.fact("costGuessS");
-        return SECONDS.matcher(text).matches() ? MS_PER_S * Double.parseDouble(text) : 0;
+        return SECONDS_PATTERN.matcher(text).matches() ? MS_PER_S * Double.parseDouble(text) : 0;
     }
 
-    private static Key key(String text) {
+    private static Key parseKey(String text) {
         try {
             return new Key(Long.parseUnsignedLong(text, 16));
         } catch (NumberFormatException e) {
@@ -366,164 +371,167 @@
         }
     }
 
-    private void forgotten(QueryId id) {
-        Taken taken = queries.get(id.value());
-        if (taken != null && !taken.answered) {
-            LOG.log(Level.ERROR, "query {0} had no answer at its statement timeout", taken.command.id());
-            taken.owed.replyLine(FAILED);
+    private void abortOverdue(QueryId id) {
+        PendingQuery pendingQuery = queries.get(id.value());
+        if (pendingQuery != null && !pendingQuery.answered) {
+            LOG.log(Level.ERROR, "query {0} had no answer at its statement timeout", pendingQuery.command.id());
+            pendingQuery.reply.replyLine(ABORT_REPLY);
             clientLeft(id);
         }
     }
 
     @Override
     public void clientLeft(QueryId id) {
-        Taken taken = queries.get(id.value());
-        if (taken != null && !taken.answered) {
-            answered(taken, Figures.End.FAILED);
-            tell(() -> router.clientLeft(loop.nowMs(), id));
-            tell(() -> freeIfOver(id, taken));
+        PendingQuery pendingQuery = queries.get(id.value());
+        if (pendingQuery != null && !pendingQuery.answered) {
+            markAnswered(pendingQuery, Metrics.QueryResult.FAILED);
+            dispatch(() -> router.clientLeft(loop.nowMs(), id));
+            dispatch(() -> releaseIfDone(id, pendingQuery));
         }
     }
 
-    private void answered(Taken taken, Figures.End how) {
-        figures.ended(taken.grade, how);
-        answered(taken);
+    private void markAnswered(PendingQuery pendingQuery, Metrics.QueryResult result) {
+        metrics.queryEnded(pendingQuery.gradeName, result);
+        markAnswered(pendingQuery);
     }
 
-    /** Guards rule 1: what waits for a connection still, such as a second copy, is not sent for it afterwards. */
-    private static void answered(Taken taken) {
-        taken.answered = true;
-        taken.forgotten.cancelTask();
-        List.copyOf(taken.execs).forEach(Sent::takeBack);
+    /** Rule 1: executions that still wait for a connection, such as a second copy, are not sent after the answer. */
+    private static void markAnswered(PendingQuery pendingQuery) {
+        pendingQuery.answered = true;
+        pendingQuery.abortTimer.cancelTask();
+        List.copyOf(pendingQuery.executions).forEach(SentExecution::withdraw);
     }
 
-    private void freeIfOver(QueryId id, Taken taken) {
-        if (taken.answered && taken.out == 0 && queries.get(id.value()) == taken) {
+    private void releaseIfDone(QueryId id, PendingQuery pendingQuery) {
+        if (pendingQuery.answered && pendingQuery.openExecutions == 0 && queries.get(id.value()) == pendingQuery) {
             queries.free(id.value());
-            taken.command.release();
+            pendingQuery.command.release();
         }
     }
 
     @Override
     public void execute(QueryId id, NodeId node, double timeoutMs) {
-        Taken taken = queries.get(id.value());
-        if (taken == null) {
-            LOG.log(Level.ERROR, "an execution for a query not held");
+        PendingQuery pendingQuery = queries.get(id.value());
+        if (pendingQuery == null) {
+            LOG.log(Level.ERROR, "an execution for an unknown query");
             return;
         }
         double now = loop.nowMs();
-        double until = timeoutMs == 0 ? taken.quitAt : Math.min(taken.quitAt, now + timeoutMs);
-        boolean clientIsHere = taken.execs.isEmpty() || taken.owed.isClientConnected(); // the first goes out as its query is read
-        Execution execution = new Execution(id, taken.execs.size(), taken.command, now, until, this);
+        double until = timeoutMs == 0 ? pendingQuery.clientDeadlineMs : Math.min(pendingQuery.clientDeadlineMs, now + timeoutMs);
+        boolean clientIsHere = pendingQuery.executions.isEmpty() || pendingQuery.reply.isClientConnected(); // the first one starts while its query is being read
+        Execution execution = new Execution(id, pendingQuery.executions.size(), pendingQuery.command, now, until, this);
         Backend backend = nodes.backend(node);
-        taken.out++;
-        if (!clientIsHere || taken.answered || backend == null || taken.execs.size() >= taken.mostExecutions) {
-            taken.execs.add(new Sent(execution, node, null, () -> { }));
+        pendingQuery.openExecutions++;
+        if (!clientIsHere || pendingQuery.answered || backend == null || pendingQuery.executions.size() >= pendingQuery.mostExecutions) {
+            pendingQuery.executions.add(new SentExecution(execution, node, null, () -> { }));
             execution.end(ExecutionResult.of(Outcome.UNSENT));
             return;
         }
-        IoLoop.PendingTask deadline = loop.scheduleAt(until, () -> timedOut(execution, backend));
-        double windowEnds = windowEnds(taken);
-        Sent sent = new Sent(execution, node, backend, deadline);
-        if (windowEnds < until) {
-            loop.scheduleAt(windowEnds, sent::takeBack);
+        IoLoop.PendingTask timeout = loop.scheduleAt(until, () -> timeOut(execution, backend));
+        double deduplicationEndsAt = deduplicationEndsAt(pendingQuery);
+        SentExecution sent = new SentExecution(execution, node, backend, timeout);
+        if (deduplicationEndsAt < until) {
+            loop.scheduleAt(deduplicationEndsAt, sent::withdraw);
         }
-        taken.execs.add(sent);
+        pendingQuery.executions.add(sent);
         backend.begin(execution);
     }
 
-    /** By when a further execution has to have begun whole, where nodes know a repeat for a time only; it may have to wait to be sent. */
-    private static double windowEnds(Taken taken) {
-        return taken.rules.semantics() != ServiceGrade.Semantics.DEDUPLICATED ? Double.POSITIVE_INFINITY
-                : taken.execs.stream().filter(s -> s.execution.mayHaveRun()).mapToDouble(s -> s.execution.sentAt).min()
-                        .orElse(Double.POSITIVE_INFINITY) + taken.rules.dedupWindowMs() - WAY_MS;
+    /**
+     * The time by which a repeat has to be written whole: nodes deduplicate only for a limited time after the first execution, and
+     * a repeat may have to wait for a connection. Infinite for grades without deduplication.
+     */
+    private static double deduplicationEndsAt(PendingQuery pendingQuery) {
+        return pendingQuery.serviceGrade.semantics() != ServiceGrade.Semantics.DEDUPLICATED ? Double.POSITIVE_INFINITY
+                : pendingQuery.executions.stream().filter(s -> s.execution.mayHaveRun()).mapToDouble(s -> s.execution.sentAt).min()
+                        .orElse(Double.POSITIVE_INFINITY) + pendingQuery.serviceGrade.dedupWindowMs() - NETWORK_DELAY_MS;
     }
 
     @Override
     public boolean mayBegin(Execution execution) {
-        Taken taken = queries.get(execution.query.value());
+        PendingQuery pendingQuery = queries.get(execution.query.value());
         double now = loop.nowMs();
-        return taken != null && !taken.answered && now < execution.deadlineMs && taken.owed.isClientConnected() && !taken.answered;
+        return pendingQuery != null && !pendingQuery.answered && now < execution.deadlineMs && pendingQuery.reply.isClientConnected() && !pendingQuery.answered;
     }
 
     @Override
     public void written(Execution execution) {
-        figures.executed();
+        metrics.executionSent();
     }
 
-    private void timedOut(Execution execution, Backend backend) {
-        WriteProgress reached = backend.stopWaiting(execution);
-        execution.end(ExecutionResult.of(reached == WriteProgress.COMPLETE ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED));
+    private void timeOut(Execution execution, Backend backend) {
+        WriteProgress progress = backend.stopWaiting(execution);
+        execution.end(ExecutionResult.of(progress == WriteProgress.COMPLETE ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED));
     }
 
     @Override
     public void cancel(QueryId id, int number) {
-        Taken taken = queries.get(id.value());
-        if (taken != null && !taken.execs.get(number).execution.hasEnded()) {
-            Sent sent = taken.execs.get(number);
-            WriteProgress reached = sent.backend.stopWaiting(sent.execution);
-            sent.execution.end(ExecutionResult.of(reached == WriteProgress.COMPLETE ? Outcome.CANCELLED : Outcome.UNSENT));
+        PendingQuery pendingQuery = queries.get(id.value());
+        if (pendingQuery != null && !pendingQuery.executions.get(number).execution.hasEnded()) {
+            SentExecution sent = pendingQuery.executions.get(number);
+            WriteProgress progress = sent.backend.stopWaiting(sent.execution);
+            sent.execution.end(ExecutionResult.of(progress == WriteProgress.COMPLETE ? Outcome.CANCELLED : Outcome.UNSENT));
         }
     }
 
     @Override
-    public void ended(Execution execution, ExecutionResult ending) {
-        Taken taken = queries.get(execution.query.value());
-        taken.execs.get(execution.number).deadline.cancelTask();
-        double took = loop.nowMs() - execution.sentAt;
-        if (lookout != null) {
-            tellOf(taken.execs.get(execution.number).node, execution.sentAt, took, ending.outcome());
-        }
-        if (ending.outcome() == Outcome.COMPLETED) {
-            if (taken.answered) {
-                ending.release();
-            } else if (ending.transfer() == null) {
-                answered(taken, Figures.End.COMPLETED);
-                taken.owed.replyValue(ending.value());
-            } else { // it is answered from its first bytes on, and ended when the client has the last
-                answered(taken);
-                Transfer transfer = ending.transfer();
-                transfer.connect(taken.owed::transferAdvanced, () -> figures.ended(taken.grade,
-                        transfer.isDone() ? Figures.End.COMPLETED : Figures.End.FAILED));
-                taken.owed.replyTransfer(transfer);
+    public void ended(Execution execution, ExecutionResult executionResult) {
+        PendingQuery pendingQuery = queries.get(execution.query.value());
+        pendingQuery.executions.get(execution.number).timeout.cancelTask();
+        double tookMs = loop.nowMs() - execution.sentAt;
+        if (fleetObserver != null) {
+            reportOutcome(pendingQuery.executions.get(execution.number).node, execution.sentAt, tookMs, executionResult.outcome());
+        }
+        if (executionResult.outcome() == Outcome.COMPLETED) {
+            if (pendingQuery.answered) {
+                executionResult.release();
+            } else if (executionResult.transfer() == null) {
+                markAnswered(pendingQuery, Metrics.QueryResult.COMPLETED);
+                pendingQuery.reply.replyValue(executionResult.value());
+            } else { // the reply starts with the first bytes; the query ends once the client has the last
+                markAnswered(pendingQuery);
+                Transfer transfer = executionResult.transfer();
+                transfer.connect(pendingQuery.reply::transferAdvanced, () -> metrics.queryEnded(pendingQuery.gradeName,
+                        transfer.isDone() ? Metrics.QueryResult.COMPLETED : Metrics.QueryResult.FAILED));
+                pendingQuery.reply.replyTransfer(transfer);
             }
-        } else if (ending.outcome() == Outcome.ERRED && loop.nowMs() > errorLoggedAt + ERRORS_APART_MS) {
+        } else if (executionResult.outcome() == Outcome.ERRED && loop.nowMs() > errorLoggedAt + ERROR_LOG_INTERVAL_MS) {
             errorLoggedAt = loop.nowMs();
-            LOG.log(Level.WARNING, "execution ended ERRED: {0}", ending.cause());
+            LOG.log(Level.WARNING, "execution ended ERRED: {0}", executionResult.cause());
         }
-        tell(() -> {
-            router.executionEnded(loop.nowMs(), execution.query, execution.number, ending.outcome(), took,
-                    taken.answered);
-            taken.out--;
-            freeIfOver(execution.query, taken);
+        dispatch(() -> {
+            router.executionEnded(loop.nowMs(), execution.query, execution.number, executionResult.outcome(), tookMs,
+                    pendingQuery.answered);
+            pendingQuery.openExecutions--;
+            releaseIfDone(execution.query, pendingQuery);
         });
     }
 
-    private void tellOf(NodeId node, double sentAt, double took, Outcome outcome) {
+    private void reportOutcome(NodeId node, double sentAt, double tookMs, Outcome outcome) {
         switch (outcome) {
-            case COMPLETED, MISS, FULL -> lookout.heard(node, loop.nowMs(), took);
-            case TIMED_OUT, CANCELLED -> lookout.unanswered(node, sentAt, loop.nowMs(), took);
-            case CONNECT_FAILED -> lookout.unanswered(node, sentAt, loop.nowMs(), Double.POSITIVE_INFINITY);
-            default -> { } // it tells of its connection, or of this side
+            case COMPLETED, MISS, FULL -> fleetObserver.cacheAnswered(node, loop.nowMs(), tookMs);
+            case TIMED_OUT, CANCELLED -> fleetObserver.unanswered(node, sentAt, loop.nowMs(), tookMs);
+            case CONNECT_FAILED -> fleetObserver.unanswered(node, sentAt, loop.nowMs(), Double.POSITIVE_INFINITY);
+            default -> { } // says something about the connection or this proxy, not about the node
         }
     }
 
     @Override
     public void reject(QueryId id, double retryAfterMs) {
-        answer(id, Figures.End.REJECTED, owed -> owed.replyBusy(retryAfterMs));
+        finish(id, Metrics.QueryResult.REJECTED, reply -> reply.replyBusy(retryAfterMs));
     }
 
     @Override
     public void abort(QueryId id) {
-        answer(id, Figures.End.FAILED, owed -> owed.replyLine(FAILED));
+        finish(id, Metrics.QueryResult.FAILED, reply -> reply.replyLine(ABORT_REPLY));
     }
 
-    private void answer(QueryId id, Figures.End how, Consumer<PendingReply> last) {
-        Taken taken = queries.get(id.value());
-        if (taken != null && !taken.answered) {
-            answered(taken, how);
-            last.accept(taken.owed);
-            tell(() -> freeIfOver(id, taken));
+    private void finish(QueryId id, Metrics.QueryResult result, Consumer<PendingReply> send) {
+        PendingQuery pendingQuery = queries.get(id.value());
+        if (pendingQuery != null && !pendingQuery.answered) {
+            markAnswered(pendingQuery, result);
+            send.accept(pendingQuery.reply);
+            dispatch(() -> releaseIfDone(id, pendingQuery));
         }
     }
 
@@ -537,17 +545,17 @@
 
     @Override
     public void followList() {
-        double inMs = againMs(0);
-        if (inMs > 0) {
-            callIn(inMs);
+        double retryDelayMs = listDelayMs(0);
+        if (retryDelayMs > 0) {
+            requestListIn(retryDelayMs);
         } else {
-            watch.startWatching();
+            listWatch.startWatching();
         }
     }
 
     @Override
     public void startTimer(TimerId timer, double delayMs) {
-        loop.scheduleAt(loop.nowMs() + delayMs, () -> tell(() -> router.timerFired(loop.nowMs(), timer)));
+        loop.scheduleAt(loop.nowMs() + delayMs, () -> dispatch(() -> router.timerFired(loop.nowMs(), timer)));
     }
 
     @Override
--- a/src/test/java/dappleseam/proxy/ManyStartsTest.java
+++ b/src/test/java/dappleseam/proxy/ConcurrentStartsTest.java
@@ -11,19 +11,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Many processes that start at once, as after a restart of most of a fleet. */
-class ManyStartsTest {
+/** Many processes start at once, as after a restart of most of a fleet. */
+class ConcurrentStartsTest {
     private static final int PROCESSES = 10;
     private static final double READY_MS = 10_000;
 
     @TempDir
     Path folder;
     private final List<Process> processes = new ArrayList<>();
-    private Sockets sockets;
+    private ServeFixture fixture;
 
     @BeforeEach
     void prepare() throws Exception {
-        sockets = new Sockets();
+        fixture = new ServeFixture();
     }
 
     @AfterEach
@@ -31,26 +31,26 @@
         for (Process process : processes) {
             process.destroyForcibly().waitFor();
         }
-        sockets.cache.close();
-        sockets.origin.close();
-        sockets.list.close();
+        fixture.cache.close();
+        fixture.origin.close();
+        fixture.list.close();
     }
 
-    /** Times in ms until each answers a PING, from when the first was started. */
+    /** Times in ms from the first start until each process answers a PING. */
     private List<Double> readyTimes() throws Exception {
         List<Integer> ports = new ArrayList<>();
         double from = System.nanoTime();
         for (int i = 0; i < PROCESSES; i++) {
             Path own = Files.createDirectory(folder.resolve("p" + i));
-            sockets.port = Sockets.freePort();
-            ports.add(sockets.port);
-            processes.add(sockets.launch(own, sockets.config(own, "")));
+            fixture.port = ServeFixture.freePort();
+            ports.add(fixture.port);
+            processes.add(fixture.launch(own, fixture.config(own, "")));
         }
         List<Double> times = new ArrayList<>();
         for (int i = 0; i < PROCESSES; i++) {
-            sockets.port = ports.get(i);
-            sockets.program = processes.get(i);
-            Sockets.Client client = sockets.client();
+            fixture.port = ports.get(i);
+            fixture.program = processes.get(i);
+            ServeFixture.Client client = fixture.client();
             client.send("PING");
             assertThat(client.answer()).isEqualTo("+PONG");
             times.add((System.nanoTime() - from) / 1e6);
@@ -58,17 +58,17 @@
         return times;
     }
 
-    /** Nine in ten are ready within 10 s though the list service takes calls and answers none: no start waits for it without a bound. */
+    /** Nine in ten are ready within 10 s while the list service accepts requests and never answers: the wait for it is bounded. */
     @Test
-    void nineInTenAreReadyInTimeThoughTheListServiceSaysNothing() throws Exception {
-        sockets.list.first = null;
+    void nineInTenAreReadyInTimeWhileTheListServiceIsSilent() throws Exception {
+        fixture.list.firstAnswer = null;
         assertThat(readyTimes().stream().filter(ms -> ms <= READY_MS).count()).isGreaterThanOrEqualTo(PROCESSES * 9 / 10);
     }
 
-    /** The same where it refuses all of them. */
+    /** The same while the list service refuses connections. */
     @Test
-    void nineInTenAreReadyInTimeThoughTheListServiceIsDown() throws Exception {
-        sockets.list.close();
+    void nineInTenAreReadyInTimeWhileTheListServiceIsDown() throws Exception {
+        fixture.list.close();
         assertThat(readyTimes().stream().filter(ms -> ms <= READY_MS).count()).isGreaterThanOrEqualTo(PROCESSES * 9 / 10);
     }
 }
--- a/src/test/java/dappleseam/proxy/Sockets.java
+++ b/src/test/java/dappleseam/proxy/ServeFixture.java
@@ -20,38 +20,38 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** The program, started with small stand-ins for its peers, and a client to speak to it. */
-final class Sockets {
-    static final long PATIENCE_S = 20;
+/** Starts the program in a process of its own, with stubs for its peers and clients that connect to it. */
+final class ServeFixture {
+    static final long TIMEOUT_S = 20;
 
-    final Peer cache = new Peer();
-    final Peer origin = new Peer();
-    final Peer list = new Peer();
+    final StubPeer cache = new StubPeer();
+    final StubPeer origin = new StubPeer();
+    final StubPeer list = new StubPeer();
     Process program;
     int port;
-    int sockets = 1024;
+    int descriptorLimit = 1024;
     int memoryMb = 192;
     String command = "serve";
-    /** Of the program, on top of this one's own. */
+    /** Environment of the program, in addition to that of the test. */
     final Map<String, String> environment = new HashMap<>();
-    /** Port of the operators' door; 0 for none. */
-    int control;
+    /** Port of the control server; 0 for none. */
+    int controlPort;
     String grades = """
             {"name":"read","semantics":"read_like","sloTimeS":20,"statementTimeoutS":30},
             {"name":"put","semantics":"non_idempotent","sloTimeS":20,"statementTimeoutS":30}""";
 
-    /** A stand-in: commands or heads that came in, and the connections on which the test answers them. */
-    static final class Peer implements AutoCloseable {
+    /** A stub of a cache, the origin or the list service: queues the messages it receives; the test answers them. */
+    static final class StubPeer implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
-        /** What the very first message is answered, before the test hears of any; null for nothing. */
-        volatile String first;
-        /** What every message is answered, and the test hears of none; null for nothing. */
-        volatile String always;
-        /** Whether the bodies of HTTP calls are read. */
-        volatile boolean bodies = true;
-
-        Peer() throws IOException {
+        final BlockingQueue<Received> received = new LinkedBlockingQueue<>();
+        /** Sent in answer to the first message, which is not queued; null for none. */
+        volatile String firstAnswer;
+        /** Sent in answer to every message, none of which is queued; null for none. */
+        volatile String constantAnswer;
+        /** Whether bodies of HTTP requests are read. */
+        volatile boolean readsBodies = true;
+
+        StubPeer() throws IOException {
             Thread accept = new Thread(() -> {
                 try {
                     while (true) {
@@ -72,29 +72,29 @@
             try {
                 InputStream in = new BufferedInputStream(socket.getInputStream());
                 while (true) {
-                    Told next = new Told(message(in, bodies), socket);
-                    String answer = first;
+                    Received next = new Received(readMessage(in, readsBodies), socket);
+                    String answer = firstAnswer;
                     if (answer != null) {
-                        first = null;
+                        firstAnswer = null;
                         next.answer(answer);
-                    } else if (always != null) {
-                        next.answer(always);
+                    } else if (constantAnswer != null) {
+                        next.answer(constantAnswer);
                     } else {
-                        told.add(next);
+                        received.add(next);
                     }
                 }
             } catch (IOException e) {
-                told.add(new Told(List.of("closed"), socket));
+                received.add(new Received(List.of("closed"), socket));
             }
         }
 
-        /** What came next, other than a connection's end. */
-        Told next() throws InterruptedException {
-            Told next = told.poll(PATIENCE_S, TimeUnit.SECONDS);
+        /** Waits for the next message, skipping closed connections. */
+        Received next() throws InterruptedException {
+            Received next = received.poll(TIMEOUT_S, TimeUnit.SECONDS);
             if (next == null) {
-                throw new AssertionError("nothing came");
+                throw new AssertionError("no message received");
             }
-            return next.words.get(0).equals("closed") ? next() : next;
+            return next.elements.get(0).equals("closed") ? next() : next;
         }
 
         String endpoint() {
@@ -107,65 +107,66 @@
         }
     }
 
-    record Told(List<String> words, Socket from) {
+    /** A message, as RESP elements or HTTP lines, or {@code closed}; and its connection. */
+    record Received(List<String> elements, Socket connection) {
         void answer(String bytes) throws IOException {
-            from.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
+            connection.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
         }
     }
 
-    /** What a cache answers that lacks the key. */
+    /** A cache's answer for a missing key. */
     static final String MISS = "*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n";
 
-    /** What the list service answers where nothing has changed. */
-    static String nothingNew(int version) {
+    /** The list service's answer when nothing has changed. */
+    static String unchangedList(int version) {
         return ok("{\"rev\":" + version + ",\"all\":false,\"targets\":[]}");
     }
 
-    /** What a cache answers that holds the value. */
+    /** A cache's answer with the value. */
     static String hit(String value) {
         return "*3\r\n$" + value.length() + "\r\n" + value + "\r\n$3\r\nhit\r\n$-1\r\n";
     }
 
-    /** What the origin or the list service answers. */
+    /** A successful answer of the origin or the list service. */
     static String ok(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** One RESP message's words, or one HTTP head's lines. */
-    static List<String> message(InputStream in, boolean bodies) throws IOException {
-        String line = line(in);
-        List<String> words = new ArrayList<>();
+    /** Reads the elements of one RESP message, or the lines of one HTTP head, with the body as the last if {@code readsBodies}. */
+    static List<String> readMessage(InputStream in, boolean readsBodies) throws IOException {
+        String line = readLine(in);
+        List<String> elements = new ArrayList<>();
         if (line.startsWith("*")) {
             int count = Integer.parseInt(line.substring(1));
             for (int i = 0; i < count; i++) {
-                words.add(bulk(in, line(in)));
+                elements.add(readBulk(in, readLine(in)));
             }
         } else if (line.startsWith("$")) {
-            words.add(bulk(in, line));
+            elements.add(readBulk(in, line));
         } else {
-            words.add(line);
+            elements.add(line);
             if (line.contains(" HTTP/1.1")) {
                 int length = 0;
                 while (!line.isEmpty()) {
-                    line = line(in);
-                    words.add(line);
+                    line = readLine(in);
+                    elements.add(line);
                     length = line.startsWith("Content-Length: ") ? Integer.parseInt(line.substring(16)) : length;
                 }
-                if (bodies && length > 0) {
-                    words.add(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1));
+                if (readsBodies && length > 0) {
+                    elements.add(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1));
                 }
             }
         }
-        return words;
+        return elements;
     }
 
-    private static String bulk(InputStream in, String head) throws IOException {
+    private static String readBulk(InputStream in, String head) throws IOException {
         byte[] bytes = in.readNBytes(Integer.parseInt(head.substring(1)));
-        line(in);
+        readLine(in);
         return new String(bytes, StandardCharsets.ISO_8859_1);
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         int c = in.read();
         for (; c >= 0 && c != '\n'; c = in.read()) {
@@ -177,18 +178,18 @@
         return line.toString(StandardCharsets.ISO_8859_1).stripTrailing();
     }
 
-    /** The first list is there: a process waits for it before it serves. */
-    Sockets() throws IOException {
-        list.first = nothingNew(1);
+    /** The list service answers the first request by default, as a process waits for that before it serves. */
+    ServeFixture() throws IOException {
+        list.firstAnswer = unchangedList(1);
     }
 
-    static String entry(String uid, Peer peer, String model, String state) {
+    static String entry(String uid, StubPeer peer, String model, String state) {
         return "{\"uid\":\"" + uid + "\",\"endpoint\":\"" + peer.endpoint() + "\",\"az\":\"a\",\"model\":\"" + model
                 + "\",\"pod_group\":0,\"state\":\"" + state + "\",\"capacity_hint\":1,\"boot_ms\":0}";
     }
 
-    /** Starts the program with one cache and the origin known; {@code more} adds to the ceilings. */
-    Sockets start(Path folder, String more) throws IOException {
+    /** Starts the program with one cache and the origin listed; {@code more} is added to the ceilings of its settings. */
+    ServeFixture start(Path folder, String more) throws IOException {
         port = freePort();
         program = launch(folder, config(folder, more));
         return this;
@@ -200,7 +201,7 @@
         }
     }
 
-    /** Writes the configuration as it is now. */
+    /** Writes the configuration file from the current fields. */
     Path config(Path folder, String more) throws IOException {
         Path config = folder.resolve("config.json");
         return Files.writeString(config, """
@@ -214,7 +215,7 @@
                               "maxRetryAfterS":1,"streamsPerConn":8,"idleCloseS":60,"connectTimeoutS":2%s},
                   "rules":{"askEveryS":10,"coldFrom":0.5,"warmAfterS":5},
                   "serviceGrades":[%s]}}"""
-                .formatted(port, control == 0 ? "" : "\"control\":\"127.0.0.1:" + control + "\",", list.endpoint(), memoryMb, sockets, entry("s-1", cache, "m", "ready"),
+                .formatted(port, controlPort == 0 ? "" : "\"control\":\"127.0.0.1:" + controlPort + "\",", list.endpoint(), memoryMb, descriptorLimit, entry("s-1", cache, "m", "ready"),
                         entry("s-0", origin, "origin", "ready"), more, grades));
     }
 
@@ -229,39 +230,39 @@
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile())).start();
     }
 
-    /** A connection to the program, once it is ready. */
-    Sockets.Client client() throws IOException, InterruptedException {
-        for (int i = 0; i < PATIENCE_S * 100 && program.isAlive(); i++) {
+    /** Connects to the program, once it accepts connections. */
+    ServeFixture.Client client() throws IOException, InterruptedException {
+        for (int i = 0; i < TIMEOUT_S * 100 && program.isAlive(); i++) {
             try {
                 return new Client(new Socket("127.0.0.1", port));
             } catch (IOException e) {
                 Thread.sleep(10);
             }
         }
-        throw new AssertionError("the program does not serve");
+        throw new AssertionError("the program does not accept connections");
     }
 
-    /** What the door answers to one call: the status line, the head and the body. */
-    static String call(int door, String head) throws IOException {
-        try (Socket caller = new Socket("127.0.0.1", door)) {
-            caller.setSoTimeout(1000); // an operator waits no longer
+    /** Sends one request to the control server; returns the status line, the head and the body. */
+    static String request(int targetPort, String head) throws IOException {
+        try (Socket caller = new Socket("127.0.0.1", targetPort)) {
+            caller.setSoTimeout(1000); // operators' tools wait no longer
             caller.getOutputStream().write((head + "\r\nHost: p\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
             return new String(caller.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    String call(String head) throws IOException {
-        return call(control, head + " HTTP/1.1");
+    String request(String head) throws IOException {
+        return request(controlPort, head + " HTTP/1.1");
     }
 
-    /** Waits until a call to that door is answered so. */
-    static void awaitAnswer(int door, String head, String part) throws IOException, InterruptedException {
+    /** Repeats a request to the control server until the response contains {@code part}. */
+    static void awaitAnswer(int targetPort, String head, String part) throws IOException, InterruptedException {
         String last = "";
-        for (int i = 0; i < PATIENCE_S * 100 && !last.contains(part); i++) {
+        for (int i = 0; i < TIMEOUT_S * 100 && !last.contains(part); i++) {
             try {
-                last = call(door, head + " HTTP/1.1");
+                last = request(targetPort, head + " HTTP/1.1");
             } catch (java.net.ConnectException e) {
-                last = e.toString(); // not there yet
+                last = e.toString(); // not listening yet
             }
             Thread.sleep(10);
         }
@@ -272,31 +273,32 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(program.pid())).start().waitFor();
     }
 
-    void hangUp() throws Exception {
+    void sendHangUp() throws Exception {
         signal("HUP");
     }
 
     void awaitLog(Path folder, String text) throws IOException, InterruptedException {
-        for (int i = 0; i < PATIENCE_S * 100 && !Files.readString(folder.resolve("log")).contains(text); i++) {
+        for (int i = 0; i < TIMEOUT_S * 100 && !Files.readString(folder.resolve("log")).contains(text); i++) {
             Thread.sleep(10);
         }
         assertThat(Files.readString(folder.resolve("log"))).contains(text);
     }
 
+    /** A client's connection to the program. */
     static final class Client {
         final Socket socket;
         private final InputStream in;
 
         Client(Socket socket) throws IOException {
             this.socket = socket;
-            socket.setSoTimeout((int) (1000 * PATIENCE_S));
+            socket.setSoTimeout((int) (1000 * TIMEOUT_S));
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        void send(String... words) throws IOException {
-            StringBuilder command = new StringBuilder("*" + words.length + "\r\n");
-            for (String word : words) {
-                command.append('$').append(word.length()).append("\r\n").append(word).append("\r\n");
+        void send(String... elements) throws IOException {
+            StringBuilder command = new StringBuilder("*" + elements.length + "\r\n");
+            for (String element : elements) {
+                command.append('$').append(element.length()).append("\r\n").append(element).append("\r\n");
             }
             raw(command.toString());
         }
@@ -306,7 +308,7 @@
         }
 
         String answer() throws IOException {
-            return message(in, false).get(0);
+            return readMessage(in, false).get(0);
         }
 
         byte[] bytes(int count) throws IOException {
--- a/src/test/java/dappleseam/proxy/ShutdownTest.java
+++ b/src/test/java/dappleseam/proxy/ShutdownTest.java
@@ -19,10 +19,10 @@
 import org.xnio.XnioWorker;
 
 class ShutdownTest {
-    private static final String ASKED = "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n1\r\n$3\r\nc=r\r\n";
+    private static final String QUERY = "*4\r\n$5\r\nC.GET\r\n$1\r\na\r\n$1\r\n1\r\n$3\r\nc=r\r\n";
 
-    /** What was seen of one shutdown: when it first aborted, and when it ended, counted from when the process was told. */
-    private static List<Double> played(double toldMsAgo, double killAfterMs) throws Exception {
+    /** Runs one shutdown; returns when it first aborted queries and when it ended, in ms after the signal. */
+    private static List<Double> runShutdown(double signalledMsAgo, double killAfterMs) throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         CompletableFuture<List<Double>> seen = new CompletableFuture<>();
         worker.getIoThread().execute(() -> {
@@ -31,15 +31,15 @@
                 ClientFrontend front = new ClientFrontend(loop, loop, 100, 10);
                 front.listen(worker, new InetSocketAddress("127.0.0.1", 0));
                 ChannelPipe<StreamConnection, StreamConnection> pipe = worker.getIoThread().createFullDuplexPipeConnection();
-                pipe.getRightSide().getSinkChannel().write(ByteBuffer.wrap(ASKED.getBytes(StandardCharsets.US_ASCII)));
+                pipe.getRightSide().getSinkChannel().write(ByteBuffer.wrap(QUERY.getBytes(StandardCharsets.US_ASCII)));
                 front.addClient(pipe.getLeftSide());
-                double told = loop.now - toldMsAgo;
+                double signalledAt = loop.now - signalledMsAgo;
                 List<Double> times = new ArrayList<>();
                 Shutdown shutdown = new Shutdown(loop, front, () -> {
-                    times.add(loop.now - told);
+                    times.add(loop.now - signalledAt);
                     loop.replies.forEach(one -> one.replyLine("-ERR"));
-                }, () -> seen.complete(List.of(times.get(0), loop.now - told)));
-                shutdown.begin(false, toldMsAgo, killAfterMs);
+                }, () -> seen.complete(List.of(times.get(0), loop.now - signalledAt)));
+                shutdown.begin(false, signalledMsAgo, killAfterMs);
                 loop.advanceTo(loop.now + killAfterMs);
             } catch (Exception e) {
                 seen.completeExceptionally(e);
@@ -52,21 +52,21 @@
         }
     }
 
-    /** The platform counts from the signal, however late this thread hears of it: all is over before the kill. */
+    /** The platform counts from the signal, however late the I/O thread reacts: the shutdown has to end before the kill. */
     @Test
-    void whatIsOpenIsAbortedBeforeTheKillHoweverLateTheLoopHearsOfIt() throws Exception {
+    void openQueriesAreAbortedBeforeTheKillHoweverLateTheLoopIs() throws Exception {
         for (double late : new double[] {0, 300, 3300}) {
-            List<Double> times = played(late, 3700);
+            List<Double> times = runShutdown(late, 3700);
             assertThat(times.get(0)).isBetween(3500.0, 3520.0);
             assertThat(times.get(1)).isBetween(3500.0, 3610.0);
         }
-        assertThat(played(800, 800).get(1)).isEqualTo(800.0); // at once
+        assertThat(runShutdown(800, 800).get(1)).isEqualTo(800.0); // at once
     }
 
-    /** Deadlines that are short leave less time: the states come in their order all the same. */
+    /** Short statement timeouts leave less time; the states are still entered in order. */
     @Test
-    void aShortTimeToTheKillIsEnough() throws Exception {
-        List<Double> times = played(0, 800);
+    void shortKillDelayIsEnough() throws Exception {
+        List<Double> times = runShutdown(0, 800);
         assertThat(times.get(0)).isBetween(600.0, 620.0);
         assertThat(times.get(1)).isBetween(600.0, 710.0);
     }
