--- a/src/main/java/dappleseam/control/FleetCommand.java
+++ b/src/main/java/dappleseam/control/FleetCommand.java
@@ -63,7 +63,7 @@
 
     private static String render(JsonNode view) {
         if (!view.path("joined").asBoolean()) {
-            return "waiting for its address, which another process uses\n";
+            return "waits for its address, which another process has\n";
         }
         StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%s: status %s for %d s, fleet size %d, health score %d%n", view.path("name").asText(),
                 view.path("standing").asText(), view.path("standing_for_s").asLong(), view.path("counted").asInt(), view.path("own_health").asInt()));
--- a/src/main/java/dappleseam/fleet/lease/Candidate.java
+++ b/src/main/java/dappleseam/fleet/lease/Candidate.java
@@ -108,7 +108,7 @@
         if (claim != null) {
             raiseHighestSeen(claim, seen);
             if (claim.stage == Stage.HOLDING && claim.ballot.isBelow(seen)) {
-                lose(nowMs, claim, "a resource has seen a later holder's token");
+                lose(nowMs, claim, "a resource has seen a later holder");
             }
             scheduleWakeUp();
         }
@@ -147,7 +147,7 @@
                 }
                 claim.failures++;
                 if (claim.stage == Stage.ASKING && claim.failures == LOGGED_FAILURES) {
-                    host.log("lease " + claim.lease + ": no replies from a majority of voters");
+                    host.log("lease " + claim.lease + ": no majority of voters answers");
                 }
                 waitFor(nowMs, claim, leaseShare(POLL_SHARE) * Math.min(4, claim.failures));
             }
@@ -326,7 +326,7 @@
             return;
         }
         if (reason == Refusal.OTHER_SET || reason == Refusal.NO_VOTER) {
-            host.log("lease " + lease + ": voter " + voter + " has another lease configuration: " + reason);
+            host.log("lease " + lease + ": " + voter + " is of another set of voters: " + reason);
         }
         boolean isCurrent = ballot.equals(claim.ballot) && (claim.stage == Stage.PREPARING || claim.stage == Stage.PROPOSING);
         if (isCurrent && reason == Refusal.LOWER) {
--- a/src/main/java/dappleseam/fleet/membership/Membership.java
+++ b/src/main/java/dappleseam/fleet/membership/Membership.java
@@ -1011,7 +1011,7 @@
             status = new MembershipStatus(kind, sameKind ? status.sinceMs() : now + stalledMs, List.copyOf(missing));
             host.statusChanged(status);
             if (!sameKind) {
-                host.log(String.format(Locale.ROOT, "fleet: status %s, %d alive, fleet size %d, missing %s", kind, liveMembers.size() + 1,
+                host.log(String.format(Locale.ROOT, "fleet: stands %s, %d alive, counted %d, missing %s", kind, liveMembers.size() + 1,
                         fleetSize(), missing));
             }
         }
--- a/src/main/java/dappleseam/fleet/peers/FleetAgent.java
+++ b/src/main/java/dappleseam/fleet/peers/FleetAgent.java
@@ -208,7 +208,7 @@
                 channel.close();
                 if (!isWaiting) {
                     isWaiting = true;
-                    LOG.log(Level.INFO, "fleet: waiting for {0}, which another process uses", config.bind());
+                    LOG.log(Level.INFO, "fleet: waits for {0}, which another process has", config.bind());
                 }
                 selector.select(BIND_RETRY_MS);
             }
--- a/src/main/java/dappleseam/fleet/peers/LeaseManager.java
+++ b/src/main/java/dappleseam/fleet/peers/LeaseManager.java
@@ -102,7 +102,7 @@
                     failures++;
                     LOG.log(Level.WARNING, "lease {0}: the task failed: {1}", task.lease(), e.toString());
                     if (failures >= MAX_FAILURES) {
-                        runOnFleetThread.accept(() -> backOff(this, "its task failed " + MAX_FAILURES + " times in a row"));
+                        runOnFleetThread.accept(() -> backOff(this, "its task failed " + MAX_FAILURES + " times"));
                     }
                 } finally {
                     runningSince = Double.NaN;
--- a/src/main/java/dappleseam/proxy/FleetMembership.java
+++ b/src/main/java/dappleseam/proxy/FleetMembership.java
@@ -104,13 +104,13 @@
             long version = base.knownList().path("rev").asLong(-1);
             double age = System.currentTimeMillis() - stored.writtenAtMs();
             if (age > MAX_LIST_AGE_MS) {
-                LOG.log(Level.INFO, "the fleet''s last list is not used: written {0} s ago", Math.round(age / MS_PER_S));
+                LOG.log(Level.INFO, "the fleet''s last list is not taken: written {0} s ago", Math.round(age / MS_PER_S));
             } else if (stored.list().path("rev").asLong() > version) {
-                LOG.log(Level.INFO, "the fleet''s last list is used at version {0}, the file had {1}", stored.list().path("rev").asLong(), version);
+                LOG.log(Level.INFO, "the fleet''s last list is taken at version {0}, the file had {1}", stored.list().path("rev").asLong(), version);
                 return base.withKnownList(stored.list());
             }
         } catch (IOException | RuntimeException e) { // optional
-            LOG.log(Level.INFO, "the fleet''s last list is not used: {0}", e.toString());
+            LOG.log(Level.INFO, "the fleet''s last list is not taken: {0}", e.toString());
         }
         return base;
     }
