--- a/src/main/java/dappleseam/lab/ExploreCommand.java
+++ b/src/main/java/dappleseam/lab/ExploreCommand.java
@@ -1,7 +1,7 @@
 package dappleseam.lab;
 
-import dappleseam.lab.fleet.Exploration;
-import dappleseam.lab.fleet.Planted;
+import dappleseam.lab.fleet.MembershipExploration;
+import dappleseam.lab.fleet.PlantedFault;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -19,13 +19,13 @@
     private int early;
 
     @Option(names = "--planted", defaultValue = "NONE", description = "A defence that is taken out: ${COMPLETION-CANDIDATES}.")
-    private Planted planted;
+    private PlantedFault planted;
 
     @Override
     public Integer call() {
-        Exploration.Found found = new Exploration(early, depth, faults, true, planted).run();
-        System.out.printf("early %d, depth %d, faults %d, planted %s: %d states in %d ways, %s%n", early, depth, faults, planted, found.states(), found.ways(),
-                found.broken() == null ? "nothing broken" : found.broken());
-        return found.broken() == null ? 0 : 1;
+        MembershipExploration.Result found = new MembershipExploration(early, depth, faults, true, planted).run();
+        System.out.printf("early %d, depth %d, faults %d, planted %s: %d states in %d ways, %s%n", early, depth, faults, planted, found.states(), found.paths(),
+                found.violation() == null ? "nothing broken" : found.violation());
+        return found.violation() == null ? 0 : 1;
     }
 }
--- a/src/main/java/dappleseam/lab/FleetRun.java
+++ b/src/main/java/dappleseam/lab/FleetRun.java
@@ -11,11 +11,11 @@
 import dappleseam.lab.emulator.Fleet;
 import dappleseam.lab.emulator.StoreEmulator;
 import dappleseam.lab.fault.LinkTool;
-import dappleseam.lab.fleet.Disturbances;
+import dappleseam.lab.fleet.StallPeriods;
 import dappleseam.lab.fleet.LeaseChecker;
-import dappleseam.lab.fleet.Planted;
-import dappleseam.lab.fleet.Sight;
-import dappleseam.lab.fleet.Truth;
+import dappleseam.lab.fleet.PlantedFault;
+import dappleseam.lab.fleet.ViewChange;
+import dappleseam.lab.fleet.GroundTruth;
 import dappleseam.lab.fleet.ViewChecker;
 import dappleseam.lab.load.LoadTool;
 import dappleseam.lab.proxies.Ports;
@@ -84,10 +84,10 @@
     private final List<Seat> seats = new ArrayList<>();
     private final Queue<Instance> instances = new ConcurrentLinkedQueue<>();
     private final Queue<String> timeline = new ConcurrentLinkedQueue<>();
-    private final Queue<LeaseChecker.Hit> hits = new ConcurrentLinkedQueue<>();
+    private final Queue<LeaseChecker.HolderFault> hits = new ConcurrentLinkedQueue<>();
     private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(4, FleetRun::daemon);
     private final ExecutorService hands = Executors.newCachedThreadPool(FleetRun::daemon);
-    private final Truth truth = new Truth();
+    private final GroundTruth truth = new GroundTruth();
     private double beganMs;
     private volatile boolean failed;
     private volatile boolean stopped;
@@ -179,14 +179,14 @@
     }
 
     /** {@code alone}: proxies know nothing of each other, to compare what it costs that they do. */
-    FleetRun(FleetScenario scenario, String serve, Path home, Planted planted, boolean alone) throws IOException {
+    FleetRun(FleetScenario scenario, String serve, Path home, PlantedFault planted, boolean alone) throws IOException {
         this.alone = alone;
         this.scenario = scenario;
         this.serve = serve;
         this.home = home;
         peers = new Fleet(scenario.play(), ledger);
         links = new LinkTool(fleet, scenario.play().seed(), planted);
-        store = scenario.leases() == null ? null : new StoreEmulator(scenario.leases().storeLateMs(), planted != Planted.NO_FENCE);
+        store = scenario.leases() == null ? null : new StoreEmulator(scenario.leases().storeLateMs(), planted != PlantedFault.NO_FENCE);
     }
 
     private static Thread daemon(Runnable work) {
@@ -268,7 +268,7 @@
         endAll();
         metronome.interrupt();
         ViewChecker.Records records = new ViewChecker.Records();
-        List<LeaseChecker.Line> leases = new ArrayList<>();
+        List<LeaseChecker.LeaseRecord> leases = new ArrayList<>();
         for (Instance instance : instances) {
             read(instance, records, leases);
         }
@@ -277,7 +277,7 @@
                 settledMs, RUMOUR_PERIODS * period));
         links.close();
         Report played = new Report(scenario.play(), ledger, load, RuleChecker.check(scenario.play(), ledger, false), 0, 0);
-        return new FleetReport(scenario, played, truth, records.sights(), broken, List.copyOf(timeline), beganMs, settledMs, readyMs, links, !failed,
+        return new FleetReport(scenario, played, truth, records.viewChanges(), broken, List.copyOf(timeline), beganMs, settledMs, readyMs, links, !failed,
                 LeaseChecker.check(leases.stream().filter(l -> l.ms() <= settledMs).toList()), List.copyOf(hits),
                 store == null ? List.of() : List.copyOf(store.writes()), ledger, playMs, costs);
     }
@@ -329,15 +329,15 @@
 
     /** Of the processes in those places as they are now, by their own records. */
     private double disturbedMs(Set<Integer> numbers, double fromMs, double toMs) throws IOException {
-        Disturbances disturbances = new Disturbances(Membership.STALL_GRACE_PERIODS * scenario.periodMs());
+        StallPeriods disturbances = new StallPeriods(Membership.STALL_GRACE_PERIODS * scenario.periodMs());
         for (int number : numbers) {
             for (JsonNode line : lines(seats.get(number).now)) {
                 if (line.has("stood_still")) {
-                    disturbances.stoodStill(line.path("ms").asDouble(), line.path("stood_still").asDouble());
+                    disturbances.addStall(line.path("ms").asDouble(), line.path("stood_still").asDouble());
                 }
             }
         }
-        return disturbances.within(fromMs, toMs);
+        return disturbances.overlapMs(fromMs, toMs);
     }
 
     /** What the checker has to know of a fault on links. */
@@ -351,9 +351,9 @@
             return;
         }
         if (fault.from().isEmpty() == fault.to().isEmpty() ) {
-            truth.troubled(null, from, to);
+            truth.addFault(null, from, to);
         } else {
-            (fault.from().isEmpty() ? fault.to() : fault.from()).forEach(n -> truth.troubled("lab-" + n, from, to));
+            (fault.from().isEmpty() ? fault.to() : fault.from()).forEach(n -> truth.addFault("lab-" + n, from, to));
         }
     }
 
@@ -372,13 +372,13 @@
         }
         Seat seat = holder.seat;
         note(takeover.blow() + " of the holder, " + seat.number);
-        hits.add(new LeaseChecker.Hit(takeover.blow().name().toLowerCase(Locale.ROOT), nowMs(), holder.title()));
+        hits.add(new LeaseChecker.HolderFault(takeover.blow().name().toLowerCase(Locale.ROOT), nowMs(), holder.title()));
         switch (takeover.blow()) {
             case KILL -> befall(new ProcessEvent(0, takeover.forS(), ProcessKind.RESTART, Set.of()), seat);
             case STOP -> befall(new ProcessEvent(0, takeover.forS(), ProcessKind.STOP, Set.of()), seat);
             case UPGRADE -> befall(new ProcessEvent(0, takeover.forS(), ProcessKind.UPGRADE, Set.of()), seat);
             case CUT -> {
-                truth.troubled("lab-" + seat.number, nowMs(), nowMs() + takeover.forS() * MS_PER_S);
+                truth.addFault("lab-" + seat.number, nowMs(), nowMs() + takeover.forS() * MS_PER_S);
                 links.isolate(seat.number, takeover.forS());
             }
             case END -> {
@@ -404,7 +404,7 @@
     private Instance holder() throws IOException {
         for (Instance instance : instances) {
             boolean runs = instance.shouldRun && instance == instance.seat.now;
-            LeaseChecker.Line last = null;
+            LeaseChecker.LeaseRecord last = null;
             for (JsonNode one : runs ? lines(instance) : List.<JsonNode>of()) {
                 last = isOfLease(one) ? leaseLine(instance, one) : last;
             }
@@ -442,7 +442,7 @@
                 kill(seat);
                 start(seat);
                 Thread.sleep(SLOW_FROM_MS);
-                truth.troubled(name, now, now + SLOW_FROM_MS + event.forS() * MS_PER_S);
+                truth.addFault(name, now, now + SLOW_FROM_MS + event.forS() * MS_PER_S);
                 seat.now.process.signal("STOP");
                 after(event.forS(), () -> {
                     seat.now.process.signal("CONT");
@@ -451,7 +451,7 @@
                 });
             }
             case STOP -> {
-                truth.troubled(name, now, now + event.forS() * MS_PER_S);
+                truth.addFault(name, now, now + event.forS() * MS_PER_S);
                 ledger.isDown(seat.clients);
                 instance.process.signal("STOP");
                 after(event.forS(), () -> {
@@ -470,7 +470,7 @@
                 ObjectNode other = ProxyProcess.config(scenario.play(), peers, scenario.proxies(), seat.number, ports.take());
                 int bind = ports.take();
                 int reached = links.addWhileRunning(seat.number, bind);
-                truth.troubled(name, now, now + event.forS() * MS_PER_S);
+                truth.addFault(name, now, now + event.forS() * MS_PER_S);
                 Instance twin = seat.spawn(bind, reached, other);
                 after(event.forS(), () -> {
                     twin.down();
@@ -532,31 +532,31 @@
         return line.has("held") || line.has("lost");
     }
 
-    private static LeaseChecker.Line leaseLine(Instance instance, JsonNode line) {
+    private static LeaseChecker.LeaseRecord leaseLine(Instance instance, JsonNode line) {
         boolean held = line.has("held");
-        return new LeaseChecker.Line(instance.title(), line.path(held ? "held" : "lost").asText(), line.path("round").asLong(), line.path("ms").asDouble(),
+        return new LeaseChecker.LeaseRecord(instance.title(), line.path(held ? "held" : "lost").asText(), line.path("round").asLong(), line.path("ms").asDouble(),
                 held ? line.path("until").asDouble() : Double.NaN, instance.endedMs);
     }
 
     /** A process's own record of its view; what it has no line for, it never came to. */
-    private void read(Instance instance, ViewChecker.Records records, List<LeaseChecker.Line> leases) throws IOException {
+    private void read(Instance instance, ViewChecker.Records records, List<LeaseChecker.LeaseRecord> leases) throws IOException {
         long viewer = 0;
         for (JsonNode one : lines(instance)) {
             double ms = one.path("ms").asDouble();
             if (one.has("began")) {
                 viewer = one.path("nonce").asLong();
-                truth.began(one.path("began").asText(), viewer, ms, instance.endedMs);
+                truth.processStarted(one.path("began").asText(), viewer, ms, instance.endedMs);
             } else if (one.has("saw")) {
-                records.sights().add(new Sight(ms, viewer, one.path("saw").asText(), one.path("nonce").asLong(), one.path("incarnation").asInt(),
+                records.viewChanges().add(new ViewChange(ms, viewer, one.path("saw").asText(), one.path("nonce").asLong(), one.path("incarnation").asInt(),
                         State.valueOf(one.path("state").asText())));
             } else if (isOfLease(one)) {
                 leases.add(leaseLine(instance, one));
             } else if (one.has("share")) {
-                records.shares().add(new ViewChecker.Counted(ms, viewer, 1 / one.path("share").asDouble()));
+                records.shareDivisors().add(new ViewChecker.Divisor(ms, viewer, 1 / one.path("share").asDouble()));
             } else if (one.has("cache")) {
-                records.words().add(new ViewChecker.Word(ms, viewer, ViewChecker.Verdict.valueOf(one.path("verdict").asText()), one.path("cache").asText()));
+                records.verdicts().add(new ViewChecker.CacheVerdict(ms, viewer, ViewChecker.Verdict.valueOf(one.path("verdict").asText()), one.path("cache").asText()));
             } else if (one.has("counted")) {
-                records.counts().add(new ViewChecker.Counted(ms, viewer, one.path("counted").asInt()));
+                records.fleetSizes().add(new ViewChecker.Divisor(ms, viewer, one.path("counted").asInt()));
             }
         }
     }
--- a/src/main/java/dappleseam/lab/HistoriesCommand.java
+++ b/src/main/java/dappleseam/lab/HistoriesCommand.java
@@ -1,7 +1,7 @@
 package dappleseam.lab;
 
-import dappleseam.lab.fleet.History;
-import dappleseam.lab.fleet.Planted;
+import dappleseam.lab.fleet.FaultHistory;
+import dappleseam.lab.fleet.PlantedFault;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.List;
@@ -33,7 +33,7 @@
     private int steps;
 
     @Option(names = "--planted", defaultValue = "NONE", description = "A defence that is taken out: ${COMPLETION-CANDIDATES}.")
-    private Planted planted;
+    private PlantedFault planted;
 
     @Option(names = "--shares", description = "Traffic goes up and down meanwhile, and shares of the whole are watched.")
     private boolean shares;
@@ -41,11 +41,11 @@
     @Override
     public Integer call() {
         ConcurrentSkipListSet<Long> failing = new ConcurrentSkipListSet<>();
-        Map<Long, History.Taken> taken = new ConcurrentSkipListMap<>();
+        Map<Long, FaultHistory.ShareTotals> taken = new ConcurrentSkipListMap<>();
         Queue<Double> agreed = new ConcurrentLinkedQueue<>();
         LongStream.range(from, from + seeds).parallel().forEach(seed -> {
-            History.Verdict verdict = draw(seed).play(planted);
-            taken.put(seed, verdict.taken());
+            FaultHistory.Outcome verdict = draw(seed).play(planted);
+            taken.put(seed, verdict.shareTotals());
             if (!verdict.breaches().isEmpty()) {
                 failing.add(seed);
             }
@@ -60,25 +60,25 @@
             tell(taken);
         }
         for (long seed : List.copyOf(failing).subList(0, Math.min(MOST_SHRUNK, failing.size()))) {
-            History least = draw(seed).shrink(planted);
+            FaultHistory least = draw(seed).shrink(planted);
             System.out.printf("seed %d: %s%n", seed, least.play(planted).breaches().get(0));
             least.steps().forEach(step -> System.out.println("    " + step));
         }
         return failing.isEmpty() ? 0 : 1;
     }
 
-    private History draw(long seed) {
-        History drawn = History.draw(seed, members, steps);
+    private FaultHistory draw(long seed) {
+        FaultHistory drawn = FaultHistory.generate(seed, members, steps);
         return shares ? drawn.withShares() : drawn;
     }
 
-    private static void tell(Map<Long, History.Taken> taken) {
-        double[] most = taken.values().stream().mapToDouble(History.Taken::most).sorted().toArray();
-        Map.Entry<Long, History.Taken> worst = taken.entrySet().stream().max(Comparator.comparingDouble(e -> e.getValue().most())).orElseThrow();
+    private static void tell(Map<Long, FaultHistory.ShareTotals> taken) {
+        double[] most = taken.values().stream().mapToDouble(FaultHistory.ShareTotals::highest).sorted().toArray();
+        Map.Entry<Long, FaultHistory.ShareTotals> worst = taken.entrySet().stream().max(Comparator.comparingDouble(e -> e.getValue().highest())).orElseThrow();
         System.out.printf("all together took at most: median %.3f of the whole, 99 of 100 %.3f, most %.3f (seed %d, at %.1f s); at the end: %.3f to %.3f; the least share %.2f of an even one%n",
-                most[most.length / 2], most[(int) Math.ceil(0.99 * most.length) - 1], worst.getValue().most(), worst.getKey(), worst.getValue().mostAtMs() / 1000,
-                taken.values().stream().mapToDouble(History.Taken::last).min().orElse(0), taken.values().stream().mapToDouble(History.Taken::last).max().orElse(0),
-                taken.values().stream().mapToDouble(History.Taken::least).min().orElse(0));
+                most[most.length / 2], most[(int) Math.ceil(0.99 * most.length) - 1], worst.getValue().highest(), worst.getKey(), worst.getValue().highestAtMs() / 1000,
+                taken.values().stream().mapToDouble(FaultHistory.ShareTotals::atEnd).min().orElse(0), taken.values().stream().mapToDouble(FaultHistory.ShareTotals::atEnd).max().orElse(0),
+                taken.values().stream().mapToDouble(FaultHistory.ShareTotals::lowestShare).min().orElse(0));
     }
 
     private static double at(double[] sorted, double share) {
--- a/src/main/java/dappleseam/lab/Lab.java
+++ b/src/main/java/dappleseam/lab/Lab.java
@@ -5,7 +5,7 @@
 import dappleseam.lab.check.RuleChecker.Breach;
 import dappleseam.lab.emulator.Fleet;
 import dappleseam.lab.fault.FaultTool;
-import dappleseam.lab.fleet.Planted;
+import dappleseam.lab.fleet.PlantedFault;
 import dappleseam.lab.load.LoadTool;
 import dappleseam.lab.proxies.Ports;
 import dappleseam.lab.proxies.ProxyProcess;
@@ -111,7 +111,7 @@
         private Path plot;
 
         @Option(names = "--planted", defaultValue = "NONE", description = "A defence that the fault tool takes out: ${COMPLETION-CANDIDATES}.")
-        private Planted planted;
+        private PlantedFault planted;
 
         @Option(names = "--alone", description = "Proxies know nothing of each other: to compare costs.")
         private boolean alone;
--- a/src/main/java/dappleseam/lab/LeasesCommand.java
+++ b/src/main/java/dappleseam/lab/LeasesCommand.java
@@ -1,9 +1,9 @@
 package dappleseam.lab;
 
-import dappleseam.lab.fleet.LeaseCrowd;
+import dappleseam.lab.fleet.LeaseSimulation;
 import dappleseam.lab.fleet.LeaseExploration;
-import dappleseam.lab.fleet.LeaseExploration.Walk;
-import dappleseam.lab.fleet.LeaseWorld.Planted;
+import dappleseam.lab.fleet.LeaseExploration.RandomWalk;
+import dappleseam.lab.fleet.LeaseModel.PlantedLeaseFault;
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.stream.LongStream;
@@ -38,7 +38,7 @@
     private boolean changing;
 
     @Option(names = "--planted", defaultValue = "NONE", description = "A fault that is built in: ${COMPLETION-CANDIDATES}.")
-    private Planted planted;
+    private PlantedLeaseFault planted;
 
     @Option(names = "--crowd", split = ",", description = "Instead: what so many candidates send, over some seeds.")
     private List<Integer> crowd = List.of();
@@ -53,14 +53,14 @@
         long breaches = 0;
         for (int members : crowd) {
             for (double loss : new double[] {0, 0.1, 0.3}) {
-                LeaseCrowd one = new LeaseCrowd(members, 1, loss, from);
-                System.out.println(one.storm(CROWD_DEATHS));
+                LeaseSimulation one = new LeaseSimulation(members, 1, loss, from);
+                System.out.println(one.measureDeaths(CROWD_DEATHS));
                 breaches += one.breaches();
             }
         }
         if (spread) {
-            LeaseCrowd many = new LeaseCrowd(50, 1000, 0, from);
-            System.out.println(many.spread());
+            LeaseSimulation many = new LeaseSimulation(50, 1000, 0, from);
+            System.out.println(many.measureSpread());
             breaches += many.breaches();
         }
         return breaches > 0 ? 1 : 0;
@@ -74,17 +74,17 @@
         LeaseExploration exploration = new LeaseExploration(candidates, disks, changing, planted);
         boolean broke = false;
         if (depth > 0) {
-            LeaseExploration.Found found = exploration.exhaust(depth, troubles, true);
-            System.out.printf("depth %d, troubles %d: %d states in %d ways, up to %d takes, %s%n", depth, troubles, found.states(), found.ways(), found.takes(),
-                    found.broken() == null ? "nothing broken" : found.broken());
-            broke = found.broken() != null;
+            LeaseExploration.Result found = exploration.searchAll(depth, troubles, true);
+            System.out.printf("depth %d, troubles %d: %d states in %d ways, up to %d takes, %s%n", depth, troubles, found.states(), found.paths(), found.maxAcquisitions(),
+                    found.violation() == null ? "nothing broken" : found.violation());
+            broke = found.violation() != null;
         }
-        List<Walk> walks = LongStream.range(from, from + seeds).parallel().mapToObj(seed -> exploration.walk(seed, steps)).toList();
-        List<Walk> broken = walks.stream().filter(w -> w.broken() != null).toList();
+        List<RandomWalk> walks = LongStream.range(from, from + seeds).parallel().mapToObj(seed -> exploration.walk(seed, steps)).toList();
+        List<RandomWalk> broken = walks.stream().filter(w -> w.violation() != null).toList();
         System.out.printf("%d random ways from seed %d on, %d steps, %d takes, %d overlaps, %d broken%n", seeds, from,
-                walks.stream().mapToLong(Walk::steps).sum(), walks.stream().mapToLong(Walk::takes).sum(), walks.stream().mapToLong(Walk::overlaps).sum(), broken.size());
+                walks.stream().mapToLong(RandomWalk::steps).sum(), walks.stream().mapToLong(RandomWalk::acquisitions).sum(), walks.stream().mapToLong(RandomWalk::overlaps).sum(), broken.size());
         if (!broken.isEmpty()) {
-            System.out.println("seed " + broken.get(0).seed() + ": " + broken.get(0).broken());
+            System.out.println("seed " + broken.get(0).seed() + ": " + broken.get(0).violation());
             exploration.shrink(broken.get(0)).forEach(move -> System.out.println("    " + move));
         }
         return broke || !broken.isEmpty() ? 1 : 0;
--- a/src/main/java/dappleseam/lab/SizesCommand.java
+++ b/src/main/java/dappleseam/lab/SizesCommand.java
@@ -1,6 +1,6 @@
 package dappleseam.lab;
 
-import dappleseam.lab.fleet.Sizes;
+import dappleseam.lab.fleet.MembershipMeasurement;
 import dappleseam.lab.fleet.SimulatedFleet.Module;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -38,15 +38,15 @@
     public Integer call() {
         for (int size : members) {
             for (Module module : modules) {
-                Sizes sizes = new Sizes(module, size, runs, runningMs);
+                MembershipMeasurement sizes = new MembershipMeasurement(module, size, runs, runningMs);
                 if (only == null || only.equals("deaths")) {
-                    System.out.println(sizes.deaths(deaths));
+                    System.out.println(sizes.singleDeaths(deaths));
                 }
                 if (only == null || only.equals("together")) {
-                    System.out.println(sizes.together(together));
+                    System.out.println(sizes.simultaneousDeaths(together));
                 }
                 if (only == null || only.equals("heal")) {
-                    System.out.println(sizes.heal());
+                    System.out.println(sizes.partitionHealing());
                 }
                 if (only == null || only.equals("false")) {
                     for (double loss : new double[] {0, 0.1, 0.3}) {
--- a/src/main/java/dappleseam/lab/SubsetsCommand.java
+++ b/src/main/java/dappleseam/lab/SubsetsCommand.java
@@ -1,8 +1,8 @@
 package dappleseam.lab;
 
-import dappleseam.lab.fleet.Subsets;
-import dappleseam.lab.fleet.Subsets.Found;
-import dappleseam.lab.fleet.Subsets.Way;
+import dappleseam.lab.fleet.SubsetMeasurement;
+import dappleseam.lab.fleet.SubsetMeasurement.Result;
+import dappleseam.lab.fleet.SubsetMeasurement.Strategy;
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -28,13 +28,13 @@
     @Override
     public Integer call() {
         for (int count : proxies) {
-            for (Way way : Way.values()) {
-                List<Found> found = LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> new Subsets(count, locations, copies, seed).measure(way)).toList();
+            for (Strategy way : Strategy.values()) {
+                List<Result> found = LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> new SubsetMeasurement(count, locations, copies, seed).measure(way)).toList();
                 System.out.printf("%5d proxies, %d copies, %-13s busiest copy over the mean: median %.3f, most %.3f; at the worst location median %.3f; by proxies, most %.3f; moved by one more or less: %.1f, most %.1f%n", count, copies, way,
-                        at(found.stream().mapToDouble(Found::peak).toArray(), 0.5), at(found.stream().mapToDouble(Found::peak).toArray(), 1),
-                        at(found.stream().mapToDouble(Found::near).toArray(), 0.5),
-                        at(found.stream().mapToDouble(Found::proxiesPeak).toArray(), 1), found.stream().mapToDouble(Found::moved).average().orElse(0),
-                        at(found.stream().mapToDouble(Found::moved).toArray(), 1));
+                        at(found.stream().mapToDouble(Result::peak).toArray(), 0.5), at(found.stream().mapToDouble(Result::peak).toArray(), 1),
+                        at(found.stream().mapToDouble(Result::locationPeak).toArray(), 0.5),
+                        at(found.stream().mapToDouble(Result::proxyCountPeak).toArray(), 1), found.stream().mapToDouble(Result::moved).average().orElse(0),
+                        at(found.stream().mapToDouble(Result::moved).toArray(), 1));
             }
         }
         return 0;
--- a/src/main/java/dappleseam/lab/fault/LinkTool.java
+++ b/src/main/java/dappleseam/lab/fault/LinkTool.java
@@ -5,7 +5,7 @@
 import dappleseam.fleet.peers.MessageCodec;
 import dappleseam.fleet.peers.FleetMessage;
 import dappleseam.fleet.peers.InvalidDatagramException;
-import dappleseam.lab.fleet.Planted;
+import dappleseam.lab.fleet.PlantedFault;
 import dappleseam.lab.scenario.FleetScenario.LinkFault;
 import dappleseam.lab.scenario.FleetScenario.LinkHow;
 import java.io.IOException;
@@ -41,7 +41,7 @@
 
     private final MessageCodec envelope;
     private final long seed;
-    private final Planted planted;
+    private final PlantedFault planted;
     private final InetAddress host;
     private final Selector selector = Selector.open();
     private final Map<Integer, Place> byPort = new HashMap<>();
@@ -82,7 +82,7 @@
         }
     }
 
-    public LinkTool(String fleet, long seed, Planted planted) throws IOException {
+    public LinkTool(String fleet, long seed, PlantedFault planted) throws IOException {
         this.seed = seed;
         byte[] own = ByteBuffer.allocate(Long.BYTES).putLong(new SplittableRandom(System.nanoTime() ^ ProcessHandle.current().pid() << 32).nextLong()).array();
         host = InetAddress.getByAddress(new byte[] {127, (byte) (OWN_FROM | own[0] & OWN_FROM - 1), own[1], (byte) (1 | own[2])});
@@ -208,10 +208,10 @@
     private void pass(Place from, Place to, FleetMessage letter, byte[] sent, boolean isCall) {
         byte[] bytes = sent;
         kinds.merge(letter.kind(), 1L, Long::sum);
-        if (planted != Planted.NONE) {
+        if (planted != PlantedFault.NONE) {
             lastSelf.put(from.number, letter.sender());
-            planted.forged(letter, new MemberName("lab-" + to.number)).forEach(this::forge);
-            FleetMessage left = planted.passed(letter, new MemberName("lab-" + to.number), isCall);
+            planted.forgedMessages(letter, new MemberName("lab-" + to.number)).forEach(this::forge);
+            FleetMessage left = planted.intercept(letter, new MemberName("lab-" + to.number), isCall);
             if (left == null) {
                 return;
             }
@@ -252,12 +252,12 @@
     }
 
     /** Comes at once, whatever is cut: a faulty voter is one that all reach. */
-    private void forge(Planted.Forged forged) {
+    private void forge(PlantedFault.ForgedMessage forged) {
         Place from = placeOf(forged.from());
         Place to = placeOf(forged.to());
         MemberEntry self = from == null ? null : lastSelf.get(from.number);
         if (self != null && to != null) {
-            FleetMessage letter = FleetMessage.of(self, forged.ballot());
+            FleetMessage letter = FleetMessage.of(self, forged.leaseMessage());
             waiting.add(new Waiting(System.nanoTime(), count++, from, to, envelope.encode(letter)));
         }
     }
--- a/src/main/java/dappleseam/lab/fleet/SimulatedTime.java
+++ b/src/main/java/dappleseam/lab/fleet/EventSimulation.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 
 /** Events in simulated time, in the order of their times and, of one time, in that in which they were planned. Times in ms. Not for several threads. */
-public abstract class SimulatedTime {
+public abstract class EventSimulation {
     protected double now;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long count;
@@ -16,7 +16,7 @@
         }
     }
 
-    SimulatedTime(double fromMs) {
+    EventSimulation(double fromMs) {
         now = fromMs;
     }
 
@@ -24,7 +24,7 @@
         return now;
     }
 
-    public final void after(double ms, Runnable run) {
+    public final void schedule(double ms, Runnable run) {
         events.add(new Event(now + ms, count++, run));
     }
 
--- a/src/main/java/dappleseam/lab/fleet/History.java
+++ b/src/main/java/dappleseam/lab/fleet/FaultHistory.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 
 /** A fleet's life in simulated time: it starts, troubles befall it, all of them end, and then its views have to agree. One seed, one verdict. */
-public record History(int members, long seed, List<Step> steps, boolean shares) {
+public record FaultHistory(int members, long seed, List<Step> steps, boolean shares) {
     /** What befalls members. */
     public enum Kind { KILL, RESTART, CLOCK_BACK, CLOCK_AHEAD, LEAVE, STOP, SPLIT, ONE_WAY, LOSSY, ALL_LOSSY, SWAP }
 
@@ -20,10 +20,10 @@
     public record Step(Kind kind, int a, int b, double afterMs, double forMs) {}
 
     /** What came of it. */
-    public record Verdict(List<ViewChecker.Breach> breaches, double agreedMs, long datagrams, Taken taken) {}
+    public record Outcome(List<ViewChecker.Breach> breaches, double agreedMs, long datagrams, ShareTotals shareTotals) {}
 
     /** Of the whole, where shares are told: the most that all that ran took together and when in ms, the least that one took as a multiple of an even share, and what all took at the end. */
-    public record Taken(double most, double mostAtMs, double least, double last) {}
+    public record ShareTotals(double highest, double highestAtMs, double lowestShare, double atEnd) {}
 
     private static final double PERIOD_MS = 1000;
     private static final double START_MS = 20_000;
@@ -44,17 +44,17 @@
     private static final double TRAFFIC_TIMES = 8;
     private static final double MOST_RATE = 2000;
 
-    public History(int members, long seed, List<Step> steps) {
+    public FaultHistory(int members, long seed, List<Step> steps) {
         this(members, seed, steps, false);
     }
 
     /** The same, with shares by traffic that goes up and down all the while. */
-    public History withShares() {
-        return new History(members, seed, steps, true);
+    public FaultHistory withShares() {
+        return new FaultHistory(members, seed, steps, true);
     }
 
     /** Drawn from the seed alone. */
-    public static History draw(long seed, int members, int steps) {
+    public static FaultHistory generate(long seed, int members, int steps) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Step> drawn = new ArrayList<>();
         Kind[] kinds = Kind.values();
@@ -62,26 +62,26 @@
             drawn.add(new Step(kinds[random.nextInt(kinds.length)], random.nextInt(members), random.nextInt(members),
                     random.nextDouble() * 15_000, 100 + random.nextDouble() * random.nextDouble() * 30_000));
         }
-        return new History(members, seed, drawn);
+        return new FaultHistory(members, seed, drawn);
     }
 
-    public Verdict play() {
-        return play(Planted.NONE);
+    public Outcome play() {
+        return play(PlantedFault.NONE);
     }
 
     /** With a defence taken out, to show that the checks see it. */
-    public Verdict play(Planted planted) {
+    public Outcome play(PlantedFault planted) {
         Run run = new Run(planted);
         return run.play();
     }
 
     /** Leaves out one step after the other while it still fails: what is left is what it takes. */
-    public History shrink(Planted planted) {
-        History least = this;
+    public FaultHistory shrink(PlantedFault planted) {
+        FaultHistory least = this;
         for (int i = 0; i < least.steps.size();) {
             List<Step> fewer = new ArrayList<>(least.steps);
             fewer.remove(i);
-            History tried = new History(members, seed, fewer, shares);
+            FaultHistory tried = new FaultHistory(members, seed, fewer, shares);
             if (tried.play(planted).breaches.isEmpty()) {
                 i++;
             } else {
@@ -93,7 +93,7 @@
 
     private final class Run {
         final SimulatedFleet fleet;
-        final Truth truth = new Truth();
+        final GroundTruth truth = new GroundTruth();
         final ViewChecker.Records records = new ViewChecker.Records();
         final int[] counted = new int[members];
         /** Those that are down for good, or until a step's own end. */
@@ -104,22 +104,22 @@
         double least = Double.POSITIVE_INFINITY;
         double last;
 
-        Run(Planted planted) {
+        Run(PlantedFault planted) {
             fleet = new SimulatedFleet(SimulatedFleet.Module.SHIPPED, MembershipConfig.defaults(members).withPeriod(PERIOD_MS), members, seed);
-            fleet.plant(planted);
-            fleet.watch(this::saw);
+            fleet.setPlantedFault(planted);
+            fleet.setViewListener(this::saw);
             if (shares) {
-                fleet.choices = new FleetFeatures(false, true, false, false);
-                fleet.nodes().forEach(node -> node.ratePerS = Math.min(MOST_RATE, 5 / (0.02 + traffic.nextDouble())));
+                fleet.features = new FleetFeatures(false, true, false, false);
+                fleet.nodes().forEach(node -> node.trafficPerS = Math.min(MOST_RATE, 5 / (0.02 + traffic.nextDouble())));
                 changeTraffic();
             }
         }
 
         void changeTraffic() {
-            fleet.after(-TRAFFIC_MS * Math.log(1 - traffic.nextDouble()), () -> {
+            fleet.schedule(-TRAFFIC_MS * Math.log(1 - traffic.nextDouble()), () -> {
                 Node node = fleet.node(traffic.nextInt(members));
                 double times = Math.pow(TRAFFIC_TIMES, 2 * traffic.nextDouble() - 1);
-                node.ratePerS = Math.min(MOST_RATE, node.ratePerS * times);
+                node.trafficPerS = Math.min(MOST_RATE, node.trafficPerS * times);
                 changeTraffic();
             });
         }
@@ -129,7 +129,7 @@
             double sum = 0;
             for (Node node : fleet.nodes()) {
                 if (node.up) {
-                    double share = node.desk.share();
+                    double share = node.signalExchange.share();
                     double even = 1.0 / Math.max(members, node.membership().fleetSize());
                     sum += Double.isNaN(share) ? even : share;
                     least = Double.isNaN(share) ? least : Math.min(least, share * members);
@@ -143,13 +143,13 @@
         }
 
         void saw(double nowMs, Node viewer, MemberEntry before, MemberEntry after) {
-            records.sights().add(new Sight(nowMs, viewer.nonce(), after.name().text(), after.generation().nonce(), after.incarnation(), after.state()));
+            records.viewChanges().add(new ViewChange(nowMs, viewer.nonce(), after.name().text(), after.generation().nonce(), after.incarnation(), after.state()));
         }
 
-        Verdict play() {
+        Outcome play() {
             List<InetSocketAddress> seeds = List.of(SimulatedFleet.address(0), SimulatedFleet.address(1));
             for (Node node : fleet.nodes()) {
-                fleet.after(fleet.random().nextDouble() * PERIOD_MS, () -> start(node, seeds));
+                fleet.schedule(fleet.random().nextDouble() * PERIOD_MS, () -> start(node, seeds));
             }
             run(START_MS);
             double lastEnds = fleet.nowMs();
@@ -162,13 +162,13 @@
             double calm = fleet.nowMs();
             double agreed = untilAgreed(SETTLE_MS);
             run(Math.max(0, calm + SETTLE_MS - fleet.nowMs()));
-            return new Verdict(ViewChecker.check(truth, records, new ViewChecker.Bounds(LATE_MS, GRACE_MS, fleet.nowMs(), RUMOUR_MS)), agreed,
-                    fleet.datagrams, new Taken(most, mostAt, least, last));
+            return new Outcome(ViewChecker.check(truth, records, new ViewChecker.Bounds(LATE_MS, GRACE_MS, fleet.nowMs(), RUMOUR_MS)), agreed,
+                    fleet.datagrams, new ShareTotals(most, mostAt, least, last));
         }
 
         double untilAgreed(double most) {
             double from = fleet.nowMs();
-            while (!fleet.agree()) {
+            while (!fleet.allViewsCorrect()) {
                 if (fleet.nowMs() >= from + most) {
                     return Double.NaN;
                 }
@@ -181,13 +181,13 @@
             double until = fleet.nowMs() + ms;
             while (fleet.nowMs() < until) {
                 fleet.runUntil(Math.min(until, fleet.nowMs() + PERIOD_MS / 2));
-                if (shares && fleet.nodes().stream().allMatch(n -> !n.up || n.desk != null)) {
+                if (shares && fleet.nodes().stream().allMatch(n -> !n.up || n.signalExchange != null)) {
                     watchShares();
                 }
                 for (Node node : fleet.nodes()) {
                     if (node.up && node.membership().fleetSize() != counted[node.number]) {
                         counted[node.number] = node.membership().fleetSize();
-                        records.counts().add(new ViewChecker.Counted(fleet.nowMs(), node.nonce(), counted[node.number]));
+                        records.fleetSizes().add(new ViewChecker.Divisor(fleet.nowMs(), node.nonce(), counted[node.number]));
                     }
                 }
             }
@@ -195,20 +195,20 @@
 
         void start(Node node, List<InetSocketAddress> seeds) {
             node.start(seeds);
-            truth.began(node.name.text(), node.nonce(), fleet.nowMs());
+            truth.processStarted(node.name.text(), node.nonce(), fleet.nowMs());
             counted[node.number] = 0;
         }
 
         void kill(Node node) {
-            truth.ended(node.name.text(), fleet.nowMs());
+            truth.processEnded(node.name.text(), fleet.nowMs());
             node.kill();
         }
 
         void restart(Node node, double inMs, long clockOffMs) {
             kill(node);
             busy.add(node.number);
-            fleet.after(inMs, () -> {
-                node.clockOffMs = clockOffMs;
+            fleet.schedule(inMs, () -> {
+                node.clockOffsetMs = clockOffMs;
                 // Any that runs will do; with none, the first ones.
                 start(node, fleet.nodes().stream().filter(n -> n.up && n != node).limit(3).map(n -> n.address).toList());
                 busy.remove(node.number);
@@ -238,40 +238,40 @@
                 }
                 case LEAVE -> {
                     if (isFree(a) && fleet.nodes().stream().filter(n -> n.up).count() > 2) {
-                        truth.ended(a.name.text(), now);
-                        a.leaveOrderly();
+                        truth.processEnded(a.name.text(), now);
+                        a.leave();
                         busy.add(a.number);
                     }
                 }
                 case STOP -> {
                     if (isFree(a)) {
                         a.stop(step.forMs);
-                        truth.troubled(a.name.text(), now, end);
+                        truth.addFault(a.name.text(), now, end);
                     }
                 }
                 case SPLIT -> {
-                    fleet.nodes().forEach(n -> n.group = n.number <= step.a ? 1 : n.number <= step.b ? 2 : 3);
-                    truth.troubled(null, now, end);
-                    fleet.after(step.forMs, () -> fleet.nodes().forEach(n -> n.group = 0));
+                    fleet.nodes().forEach(n -> n.partition = n.number <= step.a ? 1 : n.number <= step.b ? 2 : 3);
+                    truth.addFault(null, now, end);
+                    fleet.schedule(step.forMs, () -> fleet.nodes().forEach(n -> n.partition = 0));
                 }
                 case ONE_WAY -> {
-                    if (a != b && b.deafTo.add(a.number)) {
+                    if (a != b && b.blockedSenders.add(a.number)) {
                         if (fleet.nodes().stream().filter(n -> n.up).count() < ENOUGH_TO_HELP) {
-                            truth.troubled(a.name.text(), now, end);
-                            truth.troubled(b.name.text(), now, end);
+                            truth.addFault(a.name.text(), now, end);
+                            truth.addFault(b.name.text(), now, end);
                         }
-                        fleet.after(step.forMs, () -> b.deafTo.remove(a.number));
+                        fleet.schedule(step.forMs, () -> b.blockedSenders.remove(a.number));
                     }
                 }
                 case LOSSY -> {
-                    a.loss = LOSS;
-                    truth.troubled(a.name.text(), now, end);
-                    fleet.after(step.forMs, () -> a.loss = 0);
+                    a.lossRate = LOSS;
+                    truth.addFault(a.name.text(), now, end);
+                    fleet.schedule(step.forMs, () -> a.lossRate = 0);
                 }
                 case ALL_LOSSY -> {
-                    fleet.loss = LOSS;
-                    truth.troubled(null, now, end);
-                    fleet.after(step.forMs, () -> fleet.loss = 0);
+                    fleet.lossRate = LOSS;
+                    truth.addFault(null, now, end);
+                    fleet.schedule(step.forMs, () -> fleet.lossRate = 0);
                 }
                 case SWAP -> {
                     if (a != b && isFree(a) && isFree(b)) {
--- a/src/main/java/dappleseam/lab/fleet/Truth.java
+++ b/src/main/java/dappleseam/lab/fleet/GroundTruth.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** What was really done to the processes of a fleet and to the links between them; times in ms of one clock. */
-public final class Truth {
+public final class GroundTruth {
     /** One process of a member; {@code toMs} is infinite while it runs. */
     public record Process(String member, long nonce, double fromMs, double toMs) {
         public boolean runsAt(double ms) {
@@ -15,30 +15,30 @@
     }
 
     /** A time in which that member was stopped, or its links were bad; {@code member} is null for the links of all. */
-    public record Trouble(String member, double fromMs, double toMs) {
+    public record Fault(String member, double fromMs, double toMs) {
         boolean touches(String name, double from, double to) {
             return (member == null || member.equals(name)) && fromMs < to && toMs > from;
         }
     }
 
     private final Map<Long, Process> processes = new LinkedHashMap<>();
-    private final List<Trouble> troubles = new ArrayList<>();
+    private final List<Fault> troubles = new ArrayList<>();
 
-    public synchronized void began(String member, long nonce, double ms) {
+    public synchronized void processStarted(String member, long nonce, double ms) {
         processes.put(nonce, new Process(member, nonce, ms, Double.POSITIVE_INFINITY));
     }
 
     /** One whose end is known already; infinite for one that ran on. */
-    public synchronized void began(String member, long nonce, double fromMs, double toMs) {
+    public synchronized void processStarted(String member, long nonce, double fromMs, double toMs) {
         processes.put(nonce, new Process(member, nonce, fromMs, toMs));
     }
 
-    public synchronized void ended(String member, double ms) {
+    public synchronized void processEnded(String member, double ms) {
         processes.replaceAll((nonce, p) -> p.member.equals(member) && p.runsAt(ms) ? new Process(member, nonce, p.fromMs, ms) : p);
     }
 
-    public synchronized void troubled(String member, double fromMs, double toMs) {
-        troubles.add(new Trouble(member, fromMs, toMs));
+    public synchronized void addFault(String member, double fromMs, double toMs) {
+        troubles.add(new Fault(member, fromMs, toMs));
     }
 
     public synchronized List<Process> processes() {
@@ -50,7 +50,7 @@
     }
 
     /** Whether nothing was wrong with that member in that time. */
-    public synchronized boolean isCalm(String member, double fromMs, double toMs) {
+    public synchronized boolean isFaultFree(String member, double fromMs, double toMs) {
         return troubles.stream().noneMatch(t -> t.touches(member, fromMs, toMs));
     }
 
--- a/src/main/java/dappleseam/lab/fleet/Heartbeats.java
+++ b/src/main/java/dappleseam/lab/fleet/Heartbeats.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 
 /** A baseline: each tells each that it is there, once a period, and holds for failed whom it has not heard for five. */
-final class Heartbeats implements Subject, MembershipProtocol {
+final class Heartbeats implements MembershipVariant, MembershipProtocol {
     private static final double SILENT_PERIODS = 5;
 
     private final MembershipHost host;
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public MembershipProtocol heard(double nowMs) {
+    public MembershipProtocol receiver(double nowMs) {
         now = nowMs;
         return this;
     }
@@ -64,17 +64,17 @@
     }
 
     @Override
-    public void refused(double nowMs, InetSocketAddress peer) {
+    public void connectionRefused(double nowMs, InetSocketAddress peer) {
         // nobody is called
     }
 
     @Override
-    public void leaving(double nowMs) {
+    public void announceLeave(double nowMs) {
         // it is missed soon enough
     }
 
     @Override
-    public MemberEntry of(MemberName name) {
+    public MemberEntry lookup(MemberName name) {
         return name.equals(self.name()) ? self : known.get(name);
     }
 
--- a/src/main/java/dappleseam/lab/fleet/LeaseExploration.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseExploration.java
@@ -1,8 +1,8 @@
 package dappleseam.lab.fleet;
 
-import dappleseam.lab.fleet.LeaseWorld.Kind;
-import dappleseam.lab.fleet.LeaseWorld.Move;
-import dappleseam.lab.fleet.LeaseWorld.Planted;
+import dappleseam.lab.fleet.LeaseModel.Kind;
+import dappleseam.lab.fleet.LeaseModel.Move;
+import dappleseam.lab.fleet.LeaseModel.PlantedLeaseFault;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -10,12 +10,12 @@
 import java.util.SplittableRandom;
 
 /** Model checking of leases: every order of events to a depth, and beyond it random ones from seeds, replayed and shrunk. {@code changing}: the set of voters does. */
-public record LeaseExploration(int candidates, boolean disks, boolean changing, Planted planted) {
+public record LeaseExploration(int candidates, boolean disks, boolean changing, PlantedLeaseFault planted) {
     /** States told apart, ways played, and what broke. */
-    public record Found(long states, long ways, long takes, String broken) {}
+    public record Result(long states, long paths, long maxAcquisitions, String violation) {}
 
     /** What a random way came to. */
-    public record Walk(long seed, int steps, int takes, int overlaps, String broken, List<Move> path) {}
+    public record RandomWalk(long seed, int steps, int acquisitions, int overlaps, String violation, List<Move> path) {}
 
     /** Messages under way that exhaustive search chooses from. */
     private static final int CHOICE = 4;
@@ -31,13 +31,13 @@
      * All ways of so many steps, with at most so many troubles, for each of the extreme clocks; {@code large}: in steps that carry all that passes
      * between a candidate and some voters, so that a few of them take, lose and take again.
      */
-    public Found exhaust(int depth, int troubles, boolean large) {
+    public Result searchAll(int depth, int troubles, boolean large) {
         Search search = new Search(depth, troubles, large);
         for (int fast : new int[] {0b00111, 0b11000, 0b00000}) {
             search.fast = fast;
             search.explore(new ArrayList<>(), 0);
         }
-        return new Found(search.seen.size(), search.ways, search.takes, search.broken);
+        return new Result(search.seen.size(), search.ways, search.takes, search.broken);
     }
 
     private final class Search {
@@ -60,17 +60,17 @@
             if (broken != null) {
                 return;
             }
-            LeaseWorld world = new LeaseWorld(candidates, disks, changing, fast, planted);
+            LeaseModel world = new LeaseModel(candidates, disks, changing, fast, planted);
             path.forEach(world::play);
             ways++;
-            if (world.broken() != null) {
-                broken = world.broken() + " after " + path;
+            if (world.violation() != null) {
+                broken = world.violation() + " after " + path;
                 return;
             }
             if (!seen.add(fast + "/" + (depth - path.size()) + "/" + (troubles - used) + "/" + world.state())) {
                 return;
             }
-            takes = Math.max(takes, world.takes());
+            takes = Math.max(takes, world.acquisitions());
             if (path.size() == depth) {
                 return;
             }
@@ -86,22 +86,22 @@
     }
 
     /** A way of so many steps, drawn from the seed; then quiet, in which somebody has to hold it again. */
-    public Walk walk(long seed, int steps) {
+    public RandomWalk walk(long seed, int steps) {
         SplittableRandom random = new SplittableRandom(seed);
-        LeaseWorld world = new LeaseWorld(candidates, disks, changing, random.nextInt(1 << 3 + candidates), planted);
+        LeaseModel world = new LeaseModel(candidates, disks, changing, random.nextInt(1 << 3 + candidates), planted);
         List<Move> path = new ArrayList<>();
-        for (int i = 0; i < steps && world.broken() == null; i++) {
+        for (int i = 0; i < steps && world.violation() == null; i++) {
             Move move = draw(random, world);
             path.add(move);
             world.play(move);
         }
-        if (world.broken() == null) {
-            world.settle(LeaseWorld.settleMs());
+        if (world.violation() == null) {
+            world.settle(LeaseModel.settleMs());
         }
-        return new Walk(seed, path.size(), world.takes(), world.overlaps(), world.broken(), path);
+        return new RandomWalk(seed, path.size(), world.acquisitions(), world.overlaps(), world.violation(), path);
     }
 
-    private static Move draw(SplittableRandom random, LeaseWorld world) {
+    private static Move draw(SplittableRandom random, LeaseModel world) {
         int kind = random.nextInt(100);
         int first = world.underWay();
         // Mostly the oldest, at times any: what is an hour late comes, too.
@@ -129,7 +129,7 @@
     }
 
     /** The same with as many steps left out as can be while it still breaks. */
-    public List<Move> shrink(Walk failed) {
+    public List<Move> shrink(RandomWalk failed) {
         List<Move> least = new ArrayList<>(failed.path);
         int fast = new SplittableRandom(failed.seed).nextInt(1 << 3 + candidates);
         for (int size = Math.max(1, least.size() / 2); size >= 1; size /= 2) {
@@ -147,14 +147,14 @@
     }
 
     private boolean breaks(List<Move> path, int fast) {
-        LeaseWorld world = new LeaseWorld(candidates, disks, changing, fast, planted);
+        LeaseModel world = new LeaseModel(candidates, disks, changing, fast, planted);
         for (Move move : path) {
             world.play(move);
-            if (world.broken() != null) {
+            if (world.violation() != null) {
                 return true;
             }
         }
-        world.settle(LeaseWorld.settleMs());
-        return world.broken() != null;
+        world.settle(LeaseModel.settleMs());
+        return world.violation() != null;
     }
 }
--- a/src/main/java/dappleseam/lab/fleet/LeaseWorld.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseModel.java
@@ -20,9 +20,9 @@
  * Three voters, some candidates for one lease and a resource, with clocks that run as far apart as they may: whoever plays it says what happens next.
  * Where the set of voters changes, a fourth takes the third one's place. The modules are the shipped ones. Times in ms.
  */
-public final class LeaseWorld {
+public final class LeaseModel {
     /** Faults built in on purpose, each of which has to be found. */
-    public enum Planted {
+    public enum PlantedLeaseFault {
         NONE,
         /** Holders reckon as if all clocks ran at one rate. */
         NO_MARGIN,
@@ -65,7 +65,7 @@
     private static final int MOST_COPIES = 12;
     private static final LeaseName LEASE = new LeaseName("task");
 
-    private final Planted planted;
+    private final PlantedLeaseFault planted;
     private final boolean disks;
     private final boolean changing;
     private final LeaseConfig before;
@@ -134,12 +134,12 @@
         }
 
         void start() {
-            boolean forgets = planted == Planted.FORGETFUL;
-            if (planted == Planted.LATE_FORCE) {
+            boolean forgets = planted == PlantedLeaseFault.FORGETFUL;
+            if (planted == PlantedLeaseFault.LATE_FORCE) {
                 onDisk = copies.isEmpty() ? null : copies.get(Math.max(0, copies.size() - 4)); // the last writings had not come there
             }
             voter = new Voter(voterName(number), ++nonces, terms, new FromVoter(number), disks ? this : null, clock(now) - (forgets ? 2 * LEASE_MS : 0),
-                    planted == Planted.LATE_FORCE ? 0 : (long) now);
+                    planted == PlantedLeaseFault.LATE_FORCE ? 0 : (long) now);
         }
 
         @Override
@@ -147,7 +147,7 @@
             if (onDisk == null) {
                 throw new IOException("nothing there");
             }
-            return planted == Planted.EVER_CLOSED ? new VoterState(onDisk.voter(), onDisk.configFingerprint(), onDisk.startNumber(), true, onDisk.votes()) : onDisk;
+            return planted == PlantedLeaseFault.EVER_CLOSED ? new VoterState(onDisk.voter(), onDisk.configFingerprint(), onDisk.startNumber(), true, onDisk.votes()) : onDisk;
         }
 
         @Override
@@ -179,14 +179,14 @@
         void start() {
             wakeAt = Double.POSITIVE_INFINITY;
             holds = null;
-            LeaseConfig own = planted == Planted.NO_MARGIN ? new LeaseConfig(terms.voters(), terms.number(), terms.leaseMs(), 0) : terms;
+            LeaseConfig own = planted == PlantedLeaseFault.NO_MARGIN ? new LeaseConfig(terms.voters(), terms.number(), terms.leaseMs(), 0) : terms;
             candidate = new Candidate(++nonces, own, this, new Counter(nonces * 1000));
             candidate.acquire(clock(now), LEASE);
         }
 
         /** One without a margin says that it has one, or the voters would refuse it. */
         private int told(int set) {
-            return planted == Planted.NO_MARGIN ? terms.fingerprint() : set;
+            return planted == PlantedLeaseFault.NO_MARGIN ? terms.fingerprint() : set;
         }
 
         private void send(MemberName to, String text, BiConsumer<VoterSeat, MemberName> what) {
@@ -263,7 +263,7 @@
             int candidate = to.text().charAt(1) - '0';
             underWay.add(new Letter(false, candidate, candidate, number, "v" + number + ">" + candidate + text, seat -> {
                 what.accept((CandidateSeat) seat, voterName(number));
-                if (planted == Planted.MINORITY) {
+                if (planted == PlantedLeaseFault.MINORITY) {
                     what.accept((CandidateSeat) seat, voterName((number + 1) % VOTERS));
                 }
             }));
@@ -306,13 +306,13 @@
     }
 
     /** {@code fast}: which of voters and candidates have the fast clock, a bit each; the others have the slow one. */
-    public LeaseWorld(int candidates, boolean disks, boolean changing, int fast, Planted planted) {
+    public LeaseModel(int candidates, boolean disks, boolean changing, int fast, PlantedLeaseFault planted) {
         this.planted = planted;
         this.disks = disks;
         this.changing = changing;
         before = new LeaseConfig(List.of(voterName(0), voterName(1), voterName(2)), 1, LEASE_MS, DRIFT);
         after = new LeaseConfig(List.of(voterName(0), voterName(1), voterName(NEW)), 2, LEASE_MS, DRIFT);
-        double apart = planted == Planted.OVER_BOUND ? 2 * DRIFT : DRIFT;
+        double apart = planted == PlantedLeaseFault.OVER_BOUND ? 2 * DRIFT : DRIFT;
         for (int i = 0; i < VOTERS; i++) {
             voters.add(new VoterSeat(i, (fast >> i & 1) == 1 ? 1 + apart : 1 - apart));
         }
@@ -335,7 +335,7 @@
     }
 
     /** What is broken, or null. */
-    public String broken() {
+    public String violation() {
         return broken;
     }
 
@@ -345,7 +345,7 @@
     }
 
     /** How often the lease was taken. */
-    public int takes() {
+    public int acquisitions() {
         return takes;
     }
 
@@ -411,7 +411,7 @@
             moves.add(new Move(Kind.RESTART_VOTER, i));
             if (disks) {
                 moves.add(new Move(Kind.CLOSE_VOTER, i));
-                if (planted != Planted.LATE_FORCE) {
+                if (planted != PlantedLeaseFault.LATE_FORCE) {
                     moves.add(new Move(Kind.RESTORE_VOTER, i));
                 }
             }
@@ -433,8 +433,8 @@
     private boolean mayMove(int voter) {
         boolean newStarted = changing && voters.get(NEW).voter != null;
         boolean stayersMoved = voters.get(0).terms == after && voters.get(1).terms == after;
-        return changing && (voter == NEW ? !newStarted && (stayersMoved || planted == Planted.WRONG_ORDER)
-                : voter != 2 && (!newStarted || planted == Planted.WRONG_ORDER && voters.get(voter).terms == before));
+        return changing && (voter == NEW ? !newStarted && (stayersMoved || planted == PlantedLeaseFault.WRONG_ORDER)
+                : voter != 2 && (!newStarted || planted == PlantedLeaseFault.WRONG_ORDER && voters.get(voter).terms == before));
     }
 
     /** A start with the other set. */
@@ -534,7 +534,7 @@
         if (seat.checked == null) {
             return;
         }
-        if (planted != Planted.NO_FENCE && seat.checked.isBelow(atResource)) {
+        if (planted != PlantedLeaseFault.NO_FENCE && seat.checked.isBelow(atResource)) {
             seat.candidate.fenced(seat.clock(now), LEASE, atResource);
         } else {
             if (seat.checked.isBelow(atResource)) {
@@ -549,10 +549,10 @@
         int acting = 0;
         for (CandidateSeat seat : candidates) {
             boolean holds = seat.candidate.validToken(seat.clock(now), LEASE, 0) != null;
-            boolean thinks = planted == Planted.EARLY_CHECK && seat.checked != null && now < seat.checkedAt + OLD_CHECK_MS;
+            boolean thinks = planted == PlantedLeaseFault.EARLY_CHECK && seat.checked != null && now < seat.checkedAt + OLD_CHECK_MS;
             acting += holds || thinks ? 1 : 0;
         }
-        if (acting > 1 && planted == Planted.OVER_BOUND) {
+        if (acting > 1 && planted == PlantedLeaseFault.OVER_BOUND) {
             overlaps++;
         } else if (acting > 1) {
             breaks("two act at once");
@@ -579,7 +579,7 @@
             deliverAll();
             check();
         }
-        if (planted != Planted.OVER_BOUND && candidates.stream().noneMatch(c -> c.candidate.validToken(c.clock(now), LEASE, 0) != null)) {
+        if (planted != PlantedLeaseFault.OVER_BOUND && candidates.stream().noneMatch(c -> c.candidate.validToken(c.clock(now), LEASE, 0) != null)) {
             breaks("nobody holds it after " + ms + " ms of quiet");
         }
     }
--- a/src/main/java/dappleseam/lab/fleet/LeaseCrowd.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseSimulation.java
@@ -24,7 +24,7 @@
  * Many members that would all take some leases, in simulated time: what they send, how leases spread, and how long nobody holds one when holders die. The modules
  * are the shipped ones; views are right but for the dead, who are held for present a while. Times in ms.
  */
-public final class LeaseCrowd extends SimulatedTime {
+public final class LeaseSimulation extends EventSimulation {
     private static final double SECOND = 1000;
     /** Clocks have run for a while. */
     private static final double BEGIN_MS = 1_000_000;
@@ -70,7 +70,7 @@
             boolean self = peer.equals(name);
             sent += self ? 0 : 1;
             if (self || random.nextDouble() >= loss) {
-                after(self ? 0 : DELAY_MS * random.nextDouble(), () -> {
+                schedule(self ? 0 : DELAY_MS * random.nextDouble(), () -> {
                     Node to = nodes.get(peer);
                     if (to.up) {
                         what.accept(to);
@@ -136,7 +136,7 @@
         @Override
         public void wakeAt(double ms) {
             wakeAt = ms;
-            after(Math.max(0, ms - now), () -> {
+            schedule(Math.max(0, ms - now), () -> {
                 if (up && wakeAt == ms) {
                     wakeAt = Double.NaN;
                     candidate.woken(now);
@@ -176,7 +176,7 @@
     }
 
     /** {@code members}: all want each of so many leases; the first three vote. {@code loss}: share of messages that do not arrive. */
-    public LeaseCrowd(int members, int leaseCount, double loss, long seed) {
+    public LeaseSimulation(int members, int leaseCount, double loss, long seed) {
         super(BEGIN_MS);
         this.members = members;
         this.loss = loss;
@@ -216,11 +216,11 @@
                 freeSince.put(lease, now);
             }
         });
-        after(UNKNOWN_MS, () -> sees(node.name, false));
+        schedule(UNKNOWN_MS, () -> sees(node.name, false));
     }
 
     /** Holders die one after the other, so many times, and come back from nothing: what is sent for a lease while it is held and while it is not; one line. */
-    public String storm(int deaths) {
+    public String measureDeaths(int deaths) {
         runFor(6 * terms.leaseMs());
         long before = sent;
         runFor(60 * SECOND);
@@ -252,7 +252,7 @@
     }
 
     /** How leases lie over members, and how many change hands as one that holds some dies, and comes back; one line. */
-    public String spread() {
+    public String measureSpread() {
         runFor(6 * terms.leaseMs());
         int[] counts = order.stream().mapToInt(node -> (int) holders.values().stream().filter(h -> h == node).count()).toArray();
         Map<LeaseName, Node> first = new HashMap<>(holders);
--- a/src/main/java/dappleseam/lab/fleet/Exploration.java
+++ b/src/main/java/dappleseam/lab/fleet/MembershipExploration.java
@@ -23,14 +23,14 @@
  * Every order of events of a small fleet, to a depth: which datagram arrives next, is lost or comes twice, whether time goes on, who dies, returns
  * from nothing, or stands still. The module is the shipped one; states that are alike are gone on from once.
  */
-public final class Exploration {
+public final class MembershipExploration {
     /** What is done next; {@code which} is a datagram's place or a member's number. */
     public record Move(Kind kind, int which) {}
 
     public enum Kind { DELIVER, LOSE, REPEAT, TIME, KILL, START, STALL }
 
     /** States told apart, ways played, and what broke, with the moves that led there. */
-    public record Found(long states, long ways, String broken) {}
+    public record Result(long states, long paths, String violation) {}
 
     private static final int MEMBERS = 3;
     private static final double ROUNDING = 1e-9;
@@ -46,18 +46,18 @@
     private final int depth;
     private final int faults;
     private final boolean settle;
-    private final Planted planted;
+    private final PlantedFault planted;
     private final Set<String> seen = new HashSet<>();
     private long ways;
     private String broken;
 
     /** At most so many losses, repeats, deaths and stalls on one way; {@code settle}: play each way on to its quiet end. */
-    public Exploration(int depth, int faults, boolean settle, Planted planted) {
+    public MembershipExploration(int depth, int faults, boolean settle, PlantedFault planted) {
         this(MEMBERS, depth, faults, settle, planted);
     }
 
     /** The same where only the first {@code early} members run at first. */
-    public Exploration(int early, int depth, int faults, boolean settle, Planted planted) {
+    public MembershipExploration(int early, int depth, int faults, boolean settle, PlantedFault planted) {
         this.early = early;
         this.planted = planted;
         this.depth = depth;
@@ -65,9 +65,9 @@
         this.settle = settle;
     }
 
-    public Found run() {
+    public Result run() {
         explore(new ArrayList<>(), 0);
-        return new Found(seen.size(), ways, broken);
+        return new Result(seen.size(), ways, broken);
     }
 
     private void explore(List<Move> path, int faultsUsed) {
@@ -105,7 +105,7 @@
 
     /** Three members that know each other, and what is under way between them. */
     private static final class World {
-        final Planted planted;
+        final PlantedFault planted;
         final List<Member> members = new ArrayList<>();
         final List<Sent> underWay = new ArrayList<>();
         final Map<Generation, MemberEntry> said = new HashMap<>();
@@ -118,7 +118,7 @@
             }
         }
 
-        World(Planted planted, int early) {
+        World(PlantedFault planted, int early) {
             this.planted = planted;
             for (int i = 0; i < MEMBERS; i++) {
                 members.add(new Member(this, i));
@@ -291,7 +291,7 @@
         protected void send(InetSocketAddress to, FleetMessage letter) {
             world.said.merge(letter.sender().generation(), letter.sender(), (a, b) -> a.compareTo(b) >= 0 ? a : b);
             for (Member other : world.members) {
-                FleetMessage passed = world.planted.passed(letter, other.name, false);
+                FleetMessage passed = world.planted.intercept(letter, other.name, false);
                 if (other.up && SimulatedFleet.address(other.number).equals(to) && passed != null) {
                     world.underWay.add(new World.Sent(other.number, SimulatedFleet.address(number), passed));
                 }
--- a/src/main/java/dappleseam/lab/fleet/Sizes.java
+++ b/src/main/java/dappleseam/lab/fleet/MembershipMeasurement.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 
 /** Figures of a module at one size, over seeds from 1 on, played at once. Simulated, a period of 1 s. */
-public record Sizes(Module module, int members, int runs, double runningMs) {
+public record MembershipMeasurement(Module module, int members, int runs, double runningMs) {
     private static final double SECOND = 1000;
     private static final double MINUTE = 60 * SECOND;
     /** Time in ms in which all know each other and the news of that has been told. */
@@ -27,7 +27,7 @@
     private SimulatedFleet begun(long seed) {
         SimulatedFleet fleet = new SimulatedFleet(module, MembershipConfig.defaults(members), members, seed);
         if (members > NEWS_MOST && module != Module.HEARTBEATS) {
-            fleet.startKnown();
+            fleet.startPreloaded();
             fleet.runFor(KNOWN_MS);
         } else {
             fleet.startAll(2);
@@ -41,7 +41,7 @@
     }
 
     /** One dies, so many times: who knows when; and what a quiet member sends. */
-    public String deaths(int times) {
+    public String singleDeaths(int times) {
         List<Double> first = new ArrayList<>();
         List<Double> spread = new ArrayList<>();
         double[] wire = new double[2];
@@ -59,10 +59,10 @@
                 dead.kill();
                 Set<Integer> knew = new HashSet<>();
                 double[] at = {Double.NaN, Double.NaN};
-                fleet.watch((now, viewer, before, after) -> {
+                fleet.setViewListener((now, viewer, before, after) -> {
                     if (after.name().equals(dead.name) && after.state() == State.FAILED && knew.add(viewer.number)) {
-                        at[0] = Double.isNaN(at[0]) ? now - dead.downSince : at[0];
-                        at[1] = now - dead.downSince;
+                        at[0] = Double.isNaN(at[0]) ? now - dead.downSinceMs : at[0];
+                        at[1] = now - dead.downSinceMs;
                     }
                 });
                 fleet.runFor(MINUTE);
@@ -77,7 +77,7 @@
     }
 
     /** That share dies at one instant: time until a half, all but one of a hundred, and all of what the living hold of the dead is right. */
-    public String together(double share) {
+    public String simultaneousDeaths(double share) {
         List<Double> half = new ArrayList<>();
         List<Double> most = new ArrayList<>();
         List<Double> all = new ArrayList<>();
@@ -91,7 +91,7 @@
             Set<Long> knew = new HashSet<>();
             Set<Integer> wrongly = new HashSet<>();
             double[] at = {Double.NaN, Double.NaN, Double.NaN};
-            fleet.watch((now, viewer, before, after) -> {
+            fleet.setViewListener((now, viewer, before, after) -> {
                 int number = Integer.parseInt(after.name().text().substring(1));
                 if (after.state().isLive()) {
                     return;
@@ -125,14 +125,14 @@
     }
 
     /** Cut in two for two minutes: time until all views are right again. */
-    public String heal() {
+    public String partitionHealing() {
         List<Double> healed = new ArrayList<>();
         IntStream.rangeClosed(1, runs).parallel().forEach(seed -> {
             SimulatedFleet fleet = begun(seed);
-            fleet.nodes().forEach(n -> n.group = n.number % 2);
+            fleet.nodes().forEach(n -> n.partition = n.number % 2);
             fleet.runFor(2 * MINUTE);
-            fleet.nodes().forEach(n -> n.group = 0);
-            double ms = fleet.untilAgreed(5 * MINUTE);
+            fleet.nodes().forEach(n -> n.partition = 0);
+            double ms = fleet.runUntilAgreed(5 * MINUTE);
             synchronized (healed) {
                 healed.add(ms / SECOND);
             }
@@ -146,14 +146,14 @@
         double[] subjects = new double[runs];
         IntStream.range(0, runs).parallel().forEach(run -> {
             SimulatedFleet fleet = begun(run + 1);
-            fleet.loss = loss;
+            fleet.lossRate = loss;
             int stopped = (int) Math.ceil(stopping * members);
             for (int i = 0; i < stopped; i++) {
                 stopByTurns(fleet, fleet.node(i));
             }
             int turn = run;
             Set<Integer> failed = new HashSet<>();
-            fleet.watch((now, viewer, before, after) -> {
+            fleet.setViewListener((now, viewer, before, after) -> {
                 int number = Integer.parseInt(after.name().text().substring(1));
                 // Those that stand still are away; what counts is what is said of those that are not.
                 if (after.state() == State.FAILED && number >= stopped) {
@@ -170,11 +170,11 @@
     }
 
     private void stopByTurns(SimulatedFleet fleet, Node node) {
-        fleet.after(fleet.random().nextDouble() * (STOPPED_MS + runningMs), new Runnable() {
+        fleet.schedule(fleet.random().nextDouble() * (STOPPED_MS + runningMs), new Runnable() {
             @Override
             public void run() {
                 node.stop(STOPPED_MS);
-                fleet.after(STOPPED_MS + runningMs, this);
+                fleet.schedule(STOPPED_MS + runningMs, this);
             }
         });
     }
--- a/src/main/java/dappleseam/lab/fleet/Subject.java
+++ b/src/main/java/dappleseam/lab/fleet/MembershipVariant.java
@@ -8,29 +8,29 @@
 import java.util.List;
 
 /** What the simulated fleet drives: the membership that is shipped, or a baseline to measure it against. */
-public interface Subject {
+public interface MembershipVariant {
     void begin(double nowMs, List<InetSocketAddress> known);
 
-    MembershipProtocol heard(double nowMs);
+    MembershipProtocol receiver(double nowMs);
 
     void woken(double nowMs);
 
-    void refused(double nowMs, InetSocketAddress peer);
+    void connectionRefused(double nowMs, InetSocketAddress peer);
 
-    void leaving(double nowMs);
+    void announceLeave(double nowMs);
 
     /** What it holds of that member, or null. */
-    MemberEntry of(MemberName name);
+    MemberEntry lookup(MemberName name);
 
     /** The module as it is shipped. */
-    record Shipped(Membership membership) implements Subject {
+    record Shipped(Membership membership) implements MembershipVariant {
         @Override
         public void begin(double nowMs, List<InetSocketAddress> known) {
             membership.begin(nowMs, known);
         }
 
         @Override
-        public MembershipProtocol heard(double nowMs) {
+        public MembershipProtocol receiver(double nowMs) {
             return membership.receiver(nowMs);
         }
 
@@ -40,17 +40,17 @@
         }
 
         @Override
-        public void refused(double nowMs, InetSocketAddress peer) {
+        public void connectionRefused(double nowMs, InetSocketAddress peer) {
             membership.connectionRefused(nowMs, peer);
         }
 
         @Override
-        public void leaving(double nowMs) {
+        public void announceLeave(double nowMs) {
             membership.announceLeave(nowMs);
         }
 
         @Override
-        public MemberEntry of(MemberName name) {
+        public MemberEntry lookup(MemberName name) {
             return membership.lookup(name);
         }
     }
--- a/src/main/java/dappleseam/lab/fleet/Planted.java
+++ b/src/main/java/dappleseam/lab/fleet/PlantedFault.java
@@ -13,7 +13,7 @@
 import java.util.stream.IntStream;
 
 /** Defences that can be taken out between the members, to show that the checks see what they are for. The module itself is never another. */
-public enum Planted {
+public enum PlantedFault {
     NONE,
     /** Nobody hears what is said of itself. */
     NO_REFUTATION,
@@ -48,7 +48,7 @@
     }
 
     /** A letter that nobody wrote, and who seems to have. */
-    public record Forged(MemberName from, MemberName to, LeaseMessage ballot) {}
+    public record ForgedMessage(MemberName from, MemberName to, LeaseMessage leaseMessage) {}
 
     private static final int LIED_ABOUT = 3;
 
@@ -63,18 +63,18 @@
     }
 
     /** What is made up because of that letter. */
-    public List<Forged> forged(FleetMessage letter, MemberName to) {
+    public List<ForgedMessage> forgedMessages(FleetMessage letter, MemberName to) {
         LeaseMessage ballot = letter.leaseMessage();
         MemberName from = letter.sender().name();
         if (ballot != null && this == FORGETFUL_VOTER && to.equals(VOTERS.get(0)) && answer(ballot) != null) {
-            return List.of(new Forged(to, from, answer(ballot)));
+            return List.of(new ForgedMessage(to, from, answer(ballot)));
         }
         boolean says = ballot != null && (ballot.op() == LeaseMessage.Op.PROMISED || ballot.op() == LeaseMessage.Op.TOLD || ballot.op() == LeaseMessage.Op.ACCEPTED);
-        return this == MINORITY && says ? VOTERS.stream().filter(v -> !v.equals(from) && !v.equals(to)).map(v -> new Forged(v, to, ballot)).toList() : List.of();
+        return this == MINORITY && says ? VOTERS.stream().filter(v -> !v.equals(from) && !v.equals(to)).map(v -> new ForgedMessage(v, to, ballot)).toList() : List.of();
     }
 
     /** The letter as it arrives; null where it does not. {@code isCall}: a try of a failed member. */
-    public FleetMessage passed(FleetMessage letter, MemberName to, boolean isCall) {
+    public FleetMessage intercept(FleetMessage letter, MemberName to, boolean isCall) {
         return switch (this) {
             case NONE, MINORITY, NO_FENCE -> letter;
             case LIAR -> lying(letter, 1);
--- a/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
+++ b/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
@@ -30,7 +30,7 @@
  * Many members in simulated time, one seed, one verdict: every datagram and wake-up is an event, and faults are set while it runs. The module
  * is the one that {@code serve} loads. Times in ms.
  */
-public final class SimulatedFleet extends SimulatedTime {
+public final class SimulatedFleet extends EventSimulation {
     /** Which module the members run. */
     public enum Module {
         SHIPPED,
@@ -41,8 +41,8 @@
     }
 
     /** What a member's view came to hold, told as it happens; {@code before} is null for one not known before. */
-    public interface Watcher {
-        void saw(double nowMs, Node viewer, MemberEntry before, MemberEntry now);
+    public interface ViewListener {
+        void viewChanged(double nowMs, Node viewer, MemberEntry before, MemberEntry now);
     }
 
     /** Bytes of a datagram beside notices, and UDP's and IP's own. */
@@ -55,15 +55,15 @@
     private final SplittableRandom random;
     private final List<Node> nodes = new ArrayList<>();
     private final Map<InetSocketAddress, Node> at = new HashMap<>();
-    private Planted planted = Planted.NONE;
-    private Watcher watcher = (nowMs, viewer, before, after) -> { };
+    private PlantedFault planted = PlantedFault.NONE;
+    private ViewListener watcher = (nowMs, viewer, before, after) -> { };
     /** Share of datagrams lost everywhere, doubled, and the most by which one is delayed. */
-    public double loss;
-    public double doubled;
-    public double delayMs = 2;
+    public double lossRate;
+    public double duplicationRate;
+    public double maxDelayMs = 2;
     public long datagrams;
     /** What members started from now on decide by what they tell each other. */
-    public FleetFeatures choices = FleetFeatures.NONE;
+    public FleetFeatures features = FleetFeatures.NONE;
     public long bytes;
 
     /** One member's place: its process may be killed, stopped and started anew. */
@@ -71,22 +71,22 @@
         public final int number;
         public final MemberName name;
         public InetSocketAddress address;
-        public Subject subject;
+        public MembershipVariant variant;
         public boolean up;
-        public double stoppedUntil;
+        public double stoppedUntilMs;
         /** Whom its datagrams do not reach; both are set for a cut both ways. */
-        public int group;
-        public final Set<Integer> deafTo = new HashSet<>();
-        public double loss;
+        public int partition;
+        public final Set<Integer> blockedSenders = new HashSet<>();
+        public double lossRate;
         /** By how much its wall clock is off. */
-        public long clockOffMs;
+        public long clockOffsetMs;
         /** Queries that it takes a second, as its proxy would tell; NaN where that is not known yet. */
-        public double ratePerS = Double.NaN;
-        public SignalExchange desk;
-        public double upSince;
-        public double downSince = Double.NaN;
-        public MembershipStatus standing;
-        public final List<String> lines = new ArrayList<>();
+        public double trafficPerS = Double.NaN;
+        public SignalExchange signalExchange;
+        public double startedAtMs;
+        public double downSinceMs = Double.NaN;
+        public MembershipStatus status;
+        public final List<String> logLines = new ArrayList<>();
         private int process;
         private double wakeAt = Double.NaN;
         private final List<Runnable> waiting = new ArrayList<>();
@@ -100,26 +100,26 @@
         /** A process that knows nothing but those addresses. */
         public void start(List<InetSocketAddress> seeds) {
             up = true;
-            upSince = now;
+            startedAtMs = now;
             process++;
             at.put(address, this);
-            MemberEntry self = new MemberEntry(name, address, new Generation(Math.max(0, DAY_MS + (long) now + clockOffMs), random.nextLong()), 0, MemberEntry.State.ALIVE, 0);
-            subject = switch (kind) {
+            MemberEntry self = new MemberEntry(name, address, new Generation(Math.max(0, DAY_MS + (long) now + clockOffsetMs), random.nextLong()), 0, MemberEntry.State.ALIVE, 0);
+            variant = switch (kind) {
                 case HEARTBEATS -> new Heartbeats(this, terms.periodMs(), self);
-                default -> new Subject.Shipped(new Membership(terms, self, this, random.split(), now));
+                default -> new MembershipVariant.Shipped(new Membership(terms, self, this, random.split(), now));
             };
-            subject.begin(now, seeds);
-            if (choices.any()) {
-                desk = new SignalExchange(membership(), terms.periodMs(), terms.maxMembers(), Announcement.NO_LOCATION, choices, new Rates(), (to, news) -> send(to, FleetMessage.of(membership().self(), news)),
+            variant.begin(now, seeds);
+            if (features.any()) {
+                signalExchange = new SignalExchange(membership(), terms.periodMs(), terms.maxMembers(), Announcement.NO_LOCATION, features, new Rates(), (to, news) -> send(to, FleetMessage.of(membership().self(), news)),
                         random.split(), now);
                 wakeDesk(process);
             }
         }
 
         private void wakeDesk(int mine) {
-            after(Math.max(desk.wakeAt(), stoppedUntil) - now, () -> {
+            schedule(Math.max(signalExchange.wakeAt(), stoppedUntilMs) - now, () -> {
                 if (process == mine && !isStopped()) {
-                    desk.woken(now);
+                    signalExchange.woken(now);
                 }
                 if (process == mine) {
                     wakeDesk(mine);
@@ -135,7 +135,7 @@
 
             @Override
             public double queriesPerS() {
-                return ratePerS;
+                return trafficPerS;
             }
 
             @Override
@@ -151,30 +151,30 @@
         }
 
         public Membership membership() {
-            return ((Subject.Shipped) subject).membership();
+            return ((MembershipVariant.Shipped) variant).membership();
         }
 
         /** As by SIGKILL. */
         public void kill() {
             up = false;
-            downSince = now;
+            downSinceMs = now;
             process++;
             wakeAt = Double.NaN;
-            stoppedUntil = 0;
+            stoppedUntilMs = 0;
             waiting.clear();
             at.remove(address, this);
         }
 
-        public void leaveOrderly() {
-            subject.leaving(now);
+        public void leave() {
+            variant.announceLeave(now);
             kill();
         }
 
         /** As by SIGSTOP and SIGCONT: what comes meanwhile waits in its socket, up to a bound. */
         public void stop(double forMs) {
-            stoppedUntil = now + forMs;
+            stoppedUntilMs = now + forMs;
             int mine = process;
-            after(forMs, () -> {
+            schedule(forMs, () -> {
                 if (process == mine) {
                     List<Runnable> late = List.copyOf(waiting);
                     waiting.clear();
@@ -183,7 +183,7 @@
                     }
                     if (!Double.isNaN(wakeAt) && wakeAt <= now) {
                         wakeAt = Double.NaN;
-                        subject.woken(now);
+                        variant.woken(now);
                     }
                     if (kind == Module.PLAIN) {
                         late.forEach(Runnable::run);
@@ -193,7 +193,7 @@
         }
 
         public boolean isStopped() {
-            return now < stoppedUntil;
+            return now < stoppedUntilMs;
         }
 
         @Override
@@ -208,22 +208,22 @@
             if (peer == null || !passes(peer)) {
                 return;
             }
-            FleetMessage letter = planted.passed(sent, peer.name, isCall);
+            FleetMessage letter = planted.intercept(sent, peer.name, isCall);
             if (letter == null) {
                 return;
             }
-            int copies = doubled > 0 && random.nextDouble() < doubled ? 2 : 1;
+            int copies = duplicationRate > 0 && random.nextDouble() < duplicationRate ? 2 : 1;
             int process = peer.process;
             InetSocketAddress from = address;
             for (int i = 0; i < copies; i++) {
-                after(0.1 + delayMs * random.nextDouble(), () -> {
+                schedule(0.1 + maxDelayMs * random.nextDouble(), () -> {
                     if (!peer.up || peer.process != process) {
                         return;
                     }
                     Runnable delivery = () -> {
-                        letter.deliver(from, peer.subject.heard(now));
-                        if (letter.announcements() != null && peer.desk != null) {
-                            peer.desk.receive(now, letter.announcements());
+                        letter.deliver(from, peer.variant.receiver(now));
+                        if (letter.announcements() != null && peer.signalExchange != null) {
+                            peer.signalExchange.receive(now, letter.announcements());
                         }
                     };
                     if (!peer.isStopped()) {
@@ -236,8 +236,8 @@
         }
 
         private boolean passes(Node to) {
-            double lost = Math.max(loss, Math.max(SimulatedFleet.this.loss, to.loss));
-            return group == to.group && !to.deafTo.contains(number) && (lost == 0 || random.nextDouble() >= lost);
+            double lost = Math.max(lossRate, Math.max(SimulatedFleet.this.lossRate, to.lossRate));
+            return partition == to.partition && !to.blockedSenders.contains(number) && (lost == 0 || random.nextDouble() >= lost);
         }
 
         @Override
@@ -246,9 +246,9 @@
             Node there = nodeAt(peer);
             if (at.get(peer) == null && there != null && passes(there)) {
                 int mine = process;
-                after(1, () -> {
+                schedule(1, () -> {
                     if (process == mine && !isStopped()) {
-                        subject.refused(now, peer);
+                        variant.connectionRefused(now, peer);
                     }
                 });
             }
@@ -258,28 +258,28 @@
         public void wakeAt(double ms) {
             wakeAt = ms;
             int mine = process;
-            after(Math.max(0, ms - now), () -> {
+            schedule(Math.max(0, ms - now), () -> {
                 if (process == mine && wakeAt == ms && !isStopped()) {
                     wakeAt = Double.NaN;
-                    subject.woken(now);
+                    variant.woken(now);
                 }
             });
         }
 
         @Override
         public void memberChanged(MemberEntry before, MemberEntry after) {
-            watcher.saw(now, this, before, after);
+            watcher.viewChanged(now, this, before, after);
         }
 
         @Override
         public void statusChanged(MembershipStatus now) {
-            standing = now;
+            status = now;
         }
 
         @Override
         public void log(String text) {
-            if (lines.size() < 1000) {
-                lines.add(text);
+            if (logLines.size() < 1000) {
+                logLines.add(text);
             }
         }
     }
@@ -314,7 +314,7 @@
     }
 
     /** Another that goes by that one's name, by mistake; it is not started, and not one of those that have to agree. */
-    public Node twinOf(int number) {
+    public Node createDuplicate(int number) {
         return new Node(nodes.size(), nodes.get(number).name, address(nodes.size()));
     }
 
@@ -327,12 +327,12 @@
         return null;
     }
 
-    public void watch(Watcher by) {
+    public void setViewListener(ViewListener by) {
         watcher = by;
     }
 
     /** Takes a defence out. */
-    public void plant(Planted by) {
+    public void setPlantedFault(PlantedFault by) {
         planted = by;
     }
 
@@ -352,11 +352,11 @@
     public void startAll(int seeds) {
         List<InetSocketAddress> known = kind == Module.HEARTBEATS ? nodes.stream().map(n -> n.address).toList()
                 : nodes.subList(0, Math.min(seeds, nodes.size())).stream().map(n -> n.address).toList();
-        nodes.forEach(node -> after(random.nextDouble() * terms.periodMs(), () -> node.start(known)));
+        nodes.forEach(node -> schedule(random.nextDouble() * terms.periodMs(), () -> node.start(known)));
     }
 
     /** All start within a period, and then all know each other: else the news of so many takes minutes to be told. */
-    public void startKnown() {
+    public void startPreloaded() {
         startAll(1);
         runFor(terms.periodMs() + 1);
         List<MemberEntry> all = nodes.stream().map(n -> n.membership().self()).toList();
@@ -364,13 +364,13 @@
     }
 
     /** Whether each process that is up holds each other one for alive in its present life, and each that is down for not present. */
-    public boolean agree() {
-        return nodes.stream().filter(n -> n.up).allMatch(this::isRight);
+    public boolean allViewsCorrect() {
+        return nodes.stream().filter(n -> n.up).allMatch(this::isViewCorrect);
     }
 
-    public boolean isRight(Node viewer) {
+    public boolean isViewCorrect(Node viewer) {
         for (Node node : nodes) {
-            MemberEntry held = viewer.subject.of(node.name);
+            MemberEntry held = viewer.variant.lookup(node.name);
             boolean present = held != null && held.state().isLive();
             if (present != node.up || node.up && kind != Module.HEARTBEATS && !held.generation().equals(node.membership().self().generation())) {
                 return false;
@@ -380,14 +380,14 @@
     }
 
     /** Runs on until all views are right; the time it took in ms, or NaN where it took longer than that. */
-    public double untilAgreed(double mostMs) {
+    public double runUntilAgreed(double mostMs) {
         double from = now;
         while (now < from + mostMs) {
-            if (agree()) {
+            if (allViewsCorrect()) {
                 return now - from;
             }
             runFor(terms.periodMs() / 10);
         }
-        return agree() ? now - from : Double.NaN;
+        return allViewsCorrect() ? now - from : Double.NaN;
     }
 }
--- a/src/main/java/dappleseam/lab/fleet/Disturbances.java
+++ b/src/main/java/dappleseam/lab/fleet/StallPeriods.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /** The times in which a process was not run, or doubted itself because of that: what is done to it meanwhile shows nothing. */
-public final class Disturbances {
+public final class StallPeriods {
     private record Span(double fromMs, double toMs) {}
 
     private final double doubtMs;
     private final List<Span> spans = new ArrayList<>();
 
     /** {@code doubtMs}: for how long a process doubts itself after it stood still. */
-    public Disturbances(double doubtMs) {
+    public StallPeriods(double doubtMs) {
         this.doubtMs = doubtMs;
     }
 
-    public void stoodStill(double untilMs, double forMs) {
+    public void addStall(double untilMs, double forMs) {
         spans.add(new Span(untilMs - forMs, untilMs + doubtMs));
     }
 
     /** How much of that time was disturbed. */
-    public double within(double fromMs, double toMs) {
+    public double overlapMs(double fromMs, double toMs) {
         double disturbed = 0;
         double counted = fromMs;
         for (Span span : spans.stream().sorted(Comparator.comparingDouble(Span::fromMs)).toList()) {
--- a/src/main/java/dappleseam/lab/fleet/Subsets.java
+++ b/src/main/java/dappleseam/lab/fleet/SubsetMeasurement.java
@@ -17,9 +17,9 @@
  * Which of so many copies of a hot key each proxy asks, by the shipped places and by baselines written here: by chance, by rendezvous (Thaler, Ravishankar 1998) and by deterministic subsetting
  * (Google's SRE book, chapter 20) with subsets of one. Proxies' traffic is skewed, some have twenty times others'.
  */
-public record Subsets(int proxies, int locations, int copies, long seed) {
+public record SubsetMeasurement(int proxies, int locations, int copies, long seed) {
     /** How a proxy finds its copy. */
-    public enum Way { CHANCE, RENDEZVOUS, DETERMINISTIC,
+    public enum Strategy { CHANCE, RENDEZVOUS, DETERMINISTIC,
         /** By the shipped places, all on one line, as before locations were told. */
         ONE_LINE,
         /** The shipped way. */
@@ -29,7 +29,7 @@
     /**
      * {@code peak}: the busiest copy's traffic over the mean; {@code near}: the same of the worst location, where each has as many copies of its own; {@code proxiesPeak}: by proxies; {@code moved}: proxies that ask another copy once one proxy has come, or gone, in the mean.
      */
-    public record Found(double peak, double near, double proxiesPeak, double moved) {}
+    public record Result(double peak, double locationPeak, double proxyCountPeak, double moved) {}
 
     private Map<MemberName, Double> traffic(int count) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -40,7 +40,7 @@
         return traffic;
     }
 
-    private Map<MemberName, Integer> copies(Way way, Map<MemberName, Double> traffic) {
+    private Map<MemberName, Integer> copies(Strategy way, Map<MemberName, Double> traffic) {
         List<MemberName> numbered = new ArrayList<>(traffic.keySet());
         numbered.sort(Comparator.comparing(MemberName::text));
         Map<MemberName, Integer> found = new HashMap<>();
@@ -89,7 +89,7 @@
         return order.get(client % copies);
     }
 
-    public Found measure(Way way) {
+    public Result measure(Strategy way) {
         Map<MemberName, Double> traffic = traffic(proxies);
         Map<MemberName, Integer> before = copies(way, traffic);
         double[] served = new double[copies];
@@ -106,7 +106,7 @@
         Map<MemberName, Integer> less = copies(way, fewer);
         long moved = before.keySet().stream().filter(name -> !before.get(name).equals(more.get(name))).count()
                 + less.keySet().stream().filter(name -> !before.get(name).equals(less.get(name))).count();
-        return new Found(peak(served), Arrays.stream(near).mapToDouble(Subsets::peak).max().orElse(0), peak(by), moved / 2.0);
+        return new Result(peak(served), Arrays.stream(near).mapToDouble(SubsetMeasurement::peak).max().orElse(0), peak(by), moved / 2.0);
     }
 
     private static double peak(double[] of) {
--- a/src/main/java/dappleseam/lab/report/FleetReport.java
+++ b/src/main/java/dappleseam/lab/report/FleetReport.java
@@ -6,8 +6,8 @@
 import dappleseam.lab.check.Ledger;
 import dappleseam.lab.fault.LinkTool;
 import dappleseam.lab.fleet.LeaseChecker;
-import dappleseam.lab.fleet.Sight;
-import dappleseam.lab.fleet.Truth;
+import dappleseam.lab.fleet.ViewChange;
+import dappleseam.lab.fleet.GroundTruth;
 import dappleseam.lab.fleet.ViewChecker;
 import dappleseam.lab.scenario.FleetScenario;
 import dappleseam.lab.scenario.Scenario;
@@ -62,13 +62,13 @@
     private final boolean complete;
     private final int broken;
 
-    public FleetReport(FleetScenario scenario, Report played, Truth truth, List<Sight> sights, List<ViewChecker.Breach> breaches,
+    public FleetReport(FleetScenario scenario, Report played, GroundTruth truth, List<ViewChange> sights, List<ViewChecker.Breach> breaches,
                        List<String> timeline, double beganMs, double settledMs, double readyMs, LinkTool links, boolean complete,
-                       Map<String, LeaseChecker.Found> leases, List<LeaseChecker.Hit> hits, List<LeaseChecker.Write> writes, Ledger ledger, double playMs, List<Cost> costs) {
+                       Map<String, LeaseChecker.Result> leases, List<LeaseChecker.HolderFault> hits, List<LeaseChecker.Write> writes, Ledger ledger, double playMs, List<Cost> costs) {
         this.scenario = scenario;
         this.played = played;
         this.complete = complete;
-        List<String> atStore = LeaseChecker.writes(writes);
+        List<String> atStore = LeaseChecker.checkWrites(writes);
         broken = breaches.size() + leases.values().stream().mapToInt(l -> l.breaches().size()).sum() + atStore.size();
         double seconds = (settledMs - beganMs) / MS_PER_S;
         tree.put("scenario", scenario.play().name()).put("seed", scenario.play().seed()).put("proxies", scenario.proxies())
@@ -76,7 +76,7 @@
         timeline.forEach(tree.putArray("timeline")::add);
         deaths(truth, sights, settledMs);
         for (double ms = beganMs; ms < settledMs; ms += SAMPLE_MS) {
-            int[] now = ViewChecker.right(truth, sights, ms);
+            int[] now = ViewChecker.countCorrectViews(truth, sights, ms);
             right.add(new double[] {(ms - beganMs) / MS_PER_S, now[1] == 0 ? 0 : 100.0 * now[0] / now[1]});
         }
         double over = scenario.troublesEndS();
@@ -92,25 +92,25 @@
         ArrayNode told = promises.putArray("breaches");
         breaches.forEach(b -> told.addObject().put("promise", b.promise().name()).put("at_s", round((b.ms() - beganMs) / MS_PER_S)).put("what", b.what()));
         leases.forEach((name, found) -> {
-            ObjectNode lease = tree.putObject("lease_" + name).put("broken", found.breaches().size()).put("holders", found.holdings().size());
+            ObjectNode lease = tree.putObject("lease_" + name).put("broken", found.breaches().size()).put("holders", found.holdPeriods().size());
             double[] gaps = found.gapsMs().stream().mapToDouble(g -> g).sorted().toArray();
             lease.put("without_holder_ms_median", gaps.length == 0 ? 0 : Math.round(gaps[gaps.length / 2]))
                     .put("without_holder_ms_most", gaps.length == 0 ? 0 : Math.round(gaps[gaps.length - 1]));
             ArrayNode held = lease.putArray("held");
-            found.holdings().forEach(h -> held.addObject().put("process", h.process()).put("round", h.round()).put("from_s", round((h.fromMs() - beganMs) / MS_PER_S))
+            found.holdPeriods().forEach(h -> held.addObject().put("process", h.process()).put("round", h.round()).put("from_s", round((h.fromMs() - beganMs) / MS_PER_S))
                     .put("to_s", round((h.toMs() - beganMs) / MS_PER_S)));
             found.breaches().forEach(lease.putArray("breaches")::add);
         });
         if (scenario.leases() != null) {
-            ObjectNode store = tree.putObject("store").put("taken", writes.stream().filter(LeaseChecker.Write::taken).count())
-                    .put("refused", writes.stream().filter(w -> !w.taken()).count()).put("broken", atStore.size());
+            ObjectNode store = tree.putObject("store").put("taken", writes.stream().filter(LeaseChecker.Write::accepted).count())
+                    .put("refused", writes.stream().filter(w -> !w.accepted()).count()).put("broken", atStore.size());
             atStore.forEach(store.putArray("breaches")::add);
         }
-        Map<String, LeaseChecker.Absence> absences = LeaseChecker.absences(hits, leases.values().stream().flatMap(l -> l.holdings().stream()).toList(), STOPS);
+        Map<String, LeaseChecker.TakeoverTimes> absences = LeaseChecker.takeoverTimes(hits, leases.values().stream().flatMap(l -> l.holdPeriods().stream()).toList(), STOPS);
         absences.forEach((how, of) -> {
-            ObjectNode hit = tree.putObject("holder_" + how).put("hits", of.withoutMs().size()).put("without_next", of.withoutNext());
-            spread(hit, "without_ms", of.withoutMs());
-            spread(hit, "since_hit_ms", of.sinceHitMs());
+            ObjectNode hit = tree.putObject("holder_" + how).put("hits", of.withoutHolderMs().size()).put("without_next", of.notTakenOver());
+            spread(hit, "without_ms", of.withoutHolderMs());
+            spread(hit, "since_hit_ms", of.sinceFaultMs());
         });
         wasted(scenario, ledger, playMs);
         afterKills(ledger, playMs);
@@ -236,17 +236,17 @@
     }
 
     /** For each process that ended: when the first and the last of those that ran throughout knew it. */
-    private void deaths(Truth truth, List<Sight> sights, double settledMs) {
+    private void deaths(GroundTruth truth, List<ViewChange> sights, double settledMs) {
         ArrayNode deaths = tree.putArray("ends");
-        for (Truth.Process over : truth.processes()) {
+        for (GroundTruth.Process over : truth.processes()) {
             if (over.toMs() >= settledMs) {
                 continue;
             }
             double first = Double.POSITIVE_INFINITY;
             double last = 0;
             Set<Long> knew = new HashSet<>();
-            for (Sight sight : sights) {
-                boolean knows = sight.who().equals(over.member()) && sight.ms() > over.toMs()
+            for (ViewChange sight : sights) {
+                boolean knows = sight.member().equals(over.member()) && sight.ms() > over.toMs()
                         && (sight.nonce() == over.nonce() ? !sight.state().isLive() : true);
                 if (knows && knew.add(sight.viewer())) {
                     first = Math.min(first, sight.ms());
--- a/src/test/java/dappleseam/fleet/membership/MembershipTest.java
+++ b/src/test/java/dappleseam/fleet/membership/MembershipTest.java
@@ -4,7 +4,7 @@
 
 import dappleseam.fleet.membership.MemberEntry.State;
 import dappleseam.fleet.membership.MembershipStatus.Kind;
-import dappleseam.lab.fleet.Planted;
+import dappleseam.lab.fleet.PlantedFault;
 import dappleseam.lab.fleet.SimulatedFleet;
 import dappleseam.lab.fleet.SimulatedFleet.Module;
 import dappleseam.lab.fleet.SimulatedFleet.Node;
@@ -28,10 +28,10 @@
 
     private void start(int members, long seed) {
         fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(members), members, seed);
-        fleet.watch((now, viewer, before, after) -> sights.add(after));
+        fleet.setViewListener((now, viewer, before, after) -> sights.add(after));
         fleet.startAll(2);
         fleet.runFor(2 * SECOND);
-        assertThat(fleet.untilAgreed(30 * SECOND)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(30 * SECOND)).isNotNaN();
         fleet.runFor(10 * SECOND); // the news of the start has been told
         sights.clear();
     }
@@ -63,9 +63,9 @@
         fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(members), members, 1);
         fleet.startAll(2);
         fleet.runFor(SECOND);
-        assertThat(fleet.untilAgreed(10 * SECOND)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(10 * SECOND)).isNotNaN();
         fleet.runFor(2 * MINUTE);
-        assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL && n.membership().fleetSize() == members);
+        assertThat(fleet.nodes()).allMatch(n -> n.status.kind() == Kind.WITH_ALL && n.membership().fleetSize() == members);
     }
 
     /** Two that have just come may know the same few: that they agree does not say that there are no more. */
@@ -74,7 +74,7 @@
     void whoAgreesWithAnotherNewOneHasNotCaughtUp(long seed) {
         fleet = new SimulatedFleet(Module.SHIPPED, MembershipConfig.defaults(40).withPeriod(SECOND / 2), 40, seed);
         List<InetSocketAddress> seeds = List.of(fleet.node(0).address, fleet.node(1).address);
-        fleet.nodes().forEach(node -> fleet.after(fleet.random().nextDouble() * 8 * SECOND, () -> node.start(seeds)));
+        fleet.nodes().forEach(node -> fleet.schedule(fleet.random().nextDouble() * 8 * SECOND, () -> node.start(seeds)));
         fleet.runFor(13 * SECOND);
         for (int i = 0; i < 60; i++) {
             fleet.runFor(SECOND / 4);
@@ -91,9 +91,9 @@
         fleet.nodes().subList(0, early).forEach(node -> node.start(seeds));
         runWithinTheWhole(2 * MINUTE);
         fleet.nodes().subList(early, 5).forEach(node -> node.start(seeds));
-        fleet.node(0).group = 1; // it hears nothing of them
+        fleet.node(0).partition = 1; // it hears nothing of them
         runWithinTheWhole(MINUTE);
-        fleet.node(0).group = 0;
+        fleet.node(0).partition = 0;
         runWithinTheWhole(2 * MINUTE);
         assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() == 5);
     }
@@ -103,7 +103,7 @@
         start(50, 3);
         Node dead = fleet.node(20);
         dead.kill();
-        assertThat(fleet.untilAgreed(40 * SECOND)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(40 * SECOND)).isNotNaN();
         assertThat(sights).filteredOn(n -> n.state() == State.FAILED).allMatch(n -> n.name().equals(dead.name));
         assertThat(holding(dead, s -> s == State.FAILED)).isEqualTo(49);
     }
@@ -114,7 +114,7 @@
     void sevenInTenThatDieAtOnceAreKnownSoon(long seed) {
         start(50, seed);
         fleet.nodes().subList(0, 35).forEach(Node::kill);
-        assertThat(fleet.untilAgreed(35 * SECOND)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(35 * SECOND)).isNotNaN();
         assertThat(fleet.nodes().subList(35, 50)).allMatch(n -> holding(n, State.FAILED::equals) == 0);
     }
 
@@ -122,7 +122,7 @@
     @Test
     void whoseOwnLinkLosesMostDoubtsItselfAndFailsNobody() {
         start(20, 4);
-        fleet.node(5).loss = 0.6;
+        fleet.node(5).lossRate = 0.6;
         int worst = 0;
         for (int i = 0; i < 120; i++) {
             fleet.runFor(SECOND);
@@ -140,7 +140,7 @@
         }
         fleet.runFor(6 * SECOND);
         assertThat(fleet.node(30).membership().fleetSize()).isEqualTo(40);
-        assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(MINUTE)).isNotNaN();
         runWithinTheWhole(5 * MINUTE);
         assertThat(fleet.nodes().stream().filter(n -> n.up)).allMatch(n -> n.membership().fleetSize() == 20);
     }
@@ -148,16 +148,16 @@
     @Test
     void halfThatFallSilentAreCountedForAsLongAsNobodyDenies() {
         start(20, 4);
-        fleet.nodes().forEach(n -> n.group = n.number < 10 ? 1 : 2);
+        fleet.nodes().forEach(n -> n.partition = n.number < 10 ? 1 : 2);
         runWithinTheWhole(10 * MINUTE);
-        assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() == 20 && n.standing.kind() == Kind.CUT_OFF && n.standing.missing().size() == 10);
+        assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() == 20 && n.status.kind() == Kind.CUT_OFF && n.status.missing().size() == 10);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 3})
     void aSplitHealsByItselfWithRestartsDuringIt(int parts) {
         start(30, 5);
-        fleet.nodes().forEach(n -> n.group = n.number % parts);
+        fleet.nodes().forEach(n -> n.partition = n.number % parts);
         fleet.runFor(MINUTE);
         for (int number : new int[] {0, 1, 7}) { // the seeds among them
             Node node = fleet.node(number);
@@ -166,41 +166,41 @@
             node.start(List.of(fleet.node(number + parts).address));
         }
         fleet.runFor(MINUTE);
-        fleet.nodes().forEach(n -> n.group = 0);
+        fleet.nodes().forEach(n -> n.partition = 0);
         sights.clear();
-        assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(MINUTE)).isNotNaN();
         assertThat(sights).as("no good neighbour is brought down by old news").noneMatch(n -> n.state() == State.FAILED);
         fleet.runFor(MINUTE);
-        assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL && n.membership().fleetSize() == 30);
+        assertThat(fleet.nodes()).allMatch(n -> n.status.kind() == Kind.WITH_ALL && n.membership().fleetSize() == 30);
     }
 
     @Test
     void withoutTheMergeASplitStays() {
         start(6, 5);
-        fleet.nodes().forEach(n -> n.group = n.number % 2);
+        fleet.nodes().forEach(n -> n.partition = n.number % 2);
         fleet.runFor(2 * MINUTE);
-        fleet.plant(Planted.NO_MERGE);
-        fleet.nodes().forEach(n -> n.group = 0);
-        assertThat(fleet.untilAgreed(5 * MINUTE)).isNaN();
+        fleet.setPlantedFault(PlantedFault.NO_MERGE);
+        fleet.nodes().forEach(n -> n.partition = 0);
+        assertThat(fleet.runUntilAgreed(5 * MINUTE)).isNaN();
     }
 
     /** What a cut between two members shows, with and without others that probe in one's stead. */
     @ParameterizedTest
-    @EnumSource(value = Planted.class, names = {"NONE", "NO_INDIRECT_PROBE"})
-    void twoWhoDoNotReachEachOtherKnowThatOthersDo(Planted planted) {
+    @EnumSource(value = PlantedFault.class, names = {"NONE", "NO_INDIRECT_PROBE"})
+    void twoWhoDoNotReachEachOtherKnowThatOthersDo(PlantedFault planted) {
         start(6, 6);
-        fleet.plant(planted);
-        fleet.node(0).deafTo.add(1);
-        fleet.node(1).deafTo.add(0);
+        fleet.setPlantedFault(planted);
+        fleet.node(0).blockedSenders.add(1);
+        fleet.node(1).blockedSenders.add(0);
         fleet.runFor(3 * MINUTE);
-        if (planted == Planted.NONE) {
+        if (planted == PlantedFault.NONE) {
             assertThat(saw(State.SUSPECT)).isFalse();
-            assertThat(fleet.node(0).standing.kind()).isEqualTo(Kind.CUT_OFF);
-            assertThat(fleet.node(0).standing.missing()).containsExactly(fleet.node(1).name);
-            assertThat(fleet.node(2).standing.kind()).isEqualTo(Kind.WITH_ALL);
-            fleet.nodes().forEach(n -> n.deafTo.clear());
+            assertThat(fleet.node(0).status.kind()).isEqualTo(Kind.CUT_OFF);
+            assertThat(fleet.node(0).status.missing()).containsExactly(fleet.node(1).name);
+            assertThat(fleet.node(2).status.kind()).isEqualTo(Kind.WITH_ALL);
+            fleet.nodes().forEach(n -> n.blockedSenders.clear());
             fleet.runFor(MINUTE);
-            assertThat(fleet.node(0).standing.kind()).isEqualTo(Kind.WITH_ALL);
+            assertThat(fleet.node(0).status.kind()).isEqualTo(Kind.WITH_ALL);
         } else {
             assertThat(saw(State.SUSPECT)).isTrue();
         }
@@ -209,20 +209,20 @@
     @Test
     void aLinkOneWayOnlyFailsNobody() {
         start(6, 7);
-        fleet.node(0).deafTo.addAll(List.of(1, 2));
+        fleet.node(0).blockedSenders.addAll(List.of(1, 2));
         fleet.runFor(5 * MINUTE);
         assertThat(saw(State.FAILED)).isFalse();
     }
 
     /** Refutation is what keeps a lossy member in: without it, the same minutes bring it down. */
     @ParameterizedTest
-    @EnumSource(value = Planted.class, names = {"NONE", "NO_REFUTATION"})
-    void aMemberThatLosesThreeInTenIsNotFailed(Planted planted) {
+    @EnumSource(value = PlantedFault.class, names = {"NONE", "NO_REFUTATION"})
+    void aMemberThatLosesThreeInTenIsNotFailed(PlantedFault planted) {
         start(20, 8);
-        fleet.plant(planted);
-        fleet.node(3).loss = 0.3;
+        fleet.setPlantedFault(planted);
+        fleet.node(3).lossRate = 0.3;
         fleet.runFor(10 * MINUTE);
-        assertThat(saw(State.FAILED)).isEqualTo(planted == Planted.NO_REFUTATION);
+        assertThat(saw(State.FAILED)).isEqualTo(planted == PlantedFault.NO_REFUTATION);
     }
 
     @Test
@@ -234,11 +234,11 @@
         assertThat(holding(stalled, s -> s == State.FAILED)).isEqualTo(19);
         sights.clear();
         fleet.runFor(1.5 * SECOND);
-        assertThat(stalled.standing.kind()).isEqualTo(Kind.SLOW);
-        assertThat(fleet.untilAgreed(10 * SECOND)).isNotNaN();
+        assertThat(stalled.status.kind()).isEqualTo(Kind.SLOW);
+        assertThat(fleet.runUntilAgreed(10 * SECOND)).isNotNaN();
         fleet.runFor(MINUTE);
         assertThat(sights).as("it accuses nobody").noneMatch(n -> n.state() == State.SUSPECT || n.state() == State.FAILED);
-        assertThat(fleet.nodes()).allMatch(n -> n.standing.kind() == Kind.WITH_ALL);
+        assertThat(fleet.nodes()).allMatch(n -> n.status.kind() == Kind.WITH_ALL);
     }
 
     @Test
@@ -250,7 +250,7 @@
             fleet.runFor(10 * SECOND);
         }
         assertThat(sights).filteredOn(n -> n.state() == State.FAILED).allMatch(n -> n.name().text().matches("p[012]"));
-        assertThat(fleet.untilAgreed(10 * SECOND)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(10 * SECOND)).isNotNaN();
     }
 
     /** A whole prober that is slow: its own losses make it doubt itself, and others stay. */
@@ -273,9 +273,9 @@
         long before = node.nonce();
         node.kill();
         fleet.runFor(300);
-        node.clockOffMs = clockOffMs;
+        node.clockOffsetMs = clockOffMs;
         node.start(List.of(fleet.node(3).address));
-        assertThat(fleet.untilAgreed(15 * SECOND)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(15 * SECOND)).isNotNaN();
         assertThat(node.nonce()).isNotEqualTo(before);
         assertThat(saw(State.FAILED)).isFalse();
         assertThat(node.membership().duplicate()).isNull();
@@ -302,10 +302,10 @@
         fleet.node(0).kill();
         fleet.node(1).kill();
         fleet.runFor(MINUTE);
-        fleet.nodes().forEach(n -> n.group = n.number % 2);
+        fleet.nodes().forEach(n -> n.partition = n.number % 2);
         fleet.runFor(MINUTE);
-        fleet.nodes().forEach(n -> n.group = 0);
-        assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
+        fleet.nodes().forEach(n -> n.partition = 0);
+        assertThat(fleet.runUntilAgreed(MINUTE)).isNotNaN();
     }
 
     /** That seven others were never heard of raises nobody: they may start at any time. The operator's file may, read again. */
@@ -318,7 +318,7 @@
         assertThat(first.fleetSize()).isEqualTo(9);
         assertThat(first.status().kind()).isEqualTo(Kind.STARTING);
         fleet.node(1).start(List.of());
-        assertThat(fleet.untilAgreed(5 * SECOND)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(5 * SECOND)).isNotNaN();
         runWithinTheWhole(MINUTE);
         assertThat(first.fleetSize()).isEqualTo(9);
         first.configChanged(fleet.nowMs(), MembershipConfig.defaults(2), List.of());
@@ -339,7 +339,7 @@
         fleet.runFor(SECOND);
         a.start(List.of(fleet.node(0).address));
         b.start(List.of(fleet.node(0).address));
-        assertThat(fleet.untilAgreed(10 * SECOND)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(10 * SECOND)).isNotNaN();
         assertThat(fleet.node(0).membership().lookup(a.name).address()).isEqualTo(a.address);
     }
 
@@ -360,7 +360,7 @@
     @Test
     void twoOfOneNameBothSaySoAndNeitherLoops() {
         start(6, 18);
-        SimulatedFleet.Node twin = fleet.twinOf(2);
+        SimulatedFleet.Node twin = fleet.createDuplicate(2);
         twin.start(List.of(fleet.node(0).address));
         fleet.runFor(MINUTE);
         assertThat(fleet.node(2).membership().duplicate()).isNotNull();
@@ -373,7 +373,7 @@
         twin.kill();
         fleet.runFor(3 * MINUTE);
         assertThat(fleet.node(2).membership().duplicate()).isNull();
-        assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(MINUTE)).isNotNaN();
     }
 
     /** The twin's end, proved or said by itself, is not the member's: its process that lives is counted throughout. */
@@ -381,30 +381,30 @@
     @CsvSource({"true, 27", "false, 28", "true, 29", "false, 30"})
     void theEndOfATwinTakesNobodyOutOfTheCount(boolean killed, long seed) {
         start(5, seed);
-        List<Node> twins = List.of(fleet.twinOf(1), fleet.twinOf(4));
+        List<Node> twins = List.of(fleet.createDuplicate(1), fleet.createDuplicate(4));
         twins.forEach(twin -> twin.start(List.of(fleet.node(0).address)));
         fleet.runFor(MINUTE);
-        twins.forEach(killed ? Node::kill : Node::leaveOrderly);
+        twins.forEach(killed ? Node::kill : Node::leave);
         runWithinTheWhole(3 * MINUTE);
-        assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
+        assertThat(fleet.runUntilAgreed(MINUTE)).isNotNaN();
         assertThat(fleet.nodes()).allMatch(n -> n.membership().fleetSize() == 5);
     }
 
     @Test
     void whoLeavesIsNotMissedAndNotCounted() {
         start(20, 19);
-        fleet.node(6).leaveOrderly();
-        assertThat(fleet.untilAgreed(5 * SECOND)).isNotNaN();
+        fleet.node(6).leave();
+        assertThat(fleet.runUntilAgreed(5 * SECOND)).isNotNaN();
         fleet.runFor(10 * SECOND);
         assertThat(saw(State.FAILED)).isFalse();
-        assertThat(fleet.nodes().stream().filter(n -> n.up)).allMatch(n -> n.membership().fleetSize() == 19 && n.standing.kind() == Kind.WITH_ALL);
+        assertThat(fleet.nodes().stream().filter(n -> n.up)).allMatch(n -> n.membership().fleetSize() == 19 && n.status.kind() == Kind.WITH_ALL);
     }
 
     @Test
     void anOperatorsWordEndsWhoFailed() {
         start(6, 20);
         Node cut = fleet.node(5);
-        cut.group = 1;
+        cut.partition = 1;
         fleet.runFor(2 * MINUTE);
         assertThat(fleet.node(0).membership().fleetSize()).isEqualTo(6);
         assertThat(fleet.node(0).membership().markEnded(fleet.nowMs(), fleet.node(1).name)).as("one that is there").isFalse();
@@ -412,16 +412,16 @@
         fleet.runFor(MINUTE);
         assertThat(holding(cut, s -> s == State.ENDED)).isEqualTo(5);
         assertThat(fleet.node(3).membership().fleetSize()).isEqualTo(5);
-        cut.group = 0; // it was wrong
-        assertThat(fleet.untilAgreed(MINUTE)).isNotNaN();
+        cut.partition = 0; // it was wrong
+        assertThat(fleet.runUntilAgreed(MINUTE)).isNotNaN();
     }
 
     @Test
     void aMemberAloneKnowsIt() {
         start(8, 21);
-        fleet.node(3).group = 1;
+        fleet.node(3).partition = 1;
         fleet.runFor(2 * MINUTE);
-        assertThat(fleet.node(3).standing.kind()).isEqualTo(Kind.ALONE);
+        assertThat(fleet.node(3).status.kind()).isEqualTo(Kind.ALONE);
         assertThat(fleet.node(3).membership().fleetSize()).isEqualTo(8);
     }
 
@@ -435,7 +435,7 @@
         for (MemberEntry news : List.of(mad, late)) {
             node.membership().receiver(fleet.nowMs()).gossip(fleet.node(0).address, fleet.node(0).membership().self(), List.of(news));
             fleet.runFor(20 * SECOND);
-            assertThat(fleet.untilAgreed(20 * SECOND)).isNotNaN();
+            assertThat(fleet.runUntilAgreed(20 * SECOND)).isNotNaN();
         }
     }
 
--- a/src/test/java/dappleseam/lab/FleetRunTest.java
+++ b/src/test/java/dappleseam/lab/FleetRunTest.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import dappleseam.lab.fleet.Planted;
+import dappleseam.lab.fleet.PlantedFault;
 import dappleseam.lab.proxies.Ports;
 import dappleseam.lab.report.FleetReport;
 import dappleseam.lab.scenario.FaultyScenarioException;
@@ -43,7 +43,7 @@
     @TempDir
     Path folder;
 
-    private FleetReport play(Path file, Planted planted) throws Exception {
+    private FleetReport play(Path file, PlantedFault planted) throws Exception {
         FleetScenario scenario = ScenarioReader.readFleet(file);
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         try (FleetRun run = new FleetRun(scenario, "exec " + java + " -XX:TieredStopAtLevel=1 -XX:+UseSerialGC -Xmx64m -cp "
@@ -58,14 +58,14 @@
      */
     @Test
     void processesKeepWhatIsPromisedAndTheRulesAndFailWithoutADefence() throws Exception {
-        Map<Planted, Future<FleetReport>> runs = new EnumMap<>(Planted.class);
+        Map<PlantedFault, Future<FleetReport>> runs = new EnumMap<>(PlantedFault.class);
         ExecutorService hands = Executors.newCachedThreadPool();
         try {
-            for (Planted planted : EnumSet.of(Planted.NONE, Planted.NO_REFUTATION, Planted.NO_INDIRECT_PROBE, Planted.NO_MERGE)) {
+            for (PlantedFault planted : EnumSet.of(PlantedFault.NONE, PlantedFault.NO_REFUTATION, PlantedFault.NO_INDIRECT_PROBE, PlantedFault.NO_MERGE)) {
                 runs.put(planted, hands.submit(() -> play(PLAYED, planted)));
             }
-            Future<FleetReport> leases = hands.submit(() -> play(LEASES, Planted.NONE));
-            FleetReport sound = runs.get(Planted.NONE).get();
+            Future<FleetReport> leases = hands.submit(() -> play(LEASES, PlantedFault.NONE));
+            FleetReport sound = runs.get(PlantedFault.NONE).get();
             assertThat(sound.broken()).as(sound.text()).isZero();
             JsonNode tree = new ObjectMapper().readTree(sound.json());
             assertThat(tree.path("play").path("rules").path("broken").asInt()).as(sound.text()).isZero();
@@ -77,9 +77,9 @@
             JsonNode lease = new ObjectMapper().readTree(held.json()).path("lease_last-list");
             assertThat(lease.path("holders").asInt()).as(held.text()).isGreaterThanOrEqualTo(4);
             assertThat(lease.path("without_holder_ms_most").asDouble()).as(held.text()).isLessThan(15_000);
-            assertThat(runs.get(Planted.NO_REFUTATION).get().text()).contains("NO_AGREEMENT");
-            assertThat(runs.get(Planted.NO_MERGE).get().text()).contains("NO_AGREEMENT");
-            assertThat(runs.get(Planted.NO_INDIRECT_PROBE).get().text()).contains("SUSPECTED_AGAIN");
+            assertThat(runs.get(PlantedFault.NO_REFUTATION).get().text()).contains("NO_AGREEMENT");
+            assertThat(runs.get(PlantedFault.NO_MERGE).get().text()).contains("NO_AGREEMENT");
+            assertThat(runs.get(PlantedFault.NO_INDIRECT_PROBE).get().text()).contains("SUSPECTED_AGAIN");
         } finally {
             hands.shutdownNow();
         }
@@ -88,21 +88,21 @@
     /** A holder that is cut off and a fleet in two halves, each write of a new holder late; and the same with faulty voters or a faulty store. */
     @Test
     void noTwoProcessesHoldALeaseAndAFaultInItIsSeen() throws Exception {
-        Map<Planted, Future<FleetReport>> runs = new EnumMap<>(Planted.class);
+        Map<PlantedFault, Future<FleetReport>> runs = new EnumMap<>(PlantedFault.class);
         ExecutorService hands = Executors.newCachedThreadPool();
         try {
-            for (Planted planted : EnumSet.of(Planted.NONE, Planted.FORGETFUL_VOTER, Planted.MINORITY, Planted.NO_FENCE)) {
+            for (PlantedFault planted : EnumSet.of(PlantedFault.NONE, PlantedFault.FORGETFUL_VOTER, PlantedFault.MINORITY, PlantedFault.NO_FENCE)) {
                 runs.put(planted, hands.submit(() -> play(SPLIT, planted)));
             }
-            FleetReport sound = runs.get(Planted.NONE).get();
+            FleetReport sound = runs.get(PlantedFault.NONE).get();
             assertThat(sound.broken()).as(sound.text()).isZero();
             JsonNode tree = new ObjectMapper().readTree(sound.json());
             assertThat(tree.path("lease_last-list").path("holders").asInt()).as(sound.text()).isGreaterThanOrEqualTo(2);
             assertThat(tree.path("store").path("refused").asInt()).as(sound.text()).isPositive();
             assertThat(tree.path("holder_cut").path("hits").asInt()).as(sound.text()).isEqualTo(1);
-            assertThat(runs.get(Planted.FORGETFUL_VOTER).get().text()).contains("last-list: lab-").contains(" held it from ");
-            assertThat(runs.get(Planted.MINORITY).get().text()).contains("last-list: lab-").contains(" held it from ");
-            assertThat(runs.get(Planted.NO_FENCE).get().text()).contains("the store took write ");
+            assertThat(runs.get(PlantedFault.FORGETFUL_VOTER).get().text()).contains("last-list: lab-").contains(" held it from ");
+            assertThat(runs.get(PlantedFault.MINORITY).get().text()).contains("last-list: lab-").contains(" held it from ");
+            assertThat(runs.get(PlantedFault.NO_FENCE).get().text()).contains("the store took write ");
         } finally {
             hands.shutdownNow();
         }
@@ -123,17 +123,17 @@
     /** One member that lies about caches moves nobody; four of six do, or the check could not fail. */
     @Test
     void aLiarConvictsNoCache() throws Exception {
-        Map<Planted, Future<FleetReport>> runs = new EnumMap<>(Planted.class);
+        Map<PlantedFault, Future<FleetReport>> runs = new EnumMap<>(PlantedFault.class);
         ExecutorService hands = Executors.newCachedThreadPool();
         try {
-            for (Planted planted : EnumSet.of(Planted.NONE, Planted.LIAR, Planted.LIARS)) {
+            for (PlantedFault planted : EnumSet.of(PlantedFault.NONE, PlantedFault.LIAR, PlantedFault.LIARS)) {
                 runs.put(planted, hands.submit(() -> play(LIES, planted)));
             }
-            double usual = shareAtAccused(runs.get(Planted.NONE).get());
-            FleetReport lied = runs.get(Planted.LIAR).get();
+            double usual = shareAtAccused(runs.get(PlantedFault.NONE).get());
+            FleetReport lied = runs.get(PlantedFault.LIAR).get();
             assertThat(lied.broken()).as(lied.text()).isZero();
             assertThat(shareAtAccused(lied)).as(lied.text()).isGreaterThan(0.8 * usual);
-            FleetReport believed = runs.get(Planted.LIARS).get();
+            FleetReport believed = runs.get(PlantedFault.LIARS).get();
             assertThat(believed.text()).contains("FALSE_SIGNAL");
             assertThat(shareAtAccused(believed)).as(believed.text()).isLessThan(0.8 * usual);
         } finally {
@@ -146,8 +146,8 @@
     void sharesComeToTheWholeThroughASplit() throws Exception {
         ExecutorService hands = Executors.newCachedThreadPool();
         try {
-            Future<FleetReport> sound = hands.submit(() -> play(SHARES, Planted.NONE));
-            Future<FleetReport> blind = hands.submit(() -> play(SHARES, Planted.NO_RATES));
+            Future<FleetReport> sound = hands.submit(() -> play(SHARES, PlantedFault.NONE));
+            Future<FleetReport> blind = hands.submit(() -> play(SHARES, PlantedFault.NO_RATES));
             assertThat(sound.get().broken()).as(sound.get().text()).isZero();
             assertThat(new ObjectMapper().readTree(sound.get().json()).path("play").path("rules").path("broken").asInt()).as(sound.get().text()).isZero();
             assertThat(blind.get().text()).contains("SHARES_OVER_WHOLE");
--- a/src/test/java/dappleseam/lab/fleet/ExplorationTest.java
+++ b/src/test/java/dappleseam/lab/fleet/ExplorationTest.java
@@ -8,8 +8,8 @@
 class ExplorationTest {
     @Test
     void noOrderOfEventsBreaksAPromise() {
-        Exploration.Found found = new Exploration(5, 2, true, Planted.NONE).run();
-        assertThat(found.broken()).isNull();
+        MembershipExploration.Result found = new MembershipExploration(5, 2, true, PlantedFault.NONE).run();
+        assertThat(found.violation()).isNull();
         assertThat(found.states()).isGreaterThan(800);
     }
 
@@ -17,12 +17,12 @@
     @Test
     void noOrderOfLateStartsTakesMoreThanTheWhole() {
         for (int early = 1; early < 3; early++) {
-            assertThat(new Exploration(early, 5, 2, true, Planted.NONE).run().broken()).isNull();
+            assertThat(new MembershipExploration(early, 5, 2, true, PlantedFault.NONE).run().violation()).isNull();
         }
     }
 
     @Test
     void aDefenceTakenOutIsFound() {
-        assertThat(new Exploration(3, 2, true, Planted.NO_REFUTATION).run().broken()).contains("in the quiet after");
+        assertThat(new MembershipExploration(3, 2, true, PlantedFault.NO_REFUTATION).run().violation()).contains("in the quiet after");
     }
 }
--- a/src/test/java/dappleseam/lab/fleet/LeaseCheckerTest.java
+++ b/src/test/java/dappleseam/lab/fleet/LeaseCheckerTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import dappleseam.fleet.lease.Token;
-import dappleseam.lab.fleet.LeaseChecker.Found;
-import dappleseam.lab.fleet.LeaseChecker.Line;
+import dappleseam.lab.fleet.LeaseChecker.Result;
+import dappleseam.lab.fleet.LeaseChecker.LeaseRecord;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -14,21 +14,21 @@
 class LeaseCheckerTest {
     private static final double RUNS = Double.POSITIVE_INFINITY;
 
-    private static Found check(Line... lines) {
+    private static Result check(LeaseRecord... lines) {
         return LeaseChecker.check(List.of(lines)).get("l");
     }
 
-    private static Line held(String process, long round, double ms, double until) {
-        return new Line(process, "l", round, ms, until, RUNS);
+    private static LeaseRecord held(String process, long round, double ms, double until) {
+        return new LeaseRecord(process, "l", round, ms, until, RUNS);
     }
 
-    private static Line lost(String process, long round, double ms) {
-        return new Line(process, "l", round, ms, Double.NaN, RUNS);
+    private static LeaseRecord lost(String process, long round, double ms) {
+        return new LeaseRecord(process, "l", round, ms, Double.NaN, RUNS);
     }
 
     @Test
     void oneAfterTheOtherIsSound() {
-        Found found = check(held("a", 1, 0, 100), held("a", 1, 50, 150), held("b", 2, 160, 260), lost("b", 2, 200), held("a", 3, 210, 300));
+        Result found = check(held("a", 1, 0, 100), held("a", 1, 50, 150), held("b", 2, 160, 260), lost("b", 2, 200), held("a", 3, 210, 300));
         assertThat(found.breaches()).isEmpty();
         assertThat(found.gapsMs()).containsExactly(10.0, 10.0);
     }
@@ -46,25 +46,25 @@
 
     @Test
     void aStoreThatTakesWhatIsOlderIsSeen() {
-        assertThat(LeaseChecker.writes(List.of(write(1, 1, true), write(1, 2, true), write(2, 1, true), write(1, 3, false)))).isEmpty();
-        assertThat(LeaseChecker.writes(List.of(write(2, 1, true), write(1, 3, true)))).hasSize(1);
-        assertThat(LeaseChecker.writes(List.of(write(2, 2, true), write(2, 1, true)))).hasSize(1);
+        assertThat(LeaseChecker.checkWrites(List.of(write(1, 1, true), write(1, 2, true), write(2, 1, true), write(1, 3, false)))).isEmpty();
+        assertThat(LeaseChecker.checkWrites(List.of(write(2, 1, true), write(1, 3, true)))).hasSize(1);
+        assertThat(LeaseChecker.checkWrites(List.of(write(2, 2, true), write(2, 1, true)))).hasSize(1);
     }
 
     @Test
     void theTimeWithoutAHolderIsToldByWhatHitIt() {
-        Found found = check(held("a", 1, 0, 100), held("b", 2, 130, 200), held("c", 3, 260, 300));
-        Map<String, LeaseChecker.Absence> absences = LeaseChecker.absences(List.of(new LeaseChecker.Hit("cut", 50, "a"), new LeaseChecker.Hit("stop", 150, "b"),
-                new LeaseChecker.Hit("stop", 270, "c")), found.holdings(), Set.of("stop"));
-        assertThat(absences.get("cut").withoutMs()).containsExactly(30.0);
-        assertThat(absences.get("cut").sinceHitMs()).containsExactly(80.0);
-        assertThat(absences.get("stop").withoutMs()).containsExactly(110.0);
-        assertThat(absences.get("stop").withoutNext()).isEqualTo(1);
+        Result found = check(held("a", 1, 0, 100), held("b", 2, 130, 200), held("c", 3, 260, 300));
+        Map<String, LeaseChecker.TakeoverTimes> absences = LeaseChecker.takeoverTimes(List.of(new LeaseChecker.HolderFault("cut", 50, "a"), new LeaseChecker.HolderFault("stop", 150, "b"),
+                new LeaseChecker.HolderFault("stop", 270, "c")), found.holdPeriods(), Set.of("stop"));
+        assertThat(absences.get("cut").withoutHolderMs()).containsExactly(30.0);
+        assertThat(absences.get("cut").sinceFaultMs()).containsExactly(80.0);
+        assertThat(absences.get("stop").withoutHolderMs()).containsExactly(110.0);
+        assertThat(absences.get("stop").notTakenOver()).isEqualTo(1);
     }
 
     @Test
     void whoWasKilledActsNoMore() {
-        assertThat(check(new Line("a", "l", 1, 0, 100, 40), held("b", 2, 60, 160)).breaches()).isEmpty();
+        assertThat(check(new LeaseRecord("a", "l", 1, 0, 100, 40), held("b", 2, 60, 160)).breaches()).isEmpty();
     }
 
     @Test
--- a/src/test/java/dappleseam/lab/fleet/LeaseCrowdTest.java
+++ b/src/test/java/dappleseam/lab/fleet/LeaseCrowdTest.java
@@ -13,10 +13,10 @@
 
     @Test
     void twentyTimesTheCandidatesSendNoMoreForALease() {
-        LeaseCrowd few = new LeaseCrowd(10, 1, 0.1, 1);
-        LeaseCrowd many = new LeaseCrowd(200, 1, 0.1, 1);
-        double quietFew = figure(few.storm(6), "10%:");
-        String told = many.storm(6);
+        LeaseSimulation few = new LeaseSimulation(10, 1, 0.1, 1);
+        LeaseSimulation many = new LeaseSimulation(200, 1, 0.1, 1);
+        double quietFew = figure(few.measureDeaths(6), "10%:");
+        String told = many.measureDeaths(6);
         assertThat(figure(told, "10%:")).as(told).isLessThan(1.5 * quietFew);
         assertThat(figure(told, "held,")).as(told).isLessThan(60);
         assertThat(few.breaches() + many.breaches()).isZero();
@@ -24,8 +24,8 @@
 
     @Test
     void leasesSpreadAndOnlyThoseOfOneThatDiesMove() {
-        LeaseCrowd crowd = new LeaseCrowd(20, 100, 0, 1);
-        String told = crowd.spread();
+        LeaseSimulation crowd = new LeaseSimulation(20, 100, 0, 1);
+        String told = crowd.measureSpread();
         assertThat(told).endsWith("0 without a holder");
         assertThat(figure(told, "dies:")).as(told).isEqualTo(figure(told, "one with"));
         assertThat(figure(told, "it comes back:")).as(told).isZero();
--- a/src/test/java/dappleseam/lab/fleet/ViewCheckerTest.java
+++ b/src/test/java/dappleseam/lab/fleet/ViewCheckerTest.java
@@ -5,11 +5,11 @@
 import dappleseam.fleet.membership.MemberEntry.State;
 import dappleseam.lab.fleet.ViewChecker.Bounds;
 import dappleseam.lab.fleet.ViewChecker.Breach;
-import dappleseam.lab.fleet.ViewChecker.Counted;
-import dappleseam.lab.fleet.ViewChecker.Promise;
+import dappleseam.lab.fleet.ViewChecker.Divisor;
+import dappleseam.lab.fleet.ViewChecker.Guarantee;
 import dappleseam.lab.fleet.ViewChecker.Records;
 import dappleseam.lab.fleet.ViewChecker.Verdict;
-import dappleseam.lab.fleet.ViewChecker.Word;
+import dappleseam.lab.fleet.ViewChecker.CacheVerdict;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -18,13 +18,13 @@
 class ViewCheckerTest {
     private static final Bounds BOUNDS = new Bounds(10, 10, 1000, 10);
 
-    private final Truth truth = new Truth();
+    private final GroundTruth truth = new GroundTruth();
     private final Records records = new Records();
 
     @BeforeEach
     void threeThatKnowEachOther() {
         for (int i = 1; i <= 3; i++) {
-            truth.began("p" + i, i, 0);
+            truth.processStarted("p" + i, i, 0);
         }
         for (int viewer = 1; viewer <= 3; viewer++) {
             for (int other = 1; other <= 3; other++) {
@@ -32,39 +32,39 @@
                     see(1, viewer, other, State.ALIVE);
                 }
             }
-            records.counts().add(new Counted(1, viewer, 3));
+            records.fleetSizes().add(new Divisor(1, viewer, 3));
         }
     }
 
     private void see(double ms, int viewer, int other, State state) {
-        records.sights().add(new Sight(ms, viewer, "p" + other, other, 0, state));
+        records.viewChanges().add(new ViewChange(ms, viewer, "p" + other, other, 0, state));
     }
 
-    private List<Promise> broken() {
+    private List<Guarantee> broken() {
         return ViewChecker.check(truth, records, BOUNDS).stream().map(Breach::promise).distinct().toList();
     }
 
     @Test
     void aSoundFleetPasses() {
-        truth.ended("p3", 500);
+        truth.processEnded("p3", 500);
         see(505, 1, 3, State.FAILED);
         see(506, 2, 3, State.FAILED);
         assertThat(broken()).isEmpty();
-        assertThat(ViewChecker.right(truth, records.sights(), 503)).containsExactly(0, 2);
-        assertThat(ViewChecker.right(truth, records.sights(), 505)).containsExactly(1, 2);
+        assertThat(ViewChecker.countCorrectViews(truth, records.viewChanges(), 503)).containsExactly(0, 2);
+        assertThat(ViewChecker.countCorrectViews(truth, records.viewChanges(), 505)).containsExactly(1, 2);
     }
 
     @Test
     void whoNeverNoticesADeathIsLate() {
-        truth.ended("p3", 500);
+        truth.processEnded("p3", 500);
         see(505, 1, 3, State.FAILED);
-        assertThat(broken()).containsExactly(Promise.LATE, Promise.NO_AGREEMENT);
+        assertThat(broken()).containsExactly(Guarantee.LATE, Guarantee.NO_AGREEMENT);
     }
 
     @Test
     void whoStoodStillMayBeLate() {
-        truth.ended("p3", 500);
-        truth.troubled("p2", 495, 520);
+        truth.processEnded("p3", 500);
+        truth.addFault("p2", 495, 520);
         see(505, 1, 3, State.FAILED);
         see(530, 2, 3, State.FAILED);
         assertThat(broken()).isEmpty();
@@ -74,18 +74,18 @@
     void whoFailsAGoodOneIsSeen() {
         see(500, 1, 2, State.FAILED);
         see(501, 1, 2, State.ALIVE);
-        assertThat(broken()).containsExactly(Promise.FALSE_FAILURE);
+        assertThat(broken()).containsExactly(Guarantee.FALSE_FAILURE);
     }
 
     @Test
     void failingOneWhileLinksWereBadIsAllowedButSayingItEndedIsNot() {
-        truth.troubled(null, 400, 495);
+        truth.addFault(null, 400, 495);
         see(500, 1, 2, State.FAILED);
         see(501, 1, 2, State.ALIVE);
         assertThat(broken()).isEmpty();
         see(502, 1, 2, State.ENDED);
         see(503, 1, 2, State.ALIVE);
-        assertThat(broken()).containsExactly(Promise.FALSE_END);
+        assertThat(broken()).containsExactly(Guarantee.FALSE_END);
     }
 
     @Test
@@ -97,53 +97,53 @@
         assertThat(broken()).isEmpty();
         see(504, 1, 2, State.SUSPECT);
         see(504.5, 1, 2, State.ALIVE);
-        assertThat(broken()).containsExactly(Promise.SUSPECTED_AGAIN);
+        assertThat(broken()).containsExactly(Guarantee.SUSPECTED_AGAIN);
     }
 
     @Test
     void whoRaisesTheDeadIsSeen() {
-        truth.ended("p3", 500);
+        truth.processEnded("p3", 500);
         see(505, 1, 3, State.FAILED);
         see(505, 2, 3, State.FAILED);
         see(600, 1, 3, State.ALIVE);
         see(601, 1, 3, State.FAILED);
-        assertThat(broken()).containsExactly(Promise.RESURRECTION);
+        assertThat(broken()).containsExactly(Guarantee.RESURRECTION);
     }
 
     @Test
     void whoHoldsTheProcessBeforeAtTheEndIsSeen() {
-        truth.ended("p3", 500);
-        truth.began("p3", 33, 501);
-        records.sights().add(new Sight(505, 1, "p3", 33, 0, State.ALIVE));
+        truth.processEnded("p3", 500);
+        truth.processStarted("p3", 33, 501);
+        records.viewChanges().add(new ViewChange(505, 1, "p3", 33, 0, State.ALIVE));
         see(505, 2, 3, State.FAILED);
-        records.sights().add(new Sight(505, 33, "p1", 1, 0, State.ALIVE));
-        records.sights().add(new Sight(505, 33, "p2", 2, 0, State.ALIVE));
-        assertThat(broken()).containsExactly(Promise.NO_AGREEMENT);
+        records.viewChanges().add(new ViewChange(505, 33, "p1", 1, 0, State.ALIVE));
+        records.viewChanges().add(new ViewChange(505, 33, "p2", 2, 0, State.ALIVE));
+        assertThat(broken()).containsExactly(Guarantee.NO_AGREEMENT);
     }
 
     @Test
     void halvesThatEachTakeTheWholeAreSeen() {
-        truth.troubled(null, 100, 900);
-        records.counts().add(new Counted(500, 1, 1));
-        assertThat(broken()).containsExactly(Promise.MORE_THAN_WHOLE);
+        truth.addFault(null, 100, 900);
+        records.fleetSizes().add(new Divisor(500, 1, 1));
+        assertThat(broken()).containsExactly(Guarantee.MORE_THAN_WHOLE);
     }
 
     @Test
     void aNewProcessMayComeOnTopForTheTimeOfARumour() {
-        truth.began("p4", 4, 500);
-        records.counts().add(new Counted(501, 4, 4));
+        truth.processStarted("p4", 4, 500);
+        records.fleetSizes().add(new Divisor(501, 4, 4));
         for (int i = 1; i <= 3; i++) {
             see(505, i, 4, State.ALIVE);
             see(505, 4, i, State.ALIVE);
-            records.counts().add(new Counted(505, i, 4));
+            records.fleetSizes().add(new Divisor(505, i, 4));
         }
         assertThat(broken()).isEmpty();
-        records.counts().add(new Counted(600, 2, 3));
-        assertThat(broken()).containsExactly(Promise.MORE_THAN_WHOLE);
+        records.fleetSizes().add(new Divisor(600, 2, 3));
+        assertThat(broken()).containsExactly(Guarantee.MORE_THAN_WHOLE);
     }
 
     private void say(double ms, int viewer, Verdict verdict) {
-        records.words().add(new Word(ms, viewer, verdict, "cache"));
+        records.verdicts().add(new CacheVerdict(ms, viewer, verdict, "cache"));
     }
 
     @Test
@@ -153,7 +153,7 @@
         say(600, 2, Verdict.CLEARED);
         assertThat(broken()).isEmpty();
         say(500, 2, Verdict.CONVICTED); // by its own sight alone
-        assertThat(broken()).containsExactly(Promise.FALSE_SIGNAL);
+        assertThat(broken()).containsExactly(Guarantee.FALSE_SIGNAL);
     }
 
     @Test
@@ -163,6 +163,6 @@
         say(30_000, 1, Verdict.CONVICTED);
         assertThat(broken()).isEmpty();
         say(40_000, 3, Verdict.CONVICTED);
-        assertThat(broken()).containsExactly(Promise.FALSE_SIGNAL);
+        assertThat(broken()).containsExactly(Guarantee.FALSE_SIGNAL);
     }
 }
