--- a/src/main/java/dappleseam/lab/fleet/Disturbances.java
+++ b/src/main/java/dappleseam/lab/fleet/Disturbances.java
@@ -4,14 +4,17 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** The times in which a process was not run, or doubted itself because of that: what is done to it meanwhile shows nothing. */
+/**
+ * The periods in which a process was stalled, or had low local health as a consequence. A fault injected during such a period proves nothing
+ * about the process's failure detection.
+ */
 public final class Disturbances {
     private record Span(double fromMs, double toMs) {}
 
     private final double doubtMs;
     private final List<Span> spans = new ArrayList<>();
 
-    /** {@code doubtMs}: for how long a process doubts itself after it stood still. */
+    /** {@code graceMs}: for how long a process has low local health after a stall. */
     public Disturbances(double doubtMs) {
         this.doubtMs = doubtMs;
     }
@@ -20,7 +23,7 @@
         spans.add(new Span(untilMs - forMs, untilMs + doubtMs));
     }
 
-    /** How much of that time was disturbed. */
+    /** For how much of the given period the process was stalled or had low local health; overlapping stalls count once. */
     public double within(double fromMs, double toMs) {
         double disturbed = 0;
         double counted = fromMs;
--- a/src/main/java/dappleseam/lab/fleet/Heartbeats.java
+++ b/src/main/java/dappleseam/lab/fleet/Heartbeats.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A baseline: each tells each that it is there, once a period, and holds for failed whom it has not heard for five. */
+/** A baseline: all-to-all heartbeats, one per period. A member that has not been heard from for five periods is considered failed. */
 final class Heartbeats implements Subject, MembershipProtocol {
     private static final double SILENT_PERIODS = 5;
 
@@ -65,12 +65,12 @@
 
     @Override
     public void refused(double nowMs, InetSocketAddress peer) {
-        // nobody is called
+        // heartbeats are not sent over connected sockets, so nothing is ever refused
     }
 
     @Override
     public void leaving(double nowMs) {
-        // it is missed soon enough
+        // the missing heartbeats show it soon enough
     }
 
     @Override
--- a/src/main/java/dappleseam/lab/fleet/SimulatedTime.java
+++ b/src/main/java/dappleseam/lab/fleet/SimulatedTime.java
@@ -2,7 +2,7 @@
 
 import java.util.PriorityQueue;
 
-/** Events in simulated time, in the order of their times and, of one time, in that in which they were planned. Times in ms. Not for several threads. */
+/** A discrete-event simulation: runs events in the order of their times, and events of the same time in the order in which they were scheduled. Times are in ms. Not thread-safe. */
 public abstract class SimulatedTime {
     protected double now;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -24,10 +24,12 @@
         return now;
     }
 
+    /** Schedules an action to run after that many ms of simulated time. */
     public final void after(double ms, Runnable run) {
         events.add(new Event(now + ms, count++, run));
     }
 
+    /** Runs all events up to the given time and sets the clock to it. */
     public final void runUntil(double ms) {
         while (!events.isEmpty() && events.peek().at <= ms) {
             Event event = events.poll();
--- a/src/main/java/dappleseam/lab/fleet/Sizes.java
+++ b/src/main/java/dappleseam/lab/fleet/Sizes.java
@@ -12,16 +12,16 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-/** Figures of a module at one size, over seeds from 1 on, played at once. Simulated, a period of 1 s. */
+/** Measures a membership module at one fleet size in simulated time, with a probe period of 1 s, over the seeds 1 to {@code runs} in parallel. */
 public record Sizes(Module module, int members, int runs, double runningMs) {
     private static final double SECOND = 1000;
     private static final double MINUTE = 60 * SECOND;
-    /** Time in ms in which all know each other and the news of that has been told. */
+    /** Time in ms after which all members know each other and the gossip about their starts has ended. */
     private static final double QUIET_MS = 3 * MINUTE;
-    /** Members from which on that takes too long: there, all know each other from the start, and what is left of it is over after so many ms. */
+    /** In fleets larger than this, that would take too long: their views are preloaded, and the remaining gossip ends within {@code PRELOADED_START_MS}. */
     private static final int NEWS_MOST = 2000;
     private static final double KNOWN_MS = 20 * SECOND;
-    /** How long a member stands still that does so by turns, in ms; {@code runningMs} is how long it does not. */
+    /** How long a member that is stopped periodically is stopped each time, in ms; it runs for {@code runningMs} in between. */
     private static final double STOPPED_MS = 4 * SECOND;
 
     private SimulatedFleet begun(long seed) {
@@ -40,7 +40,7 @@
         return String.format(Locale.ROOT, "%-20s N %5d  ", module, members) + String.format(Locale.ROOT, what, of);
     }
 
-    /** One dies, so many times: who knows when; and what a quiet member sends. */
+    /** Kills one member after another: how long detection takes, and how much an idle member sends. */
     public String deaths(int times) {
         List<Double> first = new ArrayList<>();
         List<Double> spread = new ArrayList<>();
@@ -72,11 +72,11 @@
                 }
             }
         });
-        return line("quiet %.1f datagrams and %.0f bytes a second; one dies (%d times): first knows after %.1f s median, %.1f s 99 of 100; last %.1f and %.1f s later; log2 N %.1f",
+        return line("idle: %.1f datagrams and %.0f bytes per second; one member dies (%d times): first detection after %.1f s median, %.1f s p99; last detection %.1f s median, %.1f s p99 after the first; log2 N %.1f",
                 wire[0], wire[1], first.size(), Ranked.at(first, 0.5), Ranked.at(first, 0.99), Ranked.at(spread, 0.5), Ranked.at(spread, 0.99), Math.log(members) / Math.log(2));
     }
 
-    /** That share dies at one instant: time until a half, all but one of a hundred, and all of what the living hold of the dead is right. */
+    /** Kills a share of the members at one instant: time until half, 99 % and all of the survivors' entries for the dead members are correct. */
     public String together(double share) {
         List<Double> half = new ArrayList<>();
         List<Double> most = new ArrayList<>();
@@ -120,11 +120,11 @@
                 wire[0] += (fleet.datagrams - datagrams) / ((fleet.nowMs() - from) / SECOND) / (members - dead) / runs;
             }
         });
-        return line("%.0f%% die at once: half of what is held of them is right after %.1f s median, 99 of 100 after %.1f s, all after %.1f s median, %.1f s at most of %d; %.1f datagrams a second meanwhile; living held for failed %.1f a run",
+        return line("%.0f%% die at once: half of the entries for them are correct after %.1f s median, 99 %% after %.1f s, all after %.1f s median, %.1f s at most of %d; %.1f datagrams per second meanwhile; %.1f survivors considered failed per run",
                 100 * share, Ranked.at(half, 0.5), Ranked.at(most, 0.5), Ranked.at(all, 0.5), Ranked.at(all, 1), runs, wire[0], wronged.stream().mapToDouble(w -> w).average().orElse(0));
     }
 
-    /** Cut in two for two minutes: time until all views are right again. */
+    /** Partitions the fleet into two halves for two minutes: time until all views are correct again. */
     public String heal() {
         List<Double> healed = new ArrayList<>();
         IntStream.rangeClosed(1, runs).parallel().forEach(seed -> {
@@ -137,10 +137,10 @@
                 healed.add(ms / SECOND);
             }
         });
-        return line("a split in two heals in %.1f s median, %.1f s at most of %d", Ranked.at(healed, 0.5), Ranked.at(healed, 1), runs);
+        return line("a partition into two halves heals in %.1f s median, %.1f s at most of %d", Ranked.at(healed, 0.5), Ranked.at(healed, 1), runs);
     }
 
-    /** Nobody dies: how often a view holds for failed who runs; a share is lost everywhere, or a share of the members stands still by turns. */
+    /** Kills no member: how often a view considers a running member failed while datagrams are lost at that rate and that share of the members is stopped periodically. */
     public String falseFailures(double loss, double stopping, double minutes) {
         double[] events = new double[runs];
         double[] subjects = new double[runs];
@@ -155,7 +155,7 @@
             Set<Integer> failed = new HashSet<>();
             fleet.watch((now, viewer, before, after) -> {
                 int number = Integer.parseInt(after.name().text().substring(1));
-                // Those that stand still are away; what counts is what is said of those that are not.
+                // Stopped members are unreachable: only verdicts about the others are false.
                 if (after.state() == State.FAILED && number >= stopped) {
                     events[turn]++;
                     failed.add(number);
@@ -165,7 +165,7 @@
             subjects[turn] = failed.size();
         });
         double hours = runs * minutes / 60;
-        return line("loss %.0f%%, standing still 4 s and running %.1f s by turns %.0f%%: false failures in views an hour %.1f, members ever failed %.1f a run (%d runs of %.0f min)",
+        return line("loss %.0f%%, stopped for 4 s and running for %.1f s by turns %.0f%%: %.1f false failures in views per hour, %.1f members ever considered failed per run (%d runs of %.0f min)",
                 100 * loss, runningMs / SECOND, 100 * stopping, Arrays.stream(events).sum() / hours, Arrays.stream(subjects).average().orElse(0), runs, minutes);
     }
 
--- a/src/main/java/dappleseam/lab/fleet/Subject.java
+++ b/src/main/java/dappleseam/lab/fleet/Subject.java
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** What the simulated fleet drives: the membership that is shipped, or a baseline to measure it against. */
+/** The membership implementation that a simulated fleet runs: the shipped one, or a baseline to compare it with. */
 public interface Subject {
     void begin(double nowMs, List<InetSocketAddress> known);
 
@@ -19,10 +19,10 @@
 
     void leaving(double nowMs);
 
-    /** What it holds of that member, or null. */
+    /** The view's entry for a member, or null. */
     MemberEntry of(MemberName name);
 
-    /** The module as it is shipped. */
+    /** The shipped membership module. */
     record Shipped(Membership membership) implements Subject {
         @Override
         public void begin(double nowMs, List<InetSocketAddress> known) {
--- a/src/main/java/dappleseam/lab/fleet/Subsets.java
+++ b/src/main/java/dappleseam/lab/fleet/Subsets.java
@@ -14,20 +14,21 @@
 import java.util.SplittableRandom;
 
 /**
- * Which of so many copies of a hot key each proxy asks, by the shipped places and by baselines written here: by chance, by rendezvous (Thaler, Ravishankar 1998) and by deterministic subsetting
- * (Google's SRE book, chapter 20) with subsets of one. Proxies' traffic is skewed, some have twenty times others'.
+ * Measures which of several copies of a hot key each proxy uses, with the shipped {@link TrafficPosition} and with the baselines implemented here: random choice, rendezvous hashing
+ * (Thaler, Ravishankar 1998) and deterministic subsetting (Google's SRE book, chapter 20) with subsets of one. Traffic is skewed: some proxies have twenty times as much as others.
  */
 public record Subsets(int proxies, int locations, int copies, long seed) {
-    /** How a proxy finds its copy. */
+    /** How a proxy selects its copy. */
     public enum Way { CHANCE, RENDEZVOUS, DETERMINISTIC,
-        /** By the shipped places, all on one line, as before locations were told. */
+        /** The shipped traffic positions computed over all proxies, ignoring locations, as before proxies announced their locations. */
         ONE_LINE,
-        /** The shipped way. */
+        /** The shipped strategy: traffic positions within each location. */
         PLACES
     }
 
     /**
-     * {@code peak}: the busiest copy's traffic over the mean; {@code near}: the same of the worst location, where each has as many copies of its own; {@code proxiesPeak}: by proxies; {@code moved}: proxies that ask another copy once one proxy has come, or gone, in the mean.
+     * {@code peak}: the busiest copy's traffic relative to the mean; {@code locationPeak}: the same at the worst location, where each location has that many copies of its own;
+     * {@code proxyCountPeak}: the same by number of proxies instead of traffic; {@code moved}: mean number of proxies that change their copy when one proxy joins or leaves.
      */
     public record Found(double peak, double near, double proxiesPeak, double moved) {}
 
@@ -79,7 +80,7 @@
         return Hash.mix(Hash.mix(name.hashCode()) + copy);
     }
 
-    /** Clients in rounds of as many as there are copies; each round deals them in an order of its own. */
+    /** Divides the clients into rounds of as many clients as there are copies; each round shuffles the copies differently. */
     private int deterministic(int client) {
         List<Integer> order = new ArrayList<>();
         for (int copy = 0; copy < copies; copy++) {
--- a/src/main/java/dappleseam/lab/fleet/Truth.java
+++ b/src/main/java/dappleseam/lab/fleet/Truth.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** What was really done to the processes of a fleet and to the links between them; times in ms of one clock. */
+/** The actual lifetimes of a fleet's processes and the faults injected into them and their links. All times are in ms of one clock. */
 public final class Truth {
-    /** One process of a member; {@code toMs} is infinite while it runs. */
+    /** One process of a member; {@code toMs} is infinite while it is running. */
     public record Process(String member, long nonce, double fromMs, double toMs) {
         public boolean runsAt(double ms) {
             return fromMs <= ms && ms < toMs;
         }
     }
 
-    /** A time in which that member was stopped, or its links were bad; {@code member} is null for the links of all. */
+    /** A period in which a member was stopped or its links were faulty; {@code member} is null if all links were affected. */
     public record Trouble(String member, double fromMs, double toMs) {
         boolean touches(String name, double from, double to) {
             return (member == null || member.equals(name)) && fromMs < to && toMs > from;
@@ -28,7 +28,7 @@
         processes.put(nonce, new Process(member, nonce, ms, Double.POSITIVE_INFINITY));
     }
 
-    /** One whose end is known already; infinite for one that ran on. */
+    /** Adds a process whose end is already known; {@code toMs} is infinite if it kept running. */
     public synchronized void began(String member, long nonce, double fromMs, double toMs) {
         processes.put(nonce, new Process(member, nonce, fromMs, toMs));
     }
@@ -49,12 +49,12 @@
         return processes.get(nonce);
     }
 
-    /** Whether nothing was wrong with that member in that time. */
+    /** Whether no fault affected the member in the given period. */
     public synchronized boolean isCalm(String member, double fromMs, double toMs) {
         return troubles.stream().noneMatch(t -> t.touches(member, fromMs, toMs));
     }
 
-    /** Whether that process had so long a time without any trouble since its start: time to be known to all. */
+    /** Whether, since its start, the process has had an uninterrupted period of that length without any fault: enough for all members to learn of it. */
     synchronized boolean isKnown(Process process, double ms, double spanMs) {
         List<Double> from = new ArrayList<>(List.of(process.fromMs));
         troubles.forEach(t -> from.add(t.toMs));
@@ -62,7 +62,7 @@
                 && troubles.stream().noneMatch(t -> t.fromMs < u + spanMs && t.toMs > u));
     }
 
-    /** The process of that member that runs then, or null. */
+    /** The member's process that was running at the given time, or null. */
     public synchronized Process runningAt(String member, double ms) {
         return processes.values().stream().filter(p -> p.member.equals(member) && p.runsAt(ms)).findFirst().orElse(null);
     }
