--- a/src/main/java/dappleseam/lab/fleet/LeaseChecker.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseChecker.java
@@ -10,29 +10,29 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Proves from the processes' own records, on one machine's monotonic clock, that no two hold a lease at an instant, and that tokens grow. Free of I/O. */
+/** Checks from the processes' own records, on one machine's monotonic clock, that no two processes hold a lease at the same time and that tokens increase. Performs no I/O. */
 public final class LeaseChecker {
-    /** One line of a process's record: it holds until then, or ({@code untilMs} NaN) lost it. {@code endedMs}: when that process was taken down. */
+    /** One line of a process's record: it holds the lease until {@code untilMs}, or has lost it if that is NaN. {@code endedMs}: when the process was taken down. */
     public record Line(String process, String lease, long round, double ms, double untilMs, double endedMs) {}
 
-    /** A time in which one process might act. */
+    /** A period in which one process held the lease and could act on it. */
     public record Holding(String process, long round, double fromMs, double toMs) {}
 
-    /** What was found: breaches in words, the times without a holder in ms, each from the end of one to the begin of the next. */
+    /** The result for one lease: descriptions of the breaches, and the gaps without a holder in ms, each from the end of one period to the start of the next. */
     public record Found(List<String> breaches, List<Holding> holdings, List<Double> gapsMs) {}
 
-    /** One write as the store judged it. */
+    /** One write, and whether the store accepted it. */
     public record Write(double ms, Token token, long number, boolean taken) {}
 
-    /** A holder was hit: how, when, which. {@code process}: as in {@link Line}. */
+    /** A fault injected into a holder. {@code process}: as in {@link Line}. */
     public record Hit(String how, double ms, String process) {}
 
-    /** Times in ms after hits of one kind: without anybody who acts, and from the hit to the next who does. */
+    /** Times in ms after faults of one kind: without a holder that acts, and from the fault to the next holder; and how often no takeover could be measured. */
     public record Absence(List<Double> withoutMs, List<Double> sinceHitMs, int withoutNext) {}
 
     private LeaseChecker() {}
 
-    /** Breaches by a store that takes an older write than it has. */
+    /** The breaches of a store that accepts a write older than the last one it accepted. */
     public static List<String> writes(List<Write> writes) {
         List<String> breaches = new ArrayList<>();
         Write last = null;
@@ -48,7 +48,7 @@
         return breaches;
     }
 
-    /** By kind of hit, how long nobody acted; {@code stops}: kinds after which the holder acts no more at once, whatever its record says. */
+    /** The times without an acting holder by kind of fault; {@code immediateKinds}: kinds that stop the holder at once, whatever its record says. */
     public static Map<String, Absence> absences(List<Hit> hits, List<Holding> holdings, Set<String> stops) {
         Map<String, Absence> found = new TreeMap<>();
         for (Hit hit : hits) {
@@ -66,6 +66,7 @@
         return found;
     }
 
+    /** Checks all records; returns the result by lease. */
     public static Map<String, Found> check(List<Line> lines) {
         Map<String, List<Line>> byLease = new TreeMap<>();
         lines.stream().sorted(Comparator.comparingDouble(Line::ms)).forEach(l -> byLease.computeIfAbsent(l.lease(), k -> new ArrayList<>()).add(l));
--- a/src/main/java/dappleseam/lab/fleet/Planted.java
+++ b/src/main/java/dappleseam/lab/fleet/Planted.java
@@ -12,31 +12,34 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Defences that can be taken out between the members, to show that the checks see what they are for. The module itself is never another. */
+/**
+ * Faults that can be planted between the members: each one disables a safeguard, to show that the checks detect its absence. The faults
+ * act on the messages; the shipped modules themselves are never changed.
+ */
 public enum Planted {
     NONE,
-    /** Nobody hears what is said of itself. */
+    /** Updates about the receiver itself are removed from messages, so that no member can refute a suspicion. */
     NO_REFUTATION,
-    /** Nobody probes in another's stead. */
+    /** Requests for indirect probes are dropped. */
     NO_INDIRECT_PROBE,
-    /** No failed member is tried again, and no views are compared. */
+    /** Attempts to reach failed members and view digests are dropped, so that views do not merge after a partition. */
     NO_MERGE,
-    /** The first voter forgets what it promised and accepted: it says yes to each. */
+    /** The first voter forgets what it has promised and accepted: it agrees to every request. */
     FORGETFUL_VOTER,
-    /** Each voter's answer counts for all three. */
+    /** Each voter's reply counts as the replies of all three. */
     MINORITY,
-    /** The store takes any token. */
+    /** The store accepts any token. */
     NO_FENCE,
-    /** The first member says that the first three caches fail, whatever they do. */
+    /** The first member announces that the first three caches fail, regardless of their actual state. */
     LIAR,
-    /** The first four say so. */
+    /** The first four members announce so. */
     LIARS,
-    /** Nobody hears of anybody's traffic but that there is none. */
+    /** Every announcement arrives with a traffic of zero. */
     NO_RATES;
 
     private static final List<MemberName> VOTERS = List.of(new MemberName("lab-0"), new MemberName("lab-1"), new MemberName("lab-2"));
 
-    /** What a voter says that forgets all; null where it is not asked. */
+    /** The reply of a voter that forgets everything; null if the message is not a request to a voter. */
     private static LeaseMessage answer(LeaseMessage asked) {
         LeaseMessage.Op op = asked == null ? null : switch (asked.op()) {
             case PREPARE -> LeaseMessage.Op.PROMISED;
@@ -47,12 +50,12 @@
         return op == null ? null : new LeaseMessage(op, 0, asked.lease(), op == LeaseMessage.Op.TOLD ? Token.NONE : asked.ballot(), Token.NONE, null, 0, asked.number(), 0, asked.reason());
     }
 
-    /** A letter that nobody wrote, and who seems to have. */
+    /** A forged lease message and its apparent sender. */
     public record Forged(MemberName from, MemberName to, LeaseMessage ballot) {}
 
     private static final int LIED_ABOUT = 3;
 
-    /** The same bulletins with a liar's own replaced. */
+    /** The same announcements, with those of the lying members replaced. */
     private static FleetMessage lying(FleetMessage letter, int liars) {
         if (letter.announcements() == null) {
             return letter;
@@ -62,7 +65,7 @@
                 ? new Announcement(b.member(), b.generation(), b.number(), b.location(), b.traffic(), lies) : b).toList());
     }
 
-    /** What is made up because of that letter. */
+    /** The messages that are forged in response to a message. */
     public List<Forged> forged(FleetMessage letter, MemberName to) {
         LeaseMessage ballot = letter.leaseMessage();
         MemberName from = letter.sender().name();
@@ -73,7 +76,7 @@
         return this == MINORITY && says ? VOTERS.stream().filter(v -> !v.equals(from) && !v.equals(to)).map(v -> new Forged(v, to, ballot)).toList() : List.of();
     }
 
-    /** The letter as it arrives; null where it does not. {@code isCall}: a try of a failed member. */
+    /** The message as it arrives; null if it is dropped. {@code isConnected}: sent over a connected socket, which is how failed members are probed. */
     public FleetMessage passed(FleetMessage letter, MemberName to, boolean isCall) {
         return switch (this) {
             case NONE, MINORITY, NO_FENCE -> letter;
--- a/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
+++ b/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
@@ -27,27 +27,27 @@
 import java.util.SplittableRandom;
 
 /**
- * Many members in simulated time, one seed, one verdict: every datagram and wake-up is an event, and faults are set while it runs. The module
- * is the one that {@code serve} loads. Times in ms.
+ * Many members in simulated time, fully determined by the seed: every datagram and wake-up is an event, and faults can be injected while it runs.
+ * The membership module is the one that {@code serve} uses, unless a baseline is chosen. Times are in ms.
  */
 public final class SimulatedFleet extends SimulatedTime {
-    /** Which module the members run. */
+    /** The membership module that the members run. */
     public enum Module {
         SHIPPED,
         WITHOUT_LOCAL_HEALTH,
-        /** Without it, and one that stood still looks at its clock before it reads what came meanwhile. */
+        /** Without local health, and a member that was stopped runs its timers before it reads the datagrams that arrived meanwhile. */
         PLAIN,
         HEARTBEATS
     }
 
-    /** What a member's view came to hold, told as it happens; {@code before} is null for one not known before. */
+    /** Notified of every change of an entry in a member's view; {@code before} is null for a member that was not in the view. */
     public interface Watcher {
         void saw(double nowMs, Node viewer, MemberEntry before, MemberEntry now);
     }
 
-    /** Bytes of a datagram beside notices, and UDP's and IP's own. */
+    /** Bytes of a datagram in addition to its entries: the message's own overhead, and the UDP and IP headers. */
     private static final int FRAME_BYTES = 20 + 28;
-    /** A day in ms: starts are wall clocks. */
+    /** A day in ms. Start times are wall-clock times, so simulated time begins a day after the epoch, which leaves room for clocks that are behind. */
     private static final long DAY_MS = 86_400_000L;
 
     private final Module kind;
@@ -57,16 +57,16 @@
     private final Map<InetSocketAddress, Node> at = new HashMap<>();
     private Planted planted = Planted.NONE;
     private Watcher watcher = (nowMs, viewer, before, after) -> { };
-    /** Share of datagrams lost everywhere, doubled, and the most by which one is delayed. */
+    /** Shares of all datagrams that are lost and that are duplicated, and the maximum delay of a datagram. */
     public double loss;
     public double doubled;
     public double delayMs = 2;
     public long datagrams;
-    /** What members started from now on decide by what they tell each other. */
+    /** The fleet features that are enabled for members started from now on. */
     public FleetFeatures choices = FleetFeatures.NONE;
     public long bytes;
 
-    /** One member's place: its process may be killed, stopped and started anew. */
+    /** A member's slot in the fleet: its process can be killed, stopped and restarted. */
     public final class Node extends MessagingHost {
         public final int number;
         public final MemberName name;
@@ -74,13 +74,14 @@
         public Subject subject;
         public boolean up;
         public double stoppedUntil;
-        /** Whom its datagrams do not reach; both are set for a cut both ways. */
+        /** Datagrams only pass between nodes of the same partition. */
         public int group;
+        /** Numbers of the nodes whose datagrams do not reach this one; set on both nodes for a cut in both directions. */
         public final Set<Integer> deafTo = new HashSet<>();
         public double loss;
-        /** By how much its wall clock is off. */
+        /** Offset of its wall clock in ms. */
         public long clockOffMs;
-        /** Queries that it takes a second, as its proxy would tell; NaN where that is not known yet. */
+        /** Queries per second, as its router would report them; NaN while not known. */
         public double ratePerS = Double.NaN;
         public SignalExchange desk;
         public double upSince;
@@ -97,7 +98,7 @@
             this.address = address;
         }
 
-        /** A process that knows nothing but those addresses. */
+        /** Starts a process that knows nothing but the seed addresses. */
         public void start(List<InetSocketAddress> seeds) {
             up = true;
             upSince = now;
@@ -145,7 +146,7 @@
             public void onShare(double share, double place) { }
         }
 
-        /** Of its process. */
+        /** The nonce of its current process. */
         public long nonce() {
             return membership().self().generation().nonce();
         }
@@ -154,7 +155,7 @@
             return ((Subject.Shipped) subject).membership();
         }
 
-        /** As by SIGKILL. */
+        /** Ends the process as SIGKILL does. */
         public void kill() {
             up = false;
             downSince = now;
@@ -170,7 +171,7 @@
             kill();
         }
 
-        /** As by SIGSTOP and SIGCONT: what comes meanwhile waits in its socket, up to a bound. */
+        /** Stops the process for a time, as SIGSTOP and SIGCONT do: datagrams that arrive meanwhile wait in its socket buffer, up to a limit. */
         public void stop(double forMs) {
             stoppedUntil = now + forMs;
             int mine = process;
@@ -295,7 +296,7 @@
         }
     }
 
-    /** Of 10.0.0.0/8; nothing is ever sent there, it is a name in the simulation. */
+    /** The address of a node in 10.0.0.0/8. It only identifies the node within the simulation; nothing is ever sent to it. */
     public static InetSocketAddress address(int number) {
         try {
             return new InetSocketAddress(InetAddress.getByAddress(new byte[] {10, (byte) (number >> 16), (byte) (number >> 8), (byte) number}), 7946);
@@ -313,7 +314,7 @@
         return size + (letter.announcements() == null ? 0 : letter.announcements().stream().mapToInt(Announcement::maxEncodedBytes).sum());
     }
 
-    /** Another that goes by that one's name, by mistake; it is not started, and not one of those that have to agree. */
+    /** Creates a duplicate: a node that uses another node's name, as after a configuration mistake. It is not started, and is not among {@link #nodes()}, whose views have to agree. */
     public Node twinOf(int number) {
         return new Node(nodes.size(), nodes.get(number).name, address(nodes.size()));
     }
@@ -331,7 +332,7 @@
         watcher = by;
     }
 
-    /** Takes a defence out. */
+    /** Sets the fault planted between the members. */
     public void plant(Planted by) {
         planted = by;
     }
@@ -348,14 +349,14 @@
         return random;
     }
 
-    /** All start within a period; those whose number is below {@code seeds} are named to all. */
+    /** Starts all members within one period; the first {@code seeds} nodes are the seed addresses of all. */
     public void startAll(int seeds) {
         List<InetSocketAddress> known = kind == Module.HEARTBEATS ? nodes.stream().map(n -> n.address).toList()
                 : nodes.subList(0, Math.min(seeds, nodes.size())).stream().map(n -> n.address).toList();
         nodes.forEach(node -> after(random.nextDouble() * terms.periodMs(), () -> node.start(known)));
     }
 
-    /** All start within a period, and then all know each other: else the news of so many takes minutes to be told. */
+    /** Starts all members within one period and then preloads their views: in a large fleet, gossip about all the starts would take minutes. */
     public void startKnown() {
         startAll(1);
         runFor(terms.periodMs() + 1);
@@ -363,11 +364,12 @@
         nodes.forEach(n -> n.membership().preload(now, all));
     }
 
-    /** Whether each process that is up holds each other one for alive in its present life, and each that is down for not present. */
+    /** Whether every running process considers every other running process live, in its current generation, and no stopped member live. */
     public boolean agree() {
         return nodes.stream().filter(n -> n.up).allMatch(this::isRight);
     }
 
+    /** Whether one node's view is correct in that sense. */
     public boolean isRight(Node viewer) {
         for (Node node : nodes) {
             MemberEntry held = viewer.subject.of(node.name);
@@ -379,7 +381,7 @@
         return true;
     }
 
-    /** Runs on until all views are right; the time it took in ms, or NaN where it took longer than that. */
+    /** Runs until all views are correct; returns the time it took in ms, or NaN if it took longer than the given time. */
     public double untilAgreed(double mostMs) {
         double from = now;
         while (now < from + mostMs) {
--- a/src/main/java/dappleseam/lab/fleet/Sizes.java
+++ b/src/main/java/dappleseam/lab/fleet/Sizes.java
@@ -72,7 +72,7 @@
                 }
             }
         });
-        return line("idle: %.1f datagrams and %.0f bytes per second; one member dies (%d times): first detection after %.1f s median, %.1f s p99; last detection %.1f s median, %.1f s p99 after the first; log2 N %.1f",
+        return line("idle: %.1f datagrams and %.0f bytes per second and member; one member dies (%d times): first detection after %.1f s median, %.1f s p99; last detection %.1f s median, %.1f s p99 after the first; log2 N %.1f",
                 wire[0], wire[1], first.size(), Ranked.at(first, 0.5), Ranked.at(first, 0.99), Ranked.at(spread, 0.5), Ranked.at(spread, 0.99), Math.log(members) / Math.log(2));
     }
 
@@ -120,7 +120,7 @@
                 wire[0] += (fleet.datagrams - datagrams) / ((fleet.nowMs() - from) / SECOND) / (members - dead) / runs;
             }
         });
-        return line("%.0f%% die at once: half of the entries for them are correct after %.1f s median, 99 %% after %.1f s, all after %.1f s median, %.1f s at most of %d; %.1f datagrams per second meanwhile; %.1f survivors considered failed per run",
+        return line("%.0f%% die at once: half of the entries for them are correct after %.1f s median, 99 %% after %.1f s, all after %.1f s median, %.1f s at most of %d; %.1f datagrams per second and survivor meanwhile; %.1f survivors considered failed per run",
                 100 * share, Ranked.at(half, 0.5), Ranked.at(most, 0.5), Ranked.at(all, 0.5), Ranked.at(all, 1), runs, wire[0], wronged.stream().mapToDouble(w -> w).average().orElse(0));
     }
 
--- a/src/main/java/dappleseam/lab/fleet/ViewChecker.java
+++ b/src/main/java/dappleseam/lab/fleet/ViewChecker.java
@@ -9,42 +9,43 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Proves from the proxies' own records of their views, against what was really done, what the membership promises. Free of I/O. */
+/** Checks the guarantees of the membership by comparing the proxies' own records of their views with the ground truth. Performs no I/O. */
 public final class ViewChecker {
-    /** What may be broken. */
+    /** The guarantees, named by the way in which they are broken. */
     public enum Promise {
-        /** A process that ended is held for present by one that could have known. */
+        /** An ended process is still considered live by one that had the time to detect the end. */
         LATE,
-        /** A process that ran, with nothing wrong with it or with whom says so, was held for failed. */
+        /** A running process was considered failed although no fault affected it or the viewer. */
         FALSE_FAILURE,
-        /** A process that ran, with nothing wrong with it, was suspected again and again: nobody probed in another's stead. */
+        /** A running process that no fault affected was suspected repeatedly: indirect probes did not work. */
         SUSPECTED_AGAIN,
-        /** A process that ran was said to be proved ended. */
+        /** A running process was considered ended, which requires proof. */
         FALSE_END,
-        /** One that ended, and was held for failed, came back by old news. */
+        /** A process that had ended and was considered failed became live again through outdated gossip. */
         RESURRECTION,
-        /** At the end, long after all troubles, a view is not right. */
+        /** A view is wrong at the end, long after all faults. */
         NO_AGREEMENT,
-        /** All together divided by so little that they took more than the whole. */
+        /** The members divided the whole by such small fleet sizes that together they used more than the whole. */
         MORE_THAN_WHOLE,
-        /** All together went by shares that come to more than the whole and their margin. */
+        /** The members' traffic shares added up to more than the whole and the margin. */
         SHARES_OVER_WHOLE,
-        /** A process was told by others that a cache fails, and nobody else's record says that it saw so. */
+        /** Peers' verdicts convinced a process that a cache fails, although no other process's record shows that it observed that. */
         FALSE_SIGNAL
     }
 
-    /** One broken promise, told with its history. */
+    /** One broken guarantee, with a description of what happened. */
     public record Breach(Promise promise, double ms, String what) {}
 
-    /** What a process divided the whole by, from then on: the counted fleet, or one over its share. */
+    /** What a process divides the whole limits by from that time on: the fleet size, or the reciprocal of its share. */
     public record Counted(double ms, long viewer, double counted) {}
 
-    /** What a process said of a cache by its own sight, or came to hold of it by others' words. */
+    /** {@code FAILS} and {@code CLEARED} are a process's own observations of a cache, {@code CONVICTED} is the result of its peers' verdicts. */
     public enum Verdict { FAILS, CLEARED, CONVICTED }
 
+    /** A process's verdict on a cache from that time on. */
     public record Word(double ms, long viewer, Verdict verdict, String cache) {}
 
-    /** What processes wrote down. {@code shares}: what those that go by their shares divided by. */
+    /** What the processes recorded. {@code fleetSizes} and {@code shareDivisors}: what they divided by, without and with shares by traffic. */
     public record Records(List<Sight> sights, List<Counted> counts, List<Counted> shares, List<Word> words) {
         public Records() {
             this(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
@@ -52,23 +53,23 @@
     }
 
     /**
-     * {@code lateMs}: from an end until all know it. {@code graceMs}: after a trouble in which failures are still told.
-     * {@code settledMs}: the time at which all views have to be right; what comes later, as the fleet is taken down, tells nothing. {@code rumourMs}: the time without troubles in which a new process
-     * gets known to all; until then it comes on top of the whole.
+     * {@code detectionMs}: from the end of a process until all know of it. {@code graceMs}: the time after a fault in which failures may still be reported.
+     * {@code settledAtMs}: the time at which all views have to be correct; later records, made while the fleet is shut down, are ignored.
+     * {@code propagationMs}: the fault-free time in which a new process becomes known to all; until then its use does not count towards the whole.
      */
     public record Bounds(double lateMs, double graceMs, double settledMs, double rumourMs) {}
 
     private static final int MOST_TOLD = 50;
-    /** Suspicions of one process that one view may hold within the time of grace: chance brings one, not so many. */
+    /** Suspicions of one process by one viewer within the grace time that count as repeated: one may occur by chance, but not this many. */
     private static final int MOST_SUSPICIONS = 4;
 
-    /** Time in ms that a sight may be on its way. */
+    /** Time in ms that an observation may take to be delivered. */
     private static final double TOLD_MS = 2000;
 
     private final Truth truth;
     private final Bounds bounds;
     private final List<Breach> breaches = new ArrayList<>();
-    /** By viewer and member: what was held from when on. */
+    /** The history of each view entry, by viewer and member. */
     private final Map<Long, Map<String, TreeMap<Double, Sight>>> held = new HashMap<>();
 
     private ViewChecker(Truth truth, Bounds bounds) {
@@ -100,24 +101,24 @@
         Truth.Process viewer = truth.process(sight.viewer());
         Truth.Process seen = truth.process(sight.nonce());
         if (viewer == null || seen == null) {
-            return; // not one of those that were started here
+            return; // a process that this run did not start
         }
         double from = sight.ms() - bounds.graceMs();
         if (sight.state() == State.FAILED && seen.runsAt(sight.ms()) && isCalm(viewer, from, sight.ms())
                 && isCalm(seen, from, sight.ms())) {
-            breach(Promise.FALSE_FAILURE, sight.ms(), "%s held %s for failed, which ran", viewer.member(), seen.member());
+            breach(Promise.FALSE_FAILURE, sight.ms(), "%s considered %s failed while it was running", viewer.member(), seen.member());
         }
         if (sight.state() == State.SUSPECT && seen.runsAt(sight.ms()) && isCalm(viewer, from, sight.ms()) && isCalm(seen, from, sight.ms())
                 && past.subMap(from, true, sight.ms(), true).values().stream()
                 .filter(s -> s.state() == State.SUSPECT && s.nonce() == sight.nonce()).count() >= MOST_SUSPICIONS) {
-            breach(Promise.SUSPECTED_AGAIN, sight.ms(), "%s held %s for suspect again and again", viewer.member(), seen.member());
+            breach(Promise.SUSPECTED_AGAIN, sight.ms(), "%s suspected %s repeatedly while it was running", viewer.member(), seen.member());
         }
         if (sight.state() == State.ENDED && seen.runsAt(sight.ms())) {
-            breach(Promise.FALSE_END, sight.ms(), "%s held %s for ended, which ran", viewer.member(), seen.member());
+            breach(Promise.FALSE_END, sight.ms(), "%s considered %s ended while it was running", viewer.member(), seen.member());
         }
         boolean wasOver = before != null && before.nonce() == sight.nonce() && !before.state().isLive();
         if (wasOver && sight.state().isLive() && sight.ms() > seen.toMs() + bounds.lateMs()) {
-            breach(Promise.RESURRECTION, sight.ms(), "%s held %s for %s again, which ended %.0f ms ago", viewer.member(), seen.member(), sight.state(),
+            breach(Promise.RESURRECTION, sight.ms(), "%s considered %s %s again, %.0f ms after it had ended", viewer.member(), seen.member(), sight.state(),
                     sight.ms() - seen.toMs());
         }
     }
@@ -136,7 +137,7 @@
         for (Truth.Process over : truth.processes()) {
             double due = over.toMs() + bounds.lateMs();
             if (due >= bounds.settledMs()) {
-                continue; // also those that never ended
+                continue; // too late to be judged, or never ended
             }
             for (Truth.Process viewer : truth.processes()) {
                 if (viewer.fromMs() > over.toMs() - bounds.graceMs() || viewer.toMs() <= due || !isCalm(viewer, over.toMs() - bounds.graceMs(), due)
@@ -145,7 +146,7 @@
                 }
                 Sight held = heldAt(viewer.nonce(), over.member(), due);
                 if (held != null && held.nonce() == over.nonce() && held.state().isLive()) {
-                    breach(Promise.LATE, due, "%s still held %s for %s, which ended %.0f ms before", viewer.member(), over.member(), held.state(),
+                    breach(Promise.LATE, due, "%s still considered %s %s, %.0f ms after it had ended", viewer.member(), over.member(), held.state(),
                             bounds.lateMs());
                 }
             }
@@ -159,20 +160,20 @@
             for (Truth.Process other : running) {
                 Sight sight = other.nonce() == viewer.nonce() ? null : heldAt(viewer.nonce(), other.member(), at);
                 if (other.nonce() != viewer.nonce() && (sight == null || sight.nonce() != other.nonce() || !sight.state().isLive())) {
-                    breach(Promise.NO_AGREEMENT, at, "%s holds %s, which runs, for %s", viewer.member(), other.member(),
+                    breach(Promise.NO_AGREEMENT, at, "%s considers %s %s, although it is running", viewer.member(), other.member(),
                             sight == null ? "unknown" : sight.nonce() == other.nonce() ? sight.state() : "an earlier process");
                 }
             }
             held.getOrDefault(viewer.nonce(), Map.of()).keySet().forEach(who -> {
                 Sight sight = heldAt(viewer.nonce(), who, at);
                 if (sight != null && sight.state().isLive() && truth.runningAt(who, at) == null) {
-                    breach(Promise.NO_AGREEMENT, at, "%s holds %s for %s, which does not run", viewer.member(), who, sight.state());
+                    breach(Promise.NO_AGREEMENT, at, "%s considers %s %s, although it is not running", viewer.member(), who, sight.state());
                 }
             });
         }
     }
 
-    /** How many views were right at that time, of how many that there were. */
+    /** The number of correct views at that time, and the number of views. */
     public static int[] right(Truth truth, List<Sight> sights, double ms) {
         ViewChecker checker = new ViewChecker(truth, new Bounds(0, 0, ms, 0));
         sights.stream().filter(s -> s.ms() <= ms).sorted(Comparator.comparingDouble(Sight::ms)).forEach(checker::see);
@@ -183,10 +184,10 @@
         return new int[] {running - wrong.size(), running};
     }
 
-    /** Guards caches against what nobody saw: each conviction has to have a witness, whose sight was at most so old as one is told on. */
+    /** Guards caches against verdicts without an observation: each conviction needs a witness on another member, whose observation was recent enough to be still announced. */
     private void convictions(List<Word> words) {
         List<Word> ordered = words.stream().sorted(Comparator.comparingDouble(Word::ms)).toList();
-        Map<String, Map<Long, Double>> until = new HashMap<>(); // by cache and witness
+        Map<String, Map<Long, Double>> until = new HashMap<>(); // by cache and witness; infinite while the witness observes failures
         for (Word word : ordered) {
             Map<Long, Double> witnesses = until.computeIfAbsent(word.cache, cache -> new HashMap<>());
             if (word.verdict != Verdict.CONVICTED) {
@@ -196,17 +197,17 @@
             String viewer = truth.process(word.viewer).member();
             double since = word.ms - dappleseam.fleet.share.NodeObservation.MAX_AGE_MS - TOLD_MS;
             if (witnesses.entrySet().stream().noneMatch(e -> e.getValue() >= since && !truth.process(e.getKey()).member().equals(viewer))) {
-                breach(Promise.FALSE_SIGNAL, word.ms, "%s was told that %s fails, and nobody saw so", viewer, word.cache);
+                breach(Promise.FALSE_SIGNAL, word.ms, "%s was convinced that %s fails, which no other member observed", viewer, word.cache);
             }
         }
     }
 
-    /** By how much of the whole all shares together may be over it: a fifth for splits and news that is late, and an even share and a half for processes that are new. */
+    /** How far the sum of all shares may exceed the whole: one fifth for partitions and delayed announcements, and one and a half even shares for new processes. */
     public static double margin(int members) {
         return 0.2 + 1.5 / members;
     }
 
-    /** Guards what limits are divided by: the sum of one over it, over all that run, stays within the whole and that margin. */
+    /** Guards the division of limits: the sum of the reciprocal divisors of all running processes stays within the whole and the margin. */
     private void within(List<Counted> counts, Promise promise, double margin) {
         Map<Long, Double> now = new HashMap<>();
         double worst = 1 + margin;
@@ -220,7 +221,7 @@
             }
             if (sum > worst + 1e-9) {
                 worst = sum;
-                found = new Breach(promise, count.ms(), String.format(Locale.ROOT, "all together took %.3f of the whole", sum));
+                found = new Breach(promise, count.ms(), String.format(Locale.ROOT, "the members together used %.3f of the whole", sum));
             }
         }
         if (found != null) {
