--- a/src/main/java/dappleseam/lab/fleet/Exploration.java
+++ b/src/main/java/dappleseam/lab/fleet/Exploration.java
@@ -20,28 +20,29 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Every order of events of a small fleet, to a depth: which datagram arrives next, is lost or comes twice, whether time goes on, who dies, returns
- * from nothing, or stands still. The module is the shipped one; states that are alike are gone on from once.
+ * Model checking of the membership: all orders of events of a small fleet up to a depth, i.e. which datagram arrives next, is lost or is duplicated, when time advances,
+ * and which member is killed, starts without state, or stalls. The module is the shipped one; equal states are continued from only once.
  */
 public final class Exploration {
-    /** What is done next; {@code which} is a datagram's place or a member's number. */
+    /** An event; {@code which} is a datagram's index or a member's number. */
     public record Move(Kind kind, int which) {}
 
+    /** The possible events. */
     public enum Kind { DELIVER, LOSE, REPEAT, TIME, KILL, START, STALL }
 
-    /** States told apart, ways played, and what broke, with the moves that led there. */
+    /** The number of distinct states and of paths played, and the first violation with the moves that led to it, or null. */
     public record Found(long states, long ways, String broken) {}
 
     private static final int MEMBERS = 3;
     private static final double ROUNDING = 1e-9;
     private static final double PERIOD_MS = 1000;
     private static final double STALL_MS = 900;
-    /** Datagrams under way that are chosen from: the oldest. */
+    /** This many of the oldest datagrams in flight are considered. */
     private static final int CHOICE = 4;
-    /** Quiet time in ms after which all views have to be right, however it began. */
+    /** Time in ms without faults after which all views have to be correct, whatever the state before. */
     private static final double SETTLE_MS = 120_000;
 
-    /** Members that run before what is explored begins; the others start in it, or never. */
+    /** Members that are running when the exploration begins; the others start during it, or never. */
     private final int early;
     private final int depth;
     private final int faults;
@@ -51,12 +52,12 @@
     private long ways;
     private String broken;
 
-    /** At most so many losses, repeats, deaths and stalls on one way; {@code settle}: play each way on to its quiet end. */
+    /** {@code maxFaults}: losses, duplicates, deaths and stalls on one path at most; {@code settle}: continue each path without faults and check the final views. */
     public Exploration(int depth, int faults, boolean settle, Planted planted) {
         this(MEMBERS, depth, faults, settle, planted);
     }
 
-    /** The same where only the first {@code early} members run at first. */
+    /** The same, with only the first {@code initialMembers} members running at the beginning. */
     public Exploration(int early, int depth, int faults, boolean settle, Planted planted) {
         this.early = early;
         this.planted = planted;
@@ -88,7 +89,7 @@
             if (settle) {
                 world.settle();
                 if (world.broken != null) {
-                    broken = world.broken + " in the quiet after " + path;
+                    broken = world.broken + " in the phase without faults after " + path;
                 }
             }
             return;
@@ -103,7 +104,7 @@
         }
     }
 
-    /** Three members that know each other, and what is under way between them. */
+    /** Three members, and the datagrams in flight between them. */
     private static final class World {
         final Planted planted;
         final List<Member> members = new ArrayList<>();
@@ -124,7 +125,7 @@
                 members.add(new Member(this, i));
             }
             members.subList(0, early).forEach(m -> m.start(0));
-            // They get to know each other and fall quiet: what is explored begins here.
+            // The members get to know each other, and gossip about the starts ends: the exploration begins from there.
             while (now < 12 * PERIOD_MS) {
                 deliverAll();
                 time();
@@ -186,7 +187,7 @@
                     underWay.removeIf(s -> s.to == move.which);
                 }
                 case START -> members.get(move.which).start(now);
-                // All but the first run; it finds out when it wakes.
+                // All members but the first keep running; the first notices the stall when it wakes up.
                 case STALL -> {
                     double until = now + STALL_MS;
                     Member stopped = members.get(0);
@@ -205,11 +206,11 @@
             checkSum();
         }
 
-        /** All that run, however little they have heard of each other, divide the whole by so much that they take no more than it. */
+        /** Checks that the running members, however little they know of each other, divide the whole by fleet sizes large enough that together they use no more than it. */
         void checkSum() {
             double sum = members.stream().filter(m -> m.up).mapToDouble(m -> 1.0 / m.membership.fleetSize()).sum();
             if (sum > 1 + ROUNDING) {
-                breaks(String.format(Locale.ROOT, "all together took %.3f of the whole", sum));
+                breaks(String.format(Locale.ROOT, "the members together used %.3f of the whole", sum));
             }
         }
 
@@ -227,7 +228,7 @@
                         MemberEntry held = viewer.membership.lookup(other.name);
                         boolean present = held != null && held.state().isLive();
                         if (present != other.up || other.up && !held.generation().equals(other.membership.self().generation())) {
-                            breaks(viewer.name + " holds " + held + " for " + other.name + ", up " + other.up);
+                            breaks(viewer.name + " has the entry " + held + " for " + other.name + ", running: " + other.up);
                         }
                     }
                 }
@@ -248,7 +249,7 @@
         }
     }
 
-    /** A chance that can be told apart by how often it was asked. */
+    /** A deterministic random source whose state is the number of values drawn. */
     private static final class Counter implements RandomGenerator {
         long count;
 
@@ -260,6 +261,7 @@
         }
     }
 
+    /** A member running the shipped membership module. */
     private static final class Member extends MessagingHost {
         final World world;
         final int number;
@@ -276,7 +278,7 @@
             name = new MemberName("p" + number);
         }
 
-        /** From nothing, by a clock that stands: the greater start is not always the later one. */
+        /** Starts the member without state. Its wall clock stands still, so generations differ in their nonces only, and the greater one is not always the later one. */
         void start(double now) {
             chance = new Counter();
             MemberEntry self = new MemberEntry(name, SimulatedFleet.address(number), new Generation(1000, 10L * (starts % 2 == 0 ? 5 + starts : 5 - starts) + number), 0, State.ALIVE, 0);
@@ -308,7 +310,7 @@
             wakeAt = ms;
         }
 
-        /** What no order of events may bring about. */
+        /** Checks what no order of events may violate. */
         @Override
         public void memberChanged(MemberEntry before, MemberEntry now) {
             if (before != null && now.compareTo(before) <= 0) {
@@ -316,25 +318,25 @@
             }
             MemberEntry own = world.said.get(now.generation());
             if (now.state() == State.LEFT || own == null || now.incarnation() > own.incarnation()) {
-                world.breaks(name + " holds " + now + ", which its process never said");
+                world.breaks(name + " has the entry " + now + ", which its process never announced");
             }
             if (before != null && before.generation().equals(now.generation()) && !before.state().isLive() && now.state().isLive()
                     && now.incarnation() <= before.incarnation()) {
-                world.breaks(name + " raised " + before + " to " + now);
+                world.breaks(name + " revived " + before + " to " + now);
             }
             if (membership.fleetSize() < membership.liveCount()) {
-                world.breaks(name + " counts less than those alive");
+                world.breaks(name + " has a fleet size below its number of live members");
             }
         }
 
         @Override
         public void statusChanged(MembershipStatus standing) {
-            // as it may
+            // any status is allowed
         }
 
         @Override
         public void log(String text) {
-            // nobody reads it
+            // log lines are not needed here
         }
     }
 }
--- a/src/main/java/dappleseam/lab/fleet/History.java
+++ b/src/main/java/dappleseam/lab/fleet/History.java
@@ -11,35 +11,35 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** A fleet's life in simulated time: it starts, troubles befall it, all of them end, and then its views have to agree. One seed, one verdict. */
+/** A simulated run of a fleet: it starts, faults are injected, all of them end, and then all views have to agree. Fully determined by its components. */
 public record History(int members, long seed, List<Step> steps, boolean shares) {
-    /** What befalls members. */
+    /** The kinds of faults. */
     public enum Kind { KILL, RESTART, CLOCK_BACK, CLOCK_AHEAD, LEAVE, STOP, SPLIT, ONE_WAY, LOSSY, ALL_LOSSY, SWAP }
 
-    /** {@code a} and {@code b} are members' numbers, or the mask of a split; {@code forMs} how long it lasts; {@code afterMs} the step before it. */
+    /** {@code a} and {@code b} are members' numbers, for a split the last members of the first two partitions; {@code afterMs}: time since the previous step; {@code forMs}: duration. */
     public record Step(Kind kind, int a, int b, double afterMs, double forMs) {}
 
-    /** What came of it. */
+    /** The result; {@code agreedMs}: time from the end of the last fault until all views agreed, NaN if they did not. */
     public record Verdict(List<ViewChecker.Breach> breaches, double agreedMs, long datagrams, Taken taken) {}
 
-    /** Of the whole, where shares are told: the most that all that ran took together and when in ms, the least that one took as a multiple of an even share, and what all took at the end. */
+    /** With shares by traffic: the highest sum of all running members' shares and its time in ms, the lowest share of a member as a multiple of an even share, and the sum at the end. */
     public record Taken(double most, double mostAtMs, double least, double last) {}
 
     private static final double PERIOD_MS = 1000;
     private static final double START_MS = 20_000;
-    /** Time in ms after the last trouble until all views have to be right: a retry for each failed member, then a rumour. */
+    /** Time in ms after the last fault until all views have to be correct: a retry of each failed member, then the propagation of the news. */
     private static final double SETTLE_MS = 180_000;
-    /** From an end until all know of it: the longest suspicion and two rounds of probes, in ms. */
+    /** Time in ms from the end of a process until all know of it: the longest suspicion and two rounds of probes. */
     private static final double LATE_MS = 60_000;
     private static final double GRACE_MS = 60_000;
-    /** Until a new process is known to all, in ms. */
+    /** Time in ms until a new process is known to all. */
     private static final double RUMOUR_MS = 10_000;
-    /** Members from which on somebody can always probe in the stead of two who do not reach each other. */
+    /** Running members from which on some member can always probe indirectly for two that do not reach each other. */
     private static final int ENOUGH_TO_HELP = 5;
-    /** What is lost in a rough spell. */
+    /** Share of datagrams that is lost during a fault. */
     private static final double LOSS = 0.3;
 
-    /** Time in ms between changes of one member's traffic, in the mean; the factor by which it grows or falls at most. */
+    /** Mean time in ms between traffic changes, each of one member; the maximum factor by which it rises or falls. */
     private static final double TRAFFIC_MS = 5000;
     private static final double TRAFFIC_TIMES = 8;
     private static final double MOST_RATE = 2000;
@@ -48,12 +48,12 @@
         this(members, seed, steps, false);
     }
 
-    /** The same, with shares by traffic that goes up and down all the while. */
+    /** The same history with shares by traffic, with traffic that changes all the time. */
     public History withShares() {
         return new History(members, seed, steps, true);
     }
 
-    /** Drawn from the seed alone. */
+    /** A random history, determined by the seed. */
     public static History draw(long seed, int members, int steps) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Step> drawn = new ArrayList<>();
@@ -69,13 +69,13 @@
         return play(Planted.NONE);
     }
 
-    /** With a defence taken out, to show that the checks see it. */
+    /** Plays the history with a planted fault, to show that the checks detect it. */
     public Verdict play(Planted planted) {
         Run run = new Run(planted);
         return run.play();
     }
 
-    /** Leaves out one step after the other while it still fails: what is left is what it takes. */
+    /** Removes steps one by one as long as the history still fails; what is left is needed for the failure. */
     public History shrink(Planted planted) {
         History least = this;
         for (int i = 0; i < least.steps.size();) {
@@ -96,7 +96,7 @@
         final Truth truth = new Truth();
         final ViewChecker.Records records = new ViewChecker.Records();
         final int[] counted = new int[members];
-        /** Those that are down for good, or until a step's own end. */
+        /** Members that are down permanently, or until the end of the step that took them down. */
         final Set<Integer> busy = new HashSet<>();
         final SplittableRandom traffic = new SplittableRandom(seed ^ 0x7ea551c);
         double most;
@@ -124,7 +124,7 @@
             });
         }
 
-        /** All that run, by the shares that they go by; one that has none yet goes by its settings. */
+        /** Adds up the shares of all running members; a member without a share yet uses an even one, as it would by its settings. */
         void watchShares() {
             double sum = 0;
             for (Node node : fleet.nodes()) {
@@ -209,7 +209,7 @@
             busy.add(node.number);
             fleet.after(inMs, () -> {
                 node.clockOffMs = clockOffMs;
-                // Any that runs will do; with none, the first ones.
+                // Any running members serve as seeds.
                 start(node, fleet.nodes().stream().filter(n -> n.up && n != node).limit(3).map(n -> n.address).toList());
                 busy.remove(node.number);
             });
--- a/src/main/java/dappleseam/lab/fleet/LeaseChecker.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseChecker.java
@@ -24,7 +24,7 @@
     /** One write, and whether the store accepted it. */
     public record Write(double ms, Token token, long number, boolean taken) {}
 
-    /** A fault injected into a holder. {@code process}: as in {@link Line}. */
+    /** A fault injected into a holder. {@code process}: as in {@link LeaseRecord}. */
     public record Hit(String how, double ms, String process) {}
 
     /** Times in ms after faults of one kind: without a holder that acts, and from the fault to the next holder; and how often no takeover could be measured. */
--- a/src/main/java/dappleseam/lab/fleet/LeaseCrowd.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseCrowd.java
@@ -21,15 +21,15 @@
 import java.util.function.Consumer;
 
 /**
- * Many members that would all take some leases, in simulated time: what they send, how leases spread, and how long nobody holds one when holders die. The modules
- * are the shipped ones; views are right but for the dead, who are held for present a while. Times in ms.
+ * Many members that all compete for some leases, in simulated time: how much they send, how the leases spread over them, and for how long a lease has no holder when holders die.
+ * The lease modules are the shipped ones. The members' views are correct, except that a dead member counts as live until its death is detected. Times are in ms.
  */
 public final class LeaseCrowd extends SimulatedTime {
     private static final double SECOND = 1000;
-    /** Clocks have run for a while. */
+    /** The clocks have already been running for a while. */
     private static final double BEGIN_MS = 1_000_000;
     private static final double DELAY_MS = 2;
-    /** Time for which the dead are held for present: what the membership takes at a period of 1 s. */
+    /** Time until a death is detected: what the membership takes with a probe period of 1 s. */
     private static final double UNKNOWN_MS = 8000;
     private static final int VOTERS = 3;
 
@@ -59,7 +59,7 @@
             name = new MemberName("p" + number);
         }
 
-        /** {@code silentMs}: for how long its voter is silent already. */
+        /** {@code silentMs}: for how long its voter has already been silent. */
         void start(boolean votes, double silentMs) {
             long nonce = random.nextLong();
             voter = votes ? new Voter(name, nonce, terms, this, null, now - silentMs, (long) now) : null;
@@ -171,11 +171,11 @@
 
         @Override
         public void log(String text) {
-            // nobody reads it
+            // log lines are not needed here
         }
     }
 
-    /** {@code members}: all want each of so many leases; the first three vote. {@code loss}: share of messages that do not arrive. */
+    /** All members compete for each lease; the first three are the voters. {@code lossRate}: share of messages that do not arrive. */
     public LeaseCrowd(int members, int leaseCount, double loss, long seed) {
         super(BEGIN_MS);
         this.members = members;
@@ -219,7 +219,7 @@
         after(UNKNOWN_MS, () -> sees(node.name, false));
     }
 
-    /** Holders die one after the other, so many times, and come back from nothing: what is sent for a lease while it is held and while it is not; one line. */
+    /** Kills that many holders one after another, each of which restarts without state; reports in one line the messages sent per lease while it is held and after deaths, and the times without a holder. */
     public String storm(int deaths) {
         runFor(6 * terms.leaseMs());
         long before = sent;
@@ -246,12 +246,12 @@
             sees(holder.name, true);
             runFor(terms.leaseMs());
         }
-        return String.format(Locale.ROOT, "%4d candidates, %d leases of %.0f s, loss %.0f%%: %.2f datagrams a lease and second while held, %.2f in the worst second after a death; "
-                + "without a holder %.1f s median, %.1f s 99 of 100 (%d deaths); %d times two at once", members, leases.size(), terms.leaseMs() / SECOND, 100 * loss, quiet, most,
+        return String.format(Locale.ROOT, "%4d candidates, %d leases of %.0f s, loss %.0f%%: %.2f datagrams per lease and second while held, %.2f in the worst second after a death; "
+                + "without a holder %.1f s median, %.1f s p99 (%d deaths); %d times two holders at once", members, leases.size(), terms.leaseMs() / SECOND, 100 * loss, quiet, most,
                 Ranked.at(gaps, 0.5) / SECOND, Ranked.at(gaps, 0.99) / SECOND, gaps.size(), breaches);
     }
 
-    /** How leases lie over members, and how many change hands as one that holds some dies, and comes back; one line. */
+    /** Reports in one line how the leases are distributed over the members, and how many change their holder when one member dies and when it comes back. */
     public String spread() {
         runFor(6 * terms.leaseMs());
         int[] counts = order.stream().mapToInt(node -> (int) holders.values().stream().filter(h -> h == node).count()).toArray();
@@ -270,11 +270,11 @@
         long back = leases.stream().filter(l -> holders.get(l) != second.get(l)).count();
         Set<LeaseName> none = new HashSet<>(leases);
         none.removeAll(holders.keySet());
-        return String.format(Locale.ROOT, "%d leases over %d members: %d to %d each, mean %.1f; one with %d of them dies: %d move; it comes back: %d move; %d without a holder",
+        return String.format(Locale.ROOT, "%d leases over %d members: %d to %d each, mean %.1f; one with %d of them dies: %d change their holder; it comes back: %d change their holder; %d without a holder",
                 leases.size(), members, Arrays.stream(counts).min().orElse(0), Arrays.stream(counts).max().orElse(0), (double) leases.size() / members, its, moved, back, none.size());
     }
 
-    /** Times that two held one lease at once. */
+    /** How often two members held one lease at once. */
     public long breaches() {
         return breaches;
     }
--- a/src/main/java/dappleseam/lab/fleet/LeaseExploration.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseExploration.java
@@ -9,17 +9,20 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Model checking of leases: every order of events to a depth, and beyond it random ones from seeds, replayed and shrunk. {@code changing}: the set of voters does. */
+/**
+ * Model checking of leases: all orders of events up to a depth, and longer random walks, which are determined by their seed and can be shrunk.
+ * {@code disks}: voters have disks; {@code changing}: the set of voters changes.
+ */
 public record LeaseExploration(int candidates, boolean disks, boolean changing, Planted planted) {
-    /** States told apart, ways played, and what broke. */
+    /** The number of distinct states and of paths played, the most acquisitions on one path, and the first violation, or null. */
     public record Found(long states, long ways, long takes, String broken) {}
 
-    /** What a random way came to. */
+    /** The result of a random walk; {@code violation} is null if there was none. */
     public record Walk(long seed, int steps, int takes, int overlaps, String broken, List<Move> path) {}
 
-    /** Messages under way that exhaustive search chooses from. */
+    /** The exhaustive search considers this many of the oldest messages in flight. */
     private static final int CHOICE = 4;
-    /** Of a hundred steps of a random way: deliveries, time, long times, repeats, losses, checks and acts; the rest are troubles. */
+    /** Cumulative percentages of the moves in a random walk: deliveries, time, long times, repeats, losses, checks and acts; the rest are mostly faults. */
     private static final int DELIVER = 80;
     private static final int TIME = 87;
     private static final int LONG = 89;
@@ -28,8 +31,8 @@
     private static final int CHECK_OR_ACT = 96;
 
     /**
-     * All ways of so many steps, with at most so many troubles, for each of the extreme clocks; {@code large}: in steps that carry all that passes
-     * between a candidate and some voters, so that a few of them take, lose and take again.
+     * Plays all paths of up to {@code depth} moves with at most {@code maxFaults} faults, for each of the extreme combinations of clock rates. With {@code coarse}, a move
+     * delivers all messages between a candidate and some voters, so that a few moves suffice to acquire, lose and reacquire the lease.
      */
     public Found exhaust(int depth, int troubles, boolean large) {
         Search search = new Search(depth, troubles, large);
@@ -85,7 +88,7 @@
         }
     }
 
-    /** A way of so many steps, drawn from the seed; then quiet, in which somebody has to hold it again. */
+    /** Plays a random walk of up to {@code steps} moves drawn from the seed, then a phase without faults in which a candidate has to hold the lease again. */
     public Walk walk(long seed, int steps) {
         SplittableRandom random = new SplittableRandom(seed);
         LeaseWorld world = new LeaseWorld(candidates, disks, changing, random.nextInt(1 << 3 + candidates), planted);
@@ -104,7 +107,7 @@
     private static Move draw(SplittableRandom random, LeaseWorld world) {
         int kind = random.nextInt(100);
         int first = world.underWay();
-        // Mostly the oldest, at times any: what is an hour late comes, too.
+        // Mostly one of the oldest, sometimes any: very late messages have to occur, too.
         int letter = first == 0 ? 0 : random.nextInt(4) > 0 ? random.nextInt(Math.min(3, first)) : random.nextInt(first);
         if (kind < DELIVER) {
             return new Move(Kind.DELIVER, letter);
@@ -128,7 +131,7 @@
         return troubles.get(random.nextInt(troubles.size()));
     }
 
-    /** The same with as many steps left out as can be while it still breaks. */
+    /** Removes as many moves from a failed walk as possible while it still fails. */
     public List<Move> shrink(Walk failed) {
         List<Move> least = new ArrayList<>(failed.path);
         int fast = new SplittableRandom(failed.seed).nextInt(1 << 3 + candidates);
--- a/src/main/java/dappleseam/lab/fleet/LeaseWorld.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseWorld.java
@@ -17,49 +17,49 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Three voters, some candidates for one lease and a resource, with clocks that run as far apart as they may: whoever plays it says what happens next.
- * Where the set of voters changes, a fourth takes the third one's place. The modules are the shipped ones. Times in ms.
+ * A model of three voters, some candidates for one lease, and a resource, for model checking: the caller chooses each next event. The clocks drift apart by as much as
+ * is allowed. If the set of voters changes, a fourth voter replaces the third one. The lease modules are the shipped ones. Times are in ms.
  */
 public final class LeaseWorld {
-    /** Faults built in on purpose, each of which has to be found. */
+    /** Deliberate faults, each of which the model checker has to find. */
     public enum Planted {
         NONE,
-        /** Holders reckon as if all clocks ran at one rate. */
+        /** Holders calculate as if all clocks ran at the same rate. */
         NO_MARGIN,
-        /** Voters answer at once after a start from nothing. */
+        /** Voters that start without stored state reply at once. */
         FORGETFUL,
-        /** The disk says that it has written before it has; the wall clock stands, so that rounds rest on the disk alone. */
+        /** The disk acknowledges writes before they are durable; the wall clock does not advance, so that round numbers depend on the disk alone. */
         LATE_FORCE,
-        /** The resource takes any token. */
+        /** The resource accepts any token. */
         NO_FENCE,
-        /** A file counts as closed that was not. */
+        /** A voter's state file counts as cleanly closed although it was not. */
         EVER_CLOSED,
-        /** The task acts by a check that it made a while ago. */
+        /** The task acts on a check that it made a while ago. */
         EARLY_CHECK,
-        /** One voter's answer counts for two. */
+        /** One voter's reply counts as the replies of two. */
         MINORITY,
-        /** Clocks over their bound: only the resource is left. */
+        /** Clocks drift beyond their bound: only the fencing at the resource still protects it. */
         OVER_BOUND,
-        /** A new voter starts before those that stay have the new set. */
+        /** A new voter starts before the remaining voters have the new set. */
         WRONG_ORDER
     }
 
-    /** What may happen next. */
+    /** The possible events. */
     public enum Kind { ROUND, DELIVER, LOSE, REPEAT, TIME, LONG, RESTART_VOTER, CLOSE_VOTER, RESTORE_VOTER, RESTART_CANDIDATE, CUT, GIVE, CHECK, ACT, MOVE_VOTER, MOVE_CANDIDATE }
 
-    /** {@code which}: a message's place or a number; of a ROUND sixteen times the candidate's, and a bit for each voter. */
+    /** {@code which}: a message's index or a node's number; for a ROUND, sixteen times the candidate's number plus a bit for each voter. */
     public record Move(Kind kind, int which) {}
 
     private static final int VOTERS = 3;
-    /** With the one that comes. */
+    /** Including the new voter. */
     private static final int SEATS = 4;
     private static final int NEW = 3;
     private static final double LEASE_MS = 1000;
-    /** Large, so that a few steps show it. */
+    /** Large, so that its effect shows within a few steps. */
     private static final double DRIFT = 0.2;
     private static final double STEP_MS = LEASE_MS / 16;
     private static final double LONG_MS = LEASE_MS * 0.4;
-    /** A check that is so old is what EARLY_CHECK acts by. */
+    /** The age up to which EARLY_CHECK acts on a check. */
     private static final double OLD_CHECK_MS = LEASE_MS;
     private static final int MOST_UNDER_WAY = 60;
     private static final int MOST_COPIES = 12;
@@ -81,7 +81,7 @@
     private int overlaps;
     private String broken;
 
-    /** A message under way: to whom, and what it does there. */
+    /** A message in flight: its receiver, and what it does there. */
     private record Letter(boolean toVoter, int to, int candidate, int voter, String text, Consumer<Object> deliver) {}
 
     private static MemberName voterName(int number) {
@@ -92,7 +92,7 @@
         return new MemberName("c" + number);
     }
 
-    /** A chance that can be told apart by how often it was asked. */
+    /** A deterministic random source whose state is the number of values drawn. */
     private static final class Counter implements RandomGenerator {
         private long count;
 
@@ -108,6 +108,7 @@
         }
     }
 
+    /** A process whose clock runs at {@code rate} times true time. */
     private abstract static class Clocked {
         final double rate;
 
@@ -125,7 +126,7 @@
         Voter voter;
         LeaseConfig terms = before;
         VoterState onDisk;
-        /** Copies that somebody made: of the last writings, some of each age. */
+        /** Backup copies of the disk: the first state written and the most recent ones. */
         final List<VoterState> copies = new ArrayList<>();
 
         VoterSeat(int number, double rate) {
@@ -136,7 +137,7 @@
         void start() {
             boolean forgets = planted == Planted.FORGETFUL;
             if (planted == Planted.LATE_FORCE) {
-                onDisk = copies.isEmpty() ? null : copies.get(Math.max(0, copies.size() - 4)); // the last writings had not come there
+                onDisk = copies.isEmpty() ? null : copies.get(Math.max(0, copies.size() - 4)); // the last writes had not reached the disk
             }
             voter = new Voter(voterName(number), ++nonces, terms, new FromVoter(number), disks ? this : null, clock(now) - (forgets ? 2 * LEASE_MS : 0),
                     planted == Planted.LATE_FORCE ? 0 : (long) now);
@@ -145,7 +146,7 @@
         @Override
         public VoterState read() throws IOException {
             if (onDisk == null) {
-                throw new IOException("nothing there");
+                throw new IOException("no voter state on disk");
             }
             return planted == Planted.EVER_CLOSED ? new VoterState(onDisk.voter(), onDisk.configFingerprint(), onDisk.startNumber(), true, onDisk.votes()) : onDisk;
         }
@@ -168,7 +169,7 @@
         Token holds;
         Token checked;
         double checkedAt;
-        /** Nothing goes to it or from it. */
+        /** Whether all messages to and from it are lost. */
         boolean isCut;
 
         CandidateSeat(int number, double rate) {
@@ -184,7 +185,7 @@
             candidate.acquire(clock(now), LEASE);
         }
 
-        /** One without a margin says that it has one, or the voters would refuse it. */
+        /** The configuration fingerprint to send: a candidate without a margin pretends to have one, as the voters would refuse it otherwise. */
         private int told(int set) {
             return planted == Planted.NO_MARGIN ? terms.fingerprint() : set;
         }
@@ -231,7 +232,7 @@
             holds = token;
             takes++;
             if (!lastTaken.isBelow(token)) {
-                breaks("a token did not grow: " + lastTaken + " then " + token);
+                breaks("a token did not increase: " + lastTaken + " then " + token);
             }
             lastTaken = token;
         }
@@ -248,10 +249,11 @@
 
         @Override
         public void log(String text) {
-            // nobody reads it
+            // log lines are not needed here
         }
     }
 
+    /** Sends the messages of one voter. */
     private final class FromVoter implements VoterMessages {
         final int number;
 
@@ -305,7 +307,7 @@
         }
     }
 
-    /** {@code fast}: which of voters and candidates have the fast clock, a bit each; the others have the slow one. */
+    /** {@code fastClocks}: a bit for each voter, then for each candidate, that has the fast clock; the others have the slow one. */
     public LeaseWorld(int candidates, boolean disks, boolean changing, int fast, Planted planted) {
         this.planted = planted;
         this.disks = disks;
@@ -323,7 +325,7 @@
         if (changing) {
             voters.add(new VoterSeat(NEW, (fast & 1) == 1 ? 1 - apart : 1 + apart));
         }
-        now += 2 * LEASE_MS; // they have been silent for long enough
+        now += 2 * LEASE_MS; // the voters' initial silence is over
         deliverAll();
         wakeVoters();
         deliverAll();
@@ -334,17 +336,17 @@
         voters.stream().filter(v -> v.voter != null).forEach(v -> v.voter.woken());
     }
 
-    /** What is broken, or null. */
+    /** The first violation found, or null. */
     public String broken() {
         return broken;
     }
 
-    /** How often two thought at once that they hold it, with clocks over their bound. */
+    /** How often two candidates held the lease at once because clocks were beyond their bound. */
     public int overlaps() {
         return overlaps;
     }
 
-    /** How often the lease was taken. */
+    /** How often the lease was acquired. */
     public int takes() {
         return takes;
     }
@@ -353,6 +355,7 @@
         broken = broken == null ? what : broken;
     }
 
+    /** The number of messages in flight. */
     public int underWay() {
         return underWay.size();
     }
@@ -391,7 +394,7 @@
         }
     }
 
-    /** What may happen now, up to the {@code first} of those under way. */
+    /** The moves that are possible now, including those with the oldest {@code maxMessages} messages in flight. */
     public List<Move> moves(int first) {
         List<Move> moves = new ArrayList<>();
         for (int i = 0; i < Math.min(first, underWay.size()); i++) {
@@ -429,7 +432,7 @@
         return moves;
     }
 
-    /** By docs/fleet.md: those that stay have the new set before the new one starts, and may go back as long as it has not. */
+    /** The procedure of docs/fleet.md: the remaining voters get the new set before the new voter starts, and may go back to the old one until then. */
     private boolean mayMove(int voter) {
         boolean newStarted = changing && voters.get(NEW).voter != null;
         boolean stayersMoved = voters.get(0).terms == after && voters.get(1).terms == after;
@@ -437,13 +440,13 @@
                 : voter != 2 && (!newStarted || planted == Planted.WRONG_ORDER && voters.get(voter).terms == before));
     }
 
-    /** A start with the other set. */
+    /** Restarts the voter with the other set of voters. */
     private void move(VoterSeat seat) {
         seat.terms = seat.number == NEW || seat.terms == before ? after : before;
         seat.start();
     }
 
-    /** The same in large steps: all that passes between a candidate and some voters, to the end. */
+    /** The possible coarse moves: a ROUND delivers all messages between a candidate and some of the voters until none is left. */
     public List<Move> largeMoves() {
         List<Move> moves = new ArrayList<>(moves(0));
         moves.removeIf(m -> m.kind() == Kind.CHECK || m.kind() == Kind.ACT || m.kind() == Kind.CUT);
@@ -468,6 +471,7 @@
         }
     }
 
+    /** Applies a move and checks the invariants. */
     public void play(Move move) {
         int which = move.which();
         switch (move.kind()) {
@@ -529,7 +533,7 @@
         check();
     }
 
-    /** What a stall between check and act leaves to the resource. */
+    /** Acts on the resource with the token of the last check, which a stall in between may have made outdated: then the resource has to fence it off. */
     private void act(CandidateSeat seat) {
         if (seat.checked == null) {
             return;
@@ -538,7 +542,7 @@
             seat.candidate.fenced(seat.clock(now), LEASE, atResource);
         } else {
             if (seat.checked.isBelow(atResource)) {
-                breaks("the resource took " + seat.checked + " after " + atResource);
+                breaks("the resource accepted " + seat.checked + " after " + atResource);
             }
             atResource = seat.checked;
         }
@@ -555,11 +559,11 @@
         if (acting > 1 && planted == Planted.OVER_BOUND) {
             overlaps++;
         } else if (acting > 1) {
-            breaks("two act at once");
+            breaks("two candidates act at once");
         }
     }
 
-    /** With all voters there and nothing lost, somebody holds it again in time, and stays the one. */
+    /** Runs without faults, with all voters available and on the new set: a candidate has to hold the lease again at the end of that time. */
     public void settle(double ms) {
         candidates.forEach(c -> c.isCut = false);
         for (int i : changing ? new int[] {0, 1, NEW} : new int[0]) {
@@ -580,15 +584,16 @@
             check();
         }
         if (planted != Planted.OVER_BOUND && candidates.stream().noneMatch(c -> c.candidate.validToken(c.clock(now), LEASE, 0) != null)) {
-            breaks("nobody holds it after " + ms + " ms of quiet");
+            breaks("no candidate holds the lease after " + ms + " ms without faults");
         }
     }
 
-    /** Time in ms in which a lease is held again, whatever came before, with all voters there. */
+    /** Time in ms within which the lease is held again, whatever happened before, if all voters are available. */
     public static double settleMs() {
         return 4 * LEASE_MS;
     }
 
+    /** The complete state of the model as text, to recognize states that were visited before. */
     public String state() {
         StringBuilder text = new StringBuilder();
         voters.forEach(v -> text.append(v.terms.number()).append(v.voter == null ? "" : v.voter.state(v.clock(now))).append('\n'));
--- a/src/test/java/dappleseam/lab/fleet/ExplorationTest.java
+++ b/src/test/java/dappleseam/lab/fleet/ExplorationTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Every order of events of three members, to a small depth; {@code lab explore} goes deeper. */
+/** All orders of events of three members up to a small depth; {@code lab explore} goes deeper. */
 class ExplorationTest {
     @Test
     void noOrderOfEventsBreaksAPromise() {
@@ -13,7 +13,7 @@
         assertThat(found.states()).isGreaterThan(800);
     }
 
-    /** Guards the whole against a member that starts while the others have long agreed. */
+    /** Guards against exceeding the total when a member starts long after the others have agreed. */
     @Test
     void noOrderOfLateStartsTakesMoreThanTheWhole() {
         for (int early = 1; early < 3; early++) {
@@ -23,6 +23,6 @@
 
     @Test
     void aDefenceTakenOutIsFound() {
-        assertThat(new Exploration(3, 2, true, Planted.NO_REFUTATION).run().broken()).contains("in the quiet after");
+        assertThat(new Exploration(3, 2, true, Planted.NO_REFUTATION).run().broken()).contains("in the phase without faults after");
     }
 }
--- a/src/test/java/dappleseam/lab/fleet/HistoryTest.java
+++ b/src/test/java/dappleseam/lab/fleet/HistoryTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Whole histories of a fleet, drawn and shrunk: whatever befalls it, its views keep their promises. */
+/** Random fault histories, generated and shrunk: the membership keeps its guarantees whatever the faults. */
 class HistoryTest {
     @Provide
     Arbitrary<History> histories() {
@@ -40,13 +40,13 @@
         assertThat(verdict.taken().least()).as("half of an even share").isGreaterThan(ShareCalculator.EVEN_PART - 1e-9);
     }
 
-    /** Without what others tell of their traffic each takes it for all there is. */
+    /** Without the others' traffic, each member takes its own for all traffic of the fleet, so the shares have to exceed the total. */
     @Test
     void thatSharesGoOverTheWholeIsSeen() {
         assertThat(History.draw(3, 6, 4).withShares().play(Planted.NO_RATES).taken().most()).isGreaterThan(1 + ViewChecker.margin(6));
     }
 
-    /** Each defence is seen to be missed, and what it takes is told in few steps. */
+    /** The absence of each safeguard is detected, and the failing history can be shrunk to fewer steps. */
     @ParameterizedTest
     @EnumSource(value = Planted.class, names = {"NO_REFUTATION", "NO_MERGE"})
     void aDefenceTakenOutIsSeen(Planted planted) {
--- a/src/test/java/dappleseam/lab/fleet/LeaseCheckerTest.java
+++ b/src/test/java/dappleseam/lab/fleet/LeaseCheckerTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The checker against records of processes that do wrong on purpose. */
+/** Runs the checker on records that contain deliberate violations. */
 class LeaseCheckerTest {
     private static final double RUNS = Double.POSITIVE_INFINITY;
 
--- a/src/test/java/dappleseam/lab/fleet/LeaseCrowdTest.java
+++ b/src/test/java/dappleseam/lab/fleet/LeaseCrowdTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Many candidates for a few leases: `lab leases --crowd` says more. */
+/** Many candidates for a few leases; {@code lab leases --crowd} measures more sizes. */
 class LeaseCrowdTest {
     private static double figure(String line, String before) {
         String rest = line.substring(line.indexOf(before) + before.length()).strip();
--- a/src/test/java/dappleseam/lab/fleet/LeaseExplorationTest.java
+++ b/src/test/java/dappleseam/lab/fleet/LeaseExplorationTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Leases by model checking of the shipped modules; {@code lab leases} goes deeper and longer. */
+/** Model checking of the shipped lease modules; {@code lab leases} searches deeper and plays more walks. */
 class LeaseExplorationTest {
     private static final int STEPS = 500;
 
@@ -23,8 +23,8 @@
     @CsvSource({"2, false, false", "3, false, false", "2, true, false", "3, true, false", "2, false, true", "3, true, true"})
     void noRandomWayBreaksALease(int candidates, boolean disks, boolean changing) {
         List<Walk> walks = walks(candidates, disks, changing, Planted.NONE, 3000);
-        assertThat(walks).allMatch(w -> w.broken() == null, "unbroken");
-        assertThat(walks.stream().mapToInt(Walk::takes).sum()).as("leases were taken").isGreaterThan(3000);
+        assertThat(walks).allMatch(w -> w.broken() == null, "no violation");
+        assertThat(walks.stream().mapToInt(Walk::takes).sum()).as("leases were acquired").isGreaterThan(3000);
     }
 
     @Test
@@ -38,11 +38,11 @@
         assertThat(small.broken()).isNull();
     }
 
-    /** Each fault that is built in is found, or the check could not fail. */
+    /** Each planted fault has to be found; otherwise the check could not fail. */
     @ParameterizedTest
-    @CsvSource({"NO_MARGIN, false, 5000, two act at once", "FORGETFUL, false, 5000, two act at once", "EARLY_CHECK, false, 5000, two act at once",
-        "MINORITY, false, 500, two act at once", "NO_FENCE, false, 20000, the resource took", "LATE_FORCE, true, 3000, a token did not grow",
-        "EVER_CLOSED, true, 36000, two act at once", "WRONG_ORDER, false, 5000, two act at once"})
+    @CsvSource({"NO_MARGIN, false, 5000, two candidates act at once", "FORGETFUL, false, 5000, two candidates act at once", "EARLY_CHECK, false, 5000, two candidates act at once",
+        "MINORITY, false, 500, two candidates act at once", "NO_FENCE, false, 20000, the resource accepted", "LATE_FORCE, true, 3000, a token did not increase",
+        "EVER_CLOSED, true, 36000, two candidates act at once", "WRONG_ORDER, false, 5000, two candidates act at once"})
     void aPlantedFaultIsFound(Planted planted, boolean disks, int seeds, String what) {
         assertThat(walks(2, disks, planted == Planted.WRONG_ORDER, planted, seeds)).anyMatch(w -> w.broken() != null && w.broken().startsWith(what));
     }
@@ -50,8 +50,8 @@
     @Test
     void clocksOverTheirBoundLeaveTheResourceRight() {
         List<Walk> walks = walks(2, false, false, Planted.OVER_BOUND, 5000);
-        assertThat(walks.stream().mapToInt(Walk::overlaps).sum()).as("two did think that they hold it").isPositive();
-        assertThat(walks).allMatch(w -> w.broken() == null, "the resource took nothing older");
+        assertThat(walks.stream().mapToInt(Walk::overlaps).sum()).as("two candidates held the lease at once").isPositive();
+        assertThat(walks).allMatch(w -> w.broken() == null, "the resource accepted no older token");
     }
 
     @Test
--- a/src/test/java/dappleseam/lab/fleet/SubsetsTest.java
+++ b/src/test/java/dappleseam/lab/fleet/SubsetsTest.java
@@ -5,7 +5,7 @@
 import dappleseam.lab.fleet.Subsets.Way;
 import org.junit.jupiter.api.Test;
 
-/** Places beside the baselines, over a few draws of traffic. */
+/** Compares the shipped traffic positions with the baselines over several random traffic distributions. */
 class SubsetsTest {
     @Test
     void placesAreMoreEvenThanChanceAndMoveFewerThanNumbers() {
--- a/src/test/java/dappleseam/lab/fleet/ViewCheckerTest.java
+++ b/src/test/java/dappleseam/lab/fleet/ViewCheckerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The checker against records of members that do wrong on purpose. */
+/** Runs the checker on records that contain deliberate violations. */
 class ViewCheckerTest {
     private static final Bounds BOUNDS = new Bounds(10, 10, 1000, 10);
 
@@ -152,7 +152,7 @@
         say(500, 1, Verdict.CONVICTED);
         say(600, 2, Verdict.CLEARED);
         assertThat(broken()).isEmpty();
-        say(500, 2, Verdict.CONVICTED); // by its own sight alone
+        say(500, 2, Verdict.CONVICTED); // from its own observation alone
         assertThat(broken()).containsExactly(Promise.FALSE_SIGNAL);
     }
 
