--- a/src/main/java/dappleseam/lab/fleet/Exploration.java
+++ b/src/main/java/dappleseam/lab/fleet/Exploration.java
@@ -206,11 +206,11 @@
             checkSum();
         }
 
-        /** Checks that the running members, however little they know of each other, divide the whole by fleet sizes large enough that together they use no more than it. */
+        /** Checks that the running members, however little they know of each other, divide the fleet-wide limits by fleet sizes large enough that together they do not exceed the limits. */
         void checkSum() {
             double sum = members.stream().filter(m -> m.up).mapToDouble(m -> 1.0 / m.membership.fleetSize()).sum();
             if (sum > 1 + ROUNDING) {
-                breaks(String.format(Locale.ROOT, "the members together used %.3f of the whole", sum));
+                breaks(String.format(Locale.ROOT, "the members together used %.3f of the fleet-wide limits", sum));
             }
         }
 
--- a/src/main/java/dappleseam/lab/fleet/History.java
+++ b/src/main/java/dappleseam/lab/fleet/History.java
@@ -27,7 +27,7 @@
 
     private static final double PERIOD_MS = 1000;
     private static final double START_MS = 20_000;
-    /** Time in ms after the last fault until all views have to be correct: a retry of each failed member, then the propagation of the news. */
+    /** Time in ms after the last fault until all views have to be correct: a retry of each failed member, then the propagation of the update. */
     private static final double SETTLE_MS = 180_000;
     /** Time in ms from the end of a process until all know of it: the longest suspicion and two rounds of probes. */
     private static final double LATE_MS = 60_000;
--- a/src/main/java/dappleseam/lab/fleet/ViewChecker.java
+++ b/src/main/java/dappleseam/lab/fleet/ViewChecker.java
@@ -25,9 +25,9 @@
         RESURRECTION,
         /** A view is wrong at the end, long after all faults. */
         NO_AGREEMENT,
-        /** The members divided the whole by such small fleet sizes that together they used more than the whole. */
+        /** The members divided the fleet-wide limits by such small fleet sizes that together they exceeded the limits. */
         MORE_THAN_WHOLE,
-        /** The members' traffic shares added up to more than the whole and the margin. */
+        /** The members' traffic shares of the fleet-wide limits added up to more than one plus the margin. */
         SHARES_OVER_WHOLE,
         /** Peers' verdicts convinced a process that a cache fails, although no other process's record shows that it observed that. */
         FALSE_SIGNAL
@@ -36,7 +36,7 @@
     /** One broken guarantee, with a description of what happened. */
     public record Breach(Promise promise, double ms, String what) {}
 
-    /** What a process divides the whole limits by from that time on: the fleet size, or the reciprocal of its share. */
+    /** What a process divides the fleet-wide limits by from that time on: the fleet size, or the reciprocal of its share. */
     public record Counted(double ms, long viewer, double counted) {}
 
     /** {@code FAILS} and {@code CLEARED} are a process's own observations of a cache, {@code CONVICTED} is the result of its peers' verdicts. */
@@ -55,7 +55,7 @@
     /**
      * {@code detectionMs}: from the end of a process until all know of it. {@code graceMs}: the time after a fault in which failures may still be reported.
      * {@code settledAtMs}: the time at which all views have to be correct; later records, made while the fleet is shut down, are ignored.
-     * {@code propagationMs}: the fault-free time in which a new process becomes known to all; until then its use does not count towards the whole.
+     * {@code propagationMs}: the fault-free time in which a new process becomes known to all; until then its use does not count towards the sum.
      */
     public record Bounds(double lateMs, double graceMs, double settledMs, double rumourMs) {}
 
@@ -202,12 +202,12 @@
         }
     }
 
-    /** How far the sum of all shares may exceed the whole: one fifth for partitions and delayed announcements, and one and a half even shares for new processes. */
+    /** How far the sum of all shares may exceed one: by a fifth for partitions and delayed announcements, and by one and a half even shares for new processes. */
     public static double margin(int members) {
         return 0.2 + 1.5 / members;
     }
 
-    /** Guards the division of limits: the sum of the reciprocal divisors of all running processes stays within the whole and the margin. */
+    /** Guards the division of limits: the sum of the reciprocal divisors of all running processes stays within one plus the margin. */
     private void within(List<Counted> counts, Promise promise, double margin) {
         Map<Long, Double> now = new HashMap<>();
         double worst = 1 + margin;
@@ -221,7 +221,7 @@
             }
             if (sum > worst + 1e-9) {
                 worst = sum;
-                found = new Breach(promise, count.ms(), String.format(Locale.ROOT, "the members together used %.3f of the whole", sum));
+                found = new Breach(promise, count.ms(), String.format(Locale.ROOT, "the members together used %.3f of the fleet-wide limits", sum));
             }
         }
         if (found != null) {
--- a/src/test/java/dappleseam/lab/fleet/ExplorationTest.java
+++ b/src/test/java/dappleseam/lab/fleet/ExplorationTest.java
@@ -13,7 +13,7 @@
         assertThat(found.states()).isGreaterThan(800);
     }
 
-    /** Guards against exceeding the total when a member starts long after the others have agreed. */
+    /** Guards against exceeding the fleet-wide limits when a member starts long after the others have agreed. */
     @Test
     void noOrderOfLateStartsTakesMoreThanTheWhole() {
         for (int early = 1; early < 3; early++) {
--- a/src/test/java/dappleseam/lab/fleet/HistoryTest.java
+++ b/src/test/java/dappleseam/lab/fleet/HistoryTest.java
@@ -40,7 +40,7 @@
         assertThat(verdict.taken().least()).as("half of an even share").isGreaterThan(ShareCalculator.EVEN_PART - 1e-9);
     }
 
-    /** Without the others' traffic, each member takes its own for all traffic of the fleet, so the shares have to exceed the total. */
+    /** Without the others' traffic, each member takes its own for all traffic of the fleet, so the shares add up to more than one. */
     @Test
     void thatSharesGoOverTheWholeIsSeen() {
         assertThat(History.draw(3, 6, 4).withShares().play(Planted.NO_RATES).taken().most()).isGreaterThan(1 + ViewChecker.margin(6));
