--- a/src/main/java/dappleseam/lab/fleet/Exploration.java
+++ b/src/main/java/dappleseam/lab/fleet/Exploration.java
@@ -206,7 +206,7 @@
             checkSum();
         }
 
-        /** Checks that the running members, however little they know of each other, divide the fleet-wide limits by fleet sizes large enough that together they do not exceed the limits. */
+        /** Checks that the running members, however little they know of each other, together stay within the fleet-wide limits, which each divides by its fleet size. */
         void checkSum() {
             double sum = members.stream().filter(m -> m.up).mapToDouble(m -> 1.0 / m.membership.fleetSize()).sum();
             if (sum > 1 + ROUNDING) {
@@ -278,7 +278,7 @@
             name = new MemberName("p" + number);
         }
 
-        /** Starts the member without state. Its wall clock stands still, so generations differ in their nonces only, and the greater one is not always the later one. */
+        /** Starts the member without state. Its wall clock stands still, so its generations differ in their nonces only, and the greater one is not always the later. */
         void start(double now) {
             chance = new Counter();
             MemberEntry self = new MemberEntry(name, SimulatedFleet.address(number), new Generation(1000, 10L * (starts % 2 == 0 ? 5 + starts : 5 - starts) + number), 0, State.ALIVE, 0);
--- a/src/main/java/dappleseam/lab/fleet/History.java
+++ b/src/main/java/dappleseam/lab/fleet/History.java
@@ -16,13 +16,19 @@
     /** The kinds of faults. */
     public enum Kind { KILL, RESTART, CLOCK_BACK, CLOCK_AHEAD, LEAVE, STOP, SPLIT, ONE_WAY, LOSSY, ALL_LOSSY, SWAP }
 
-    /** {@code a} and {@code b} are members' numbers, for a split the last members of the first two partitions; {@code afterMs}: time since the previous step; {@code forMs}: duration. */
+    /**
+     * A fault. {@code a} and {@code b} are members' numbers, for a split the last members of the first two partitions; {@code afterMs}: time since the
+     * previous step; {@code forMs}: duration.
+     */
     public record Step(Kind kind, int a, int b, double afterMs, double forMs) {}
 
     /** The result; {@code agreedMs}: time from the end of the last fault until all views agreed, NaN if they did not. */
     public record Verdict(List<ViewChecker.Breach> breaches, double agreedMs, long datagrams, Taken taken) {}
 
-    /** With shares by traffic: the highest sum of all running members' shares and its time in ms, the lowest share of a member as a multiple of an even share, and the sum at the end. */
+    /**
+     * With shares by traffic: the highest sum of all running members' shares and its time in ms, the lowest share of a member as a multiple of an even
+     * share, and the sum at the end.
+     */
     public record Taken(double most, double mostAtMs, double least, double last) {}
 
     private static final double PERIOD_MS = 1000;
--- a/src/main/java/dappleseam/lab/fleet/LeaseChecker.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseChecker.java
@@ -10,7 +10,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Checks from the processes' own records, on one machine's monotonic clock, that no two processes hold a lease at the same time and that tokens increase. Performs no I/O. */
+/**
+ * Checks from the processes' own records, on one machine's monotonic clock, that no two processes hold a lease at the same time and that tokens
+ * increase. Performs no I/O.
+ */
 public final class LeaseChecker {
     /** One line of a process's record: it holds the lease until {@code untilMs}, or has lost it if that is NaN. {@code endedMs}: when the process was taken down. */
     public record Line(String process, String lease, long round, double ms, double untilMs, double endedMs) {}
--- a/src/main/java/dappleseam/lab/fleet/LeaseCrowd.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseCrowd.java
@@ -21,8 +21,9 @@
 import java.util.function.Consumer;
 
 /**
- * Many members that all compete for some leases, in simulated time: how much they send, how the leases spread over them, and for how long a lease has no holder when holders die.
- * The lease modules are the shipped ones. The members' views are correct, except that a dead member counts as live until its death is detected. Times are in ms.
+ * Many members that all compete for some leases, in simulated time: how much they send, how the leases spread over them, and for how long a lease
+ * has no holder when holders die. The lease modules are the shipped ones. The members' views are correct, except that a dead member counts as live
+ * until its death is detected. Times are in ms.
  */
 public final class LeaseCrowd extends SimulatedTime {
     private static final double SECOND = 1000;
@@ -219,7 +220,10 @@
         after(UNKNOWN_MS, () -> sees(node.name, false));
     }
 
-    /** Kills that many holders one after another, each of which restarts without state; reports in one line the messages sent per lease while it is held and after deaths, and the times without a holder. */
+    /**
+     * Kills that many holders one after another, each of which restarts without state. Reports in one line the messages sent per lease while it is held
+     * and after deaths, and the times without a holder.
+     */
     public String storm(int deaths) {
         runFor(6 * terms.leaseMs());
         long before = sent;
--- a/src/main/java/dappleseam/lab/fleet/LeaseWorld.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseWorld.java
@@ -17,8 +17,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A model of three voters, some candidates for one lease, and a resource, for model checking: the caller chooses each next event. The clocks drift apart by as much as
- * is allowed. If the set of voters changes, a fourth voter replaces the third one. The lease modules are the shipped ones. Times are in ms.
+ * A model of three voters, some candidates for one lease, and a resource, for model checking: the caller chooses each next event. The clocks drift
+ * apart by as much as is allowed. If the set of voters changes, a fourth voter replaces the third one. The lease modules are the shipped ones. Times
+ * are in ms.
  */
 public final class LeaseWorld {
     /** Deliberate faults, each of which the model checker has to find. */
@@ -563,7 +564,7 @@
         }
     }
 
-    /** Runs without faults, with all voters available and on the new set: a candidate has to hold the lease again at the end of that time. */
+    /** Runs without faults, with all voters available and on the new set: a candidate has to hold the lease again at the end of that time, and never two at once. */
     public void settle(double ms) {
         candidates.forEach(c -> c.isCut = false);
         for (int i : changing ? new int[] {0, 1, NEW} : new int[0]) {
--- a/src/main/java/dappleseam/lab/fleet/Sight.java
+++ b/src/main/java/dappleseam/lab/fleet/Sight.java
@@ -2,5 +2,8 @@
 
 import dappleseam.fleet.membership.MemberEntry.State;
 
-/** One line of a proxy's own record: the state that the process {@code viewer} assigned to the process {@code nonce} of {@code member}. Processes are identified by their nonces. */
+/**
+ * One line of a proxy's own record: the state that the process {@code viewer} assigned to the process {@code nonce} of {@code member}. Processes are
+ * identified by their nonces.
+ */
 public record Sight(double ms, long viewer, String who, long nonce, int incarnation, State state) {}
--- a/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
+++ b/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
@@ -314,7 +314,10 @@
         return size + (letter.announcements() == null ? 0 : letter.announcements().stream().mapToInt(Announcement::maxEncodedBytes).sum());
     }
 
-    /** Creates a duplicate: a node that uses another node's name, as after a configuration mistake. It is not started, and is not among {@link #nodes()}, whose views have to agree. */
+    /**
+     * Creates a duplicate: a node that uses another node's name, as after a configuration mistake. It is not started, and is not among {@link #nodes()},
+     * whose views have to agree.
+     */
     public Node twinOf(int number) {
         return new Node(nodes.size(), nodes.get(number).name, address(nodes.size()));
     }
--- a/src/main/java/dappleseam/lab/fleet/SimulatedTime.java
+++ b/src/main/java/dappleseam/lab/fleet/SimulatedTime.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** A discrete-event simulation: runs events in the order of their times, and events of the same time in the order in which they were scheduled. Times are in ms. Not thread-safe. */
+/**
+ * A discrete-event simulation: runs events in the order of their times, and events of the same time in the order in which they were scheduled. Times
+ * are in ms. Not thread-safe.
+ */
 public abstract class SimulatedTime {
     protected double now;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
--- a/src/main/java/dappleseam/lab/fleet/Subsets.java
+++ b/src/main/java/dappleseam/lab/fleet/Subsets.java
@@ -14,8 +14,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Measures which of several copies of a hot key each proxy uses, with the shipped {@link TrafficPosition} and with the baselines implemented here: random choice, rendezvous hashing
- * (Thaler, Ravishankar 1998) and deterministic subsetting (Google's SRE book, chapter 20) with subsets of one. Traffic is skewed: some proxies have twenty times as much as others.
+ * Measures which of several copies of a hot key each proxy uses, with the shipped {@link TrafficPosition} and with the baselines implemented here:
+ * random choice, rendezvous hashing (Thaler, Ravishankar 1998) and deterministic subsetting (Google's SRE book, chapter 20) with subsets of one.
+ * Traffic is skewed: some proxies have twenty times as much as others.
  */
 public record Subsets(int proxies, int locations, int copies, long seed) {
     /** How a proxy selects its copy. */
@@ -27,8 +28,9 @@
     }
 
     /**
-     * {@code peak}: the busiest copy's traffic relative to the mean; {@code locationPeak}: the same at the worst location, where each location has that many copies of its own;
-     * {@code proxyCountPeak}: the same by number of proxies instead of traffic; {@code moved}: mean number of proxies that change their copy when one proxy joins or leaves.
+     * {@code peak}: the busiest copy's traffic relative to the mean; {@code locationPeak}: the same at the worst location, where each location has that
+     * many copies of its own; {@code proxyCountPeak}: the same by number of proxies instead of traffic; {@code moved}: mean number of proxies that change
+     * their copy when one proxy joins or leaves.
      */
     public record Found(double peak, double near, double proxiesPeak, double moved) {}
 
