--- a/src/main/java/dappleseam/lab/fleet/Heartbeats.java
+++ b/src/main/java/dappleseam/lab/fleet/HeartbeatMembership.java
@@ -11,19 +11,19 @@
 import java.util.Map;
 
 /** A baseline: all-to-all heartbeats, one per period. A member that has not been heard from for five periods is considered failed. */
-final class Heartbeats implements Subject, MembershipProtocol {
-    private static final double SILENT_PERIODS = 5;
+final class HeartbeatMembership implements MembershipVariant, MembershipProtocol {
+    private static final double TIMEOUT_PERIODS = 5;
 
     private final MembershipHost host;
     private final double periodMs;
     private final MemberEntry self;
     private final Map<MemberName, MemberEntry> known = new LinkedHashMap<>();
-    private final Map<MemberName, Double> heardAt = new LinkedHashMap<>();
+    private final Map<MemberName, Double> lastHeardAtMs = new LinkedHashMap<>();
     private List<InetSocketAddress> addresses = List.of();
-    private double now;
-    private double nextAt;
+    private double currentMs;
+    private double nextSendAtMs;
 
-    Heartbeats(MembershipHost host, double periodMs, MemberEntry self) {
+    HeartbeatMembership(MembershipHost host, double periodMs, MemberEntry self) {
         this.host = host;
         this.periodMs = periodMs;
         this.self = self;
@@ -32,83 +32,83 @@
     @Override
     public void begin(double nowMs, List<InetSocketAddress> all) {
         addresses = all;
-        nextAt = nowMs;
+        nextSendAtMs = nowMs;
         woken(nowMs);
     }
 
     @Override
-    public MembershipProtocol heard(double nowMs) {
-        now = nowMs;
+    public MembershipProtocol receiver(double nowMs) {
+        currentMs = nowMs;
         return this;
     }
 
     @Override
     public void woken(double nowMs) {
-        now = nowMs;
-        if (now >= nextAt) {
+        currentMs = nowMs;
+        if (currentMs >= nextSendAtMs) {
             addresses.stream().filter(a -> !a.equals(self.address())).forEach(a -> host.gossip(a, self, List.of()));
-            heardAt.forEach((name, at) -> {
-                MemberEntry notice = known.get(name);
-                if (now > at + SILENT_PERIODS * periodMs && notice.state() == State.ALIVE) {
-                    see(notice, notice.withState(State.FAILED, 0));
+            lastHeardAtMs.forEach((name, at) -> {
+                MemberEntry entry = known.get(name);
+                if (currentMs > at + TIMEOUT_PERIODS * periodMs && entry.state() == State.ALIVE) {
+                    update(entry, entry.withState(State.FAILED, 0));
                 }
             });
-            nextAt = now + periodMs;
+            nextSendAtMs = currentMs + periodMs;
         }
-        host.wakeAt(nextAt);
+        host.wakeAt(nextSendAtMs);
     }
 
-    private void see(MemberEntry before, MemberEntry after) {
+    private void update(MemberEntry before, MemberEntry after) {
         known.put(after.name(), after);
         host.memberChanged(before, after);
     }
 
     @Override
-    public void refused(double nowMs, InetSocketAddress peer) {
+    public void connectionRefused(double nowMs, InetSocketAddress peer) {
         // heartbeats are not sent over connected sockets, so nothing is ever refused
     }
 
     @Override
-    public void leaving(double nowMs) {
+    public void announceLeave(double nowMs) {
         // the missing heartbeats show it soon enough
     }
 
     @Override
-    public MemberEntry of(MemberName name) {
+    public MemberEntry lookup(MemberName name) {
         return name.equals(self.name()) ? self : known.get(name);
     }
 
     @Override
-    public void gossip(InetSocketAddress from, MemberEntry sender, List<MemberEntry> news) {
+    public void gossip(InetSocketAddress from, MemberEntry sender, List<MemberEntry> updates) {
         MemberEntry before = known.get(sender.name());
-        heardAt.put(sender.name(), now);
+        lastHeardAtMs.put(sender.name(), currentMs);
         if (before == null || before.state() != State.ALIVE || !before.generation().equals(sender.generation())) {
-            see(before, sender);
+            update(before, sender);
         }
     }
 
     @Override
-    public void ping(InetSocketAddress peer, MemberEntry sender, long number, MemberName target, List<MemberEntry> news) {
+    public void ping(InetSocketAddress peer, MemberEntry sender, long sequence, MemberName target, List<MemberEntry> updates) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public void ack(InetSocketAddress peer, MemberEntry sender, long number, MemberEntry about, List<MemberEntry> news) {
+    public void ack(InetSocketAddress peer, MemberEntry sender, long sequence, MemberEntry subject, List<MemberEntry> updates) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public void nack(InetSocketAddress peer, MemberEntry sender, long number) {
+    public void nack(InetSocketAddress peer, MemberEntry sender, long sequence) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public void pingRequest(InetSocketAddress peer, MemberEntry sender, long number, MemberEntry target, List<MemberEntry> news) {
+    public void pingRequest(InetSocketAddress peer, MemberEntry sender, long sequence, MemberEntry target, List<MemberEntry> updates) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public void digests(InetSocketAddress peer, MemberEntry sender, boolean answer, int[] sums) {
+    public void digests(InetSocketAddress peer, MemberEntry sender, boolean isReply, int[] digests) {
         throw new UnsupportedOperationException();
     }
 }
--- a/src/main/java/dappleseam/lab/fleet/LeaseChecker.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseChecker.java
@@ -16,31 +16,31 @@
  */
 public final class LeaseChecker {
     /** One line of a process's record: it holds the lease until {@code untilMs}, or has lost it if that is NaN. {@code endedMs}: when the process was taken down. */
-    public record Line(String process, String lease, long round, double ms, double untilMs, double endedMs) {}
+    public record LeaseRecord(String process, String lease, long round, double ms, double untilMs, double endedMs) {}
 
     /** A period in which one process held the lease and could act on it. */
-    public record Holding(String process, long round, double fromMs, double toMs) {}
+    public record HoldPeriod(String process, long round, double fromMs, double toMs) {}
 
     /** The result for one lease: descriptions of the breaches, and the gaps without a holder in ms, each from the end of one period to the start of the next. */
-    public record Found(List<String> breaches, List<Holding> holdings, List<Double> gapsMs) {}
+    public record Result(List<String> breaches, List<HoldPeriod> holdPeriods, List<Double> gapsMs) {}
 
     /** One write, and whether the store accepted it. */
-    public record Write(double ms, Token token, long number, boolean taken) {}
+    public record Write(double ms, Token token, long number, boolean accepted) {}
 
     /** A fault injected into a holder. {@code process}: as in {@link LeaseRecord}. */
-    public record Hit(String how, double ms, String process) {}
+    public record HolderFault(String kind, double ms, String process) {}
 
     /** Times in ms after faults of one kind: without a holder that acts, and from the fault to the next holder; and how often no takeover could be measured. */
-    public record Absence(List<Double> withoutMs, List<Double> sinceHitMs, int withoutNext) {}
+    public record TakeoverTimes(List<Double> withoutHolderMs, List<Double> sinceFaultMs, int notTakenOver) {}
 
     private LeaseChecker() {}
 
     /** The breaches of a store that accepts a write older than the last one it accepted. */
-    public static List<String> writes(List<Write> writes) {
+    public static List<String> checkWrites(List<Write> writes) {
         List<String> breaches = new ArrayList<>();
         Write last = null;
         for (Write write : writes) {
-            if (write.taken()) {
+            if (write.accepted()) {
                 if (last != null && (write.token().isBelow(last.token()) || write.token().equals(last.token()) && write.number() <= last.number())) {
                     breaches.add(String.format(Locale.ROOT, "the store took write %d of %s after write %d of %s", write.number(), write.token().text(),
                             last.number(), last.token().text()));
@@ -52,67 +52,67 @@
     }
 
     /** The times without an acting holder by kind of fault; {@code immediateKinds}: kinds that stop the holder at once, whatever its record says. */
-    public static Map<String, Absence> absences(List<Hit> hits, List<Holding> holdings, Set<String> stops) {
-        Map<String, Absence> found = new TreeMap<>();
-        for (Hit hit : hits) {
-            Absence absence = found.computeIfAbsent(hit.how(), h -> new Absence(new ArrayList<>(), new ArrayList<>(), 0));
-            Holding held = holdings.stream().filter(h -> h.process().equals(hit.process()) && h.fromMs() <= hit.ms() && h.toMs() >= hit.ms()).findFirst().orElse(null);
-            Holding next = holdings.stream().filter(h -> h.fromMs() > hit.ms()).findFirst().orElse(null);
-            if (held == null || next == null) {
-                found.put(hit.how(), new Absence(absence.withoutMs(), absence.sinceHitMs(), absence.withoutNext() + 1));
+    public static Map<String, TakeoverTimes> takeoverTimes(List<HolderFault> faults, List<HoldPeriod> holdPeriods, Set<String> immediateKinds) {
+        Map<String, TakeoverTimes> found = new TreeMap<>();
+        for (HolderFault fault : faults) {
+            TakeoverTimes times = found.computeIfAbsent(fault.kind(), h -> new TakeoverTimes(new ArrayList<>(), new ArrayList<>(), 0));
+            HoldPeriod affected = holdPeriods.stream().filter(h -> h.process().equals(fault.process()) && h.fromMs() <= fault.ms() && h.toMs() >= fault.ms()).findFirst().orElse(null);
+            HoldPeriod next = holdPeriods.stream().filter(h -> h.fromMs() > fault.ms()).findFirst().orElse(null);
+            if (affected == null || next == null) {
+                found.put(fault.kind(), new TakeoverTimes(times.withoutHolderMs(), times.sinceFaultMs(), times.notTakenOver() + 1));
                 continue;
             }
-            double over = stops.contains(hit.how()) ? hit.ms() : held.toMs();
-            absence.withoutMs().add(next.fromMs() - over);
-            absence.sinceHitMs().add(next.fromMs() - hit.ms());
+            double heldUntil = immediateKinds.contains(fault.kind()) ? fault.ms() : affected.toMs();
+            times.withoutHolderMs().add(next.fromMs() - heldUntil);
+            times.sinceFaultMs().add(next.fromMs() - fault.ms());
         }
         return found;
     }
 
     /** Checks all records; returns the result by lease. */
-    public static Map<String, Found> check(List<Line> lines) {
-        Map<String, List<Line>> byLease = new TreeMap<>();
-        lines.stream().sorted(Comparator.comparingDouble(Line::ms)).forEach(l -> byLease.computeIfAbsent(l.lease(), k -> new ArrayList<>()).add(l));
-        Map<String, Found> found = new TreeMap<>();
-        byLease.forEach((lease, of) -> found.put(lease, check(holdings(of), lease)));
+    public static Map<String, Result> check(List<LeaseRecord> records) {
+        Map<String, List<LeaseRecord>> byLease = new TreeMap<>();
+        records.stream().sorted(Comparator.comparingDouble(LeaseRecord::ms)).forEach(l -> byLease.computeIfAbsent(l.lease(), k -> new ArrayList<>()).add(l));
+        Map<String, Result> found = new TreeMap<>();
+        byLease.forEach((lease, of) -> found.put(lease, check(holdPeriods(of), lease)));
         return found;
     }
 
-    private static List<Holding> holdings(List<Line> lines) {
-        Map<String, Holding> open = new LinkedHashMap<>();
-        for (Line line : lines) {
-            String key = line.process() + '/' + line.round();
-            Holding before = open.get(key);
-            if (Double.isNaN(line.untilMs())) {
+    private static List<HoldPeriod> holdPeriods(List<LeaseRecord> records) {
+        Map<String, HoldPeriod> periods = new LinkedHashMap<>();
+        for (LeaseRecord record : records) {
+            String key = record.process() + '/' + record.round();
+            HoldPeriod before = periods.get(key);
+            if (Double.isNaN(record.untilMs())) {
                 if (before != null) {
-                    open.put(key, new Holding(before.process(), before.round(), before.fromMs(), Math.min(before.toMs(), line.ms())));
+                    periods.put(key, new HoldPeriod(before.process(), before.round(), before.fromMs(), Math.min(before.toMs(), record.ms())));
                 }
             } else {
-                double to = Math.min(line.untilMs(), line.endedMs());
-                open.put(key, new Holding(line.process(), line.round(), before == null ? line.ms() : before.fromMs(), before == null ? to : Math.max(before.toMs(), to)));
+                double to = Math.min(record.untilMs(), record.endedMs());
+                periods.put(key, new HoldPeriod(record.process(), record.round(), before == null ? record.ms() : before.fromMs(), before == null ? to : Math.max(before.toMs(), to)));
             }
         }
-        return open.values().stream().sorted(Comparator.comparingDouble(Holding::fromMs)).toList();
+        return periods.values().stream().sorted(Comparator.comparingDouble(HoldPeriod::fromMs)).toList();
     }
 
-    private static Found check(List<Holding> holdings, String lease) {
+    private static Result check(List<HoldPeriod> holdPeriods, String lease) {
         List<String> breaches = new ArrayList<>();
         List<Double> gaps = new ArrayList<>();
-        Holding last = null;
-        for (Holding holding : holdings) {
-            if (last != null && holding.fromMs() < last.toMs()) {
+        HoldPeriod last = null;
+        for (HoldPeriod period : holdPeriods) {
+            if (last != null && period.fromMs() < last.toMs()) {
                 breaches.add(String.format(Locale.ROOT, "%s: %s held it from %.1f to %.1f ms, and %s from %.1f ms", lease, last.process(), last.fromMs(),
-                        last.toMs(), holding.process(), holding.fromMs()));
+                        last.toMs(), period.process(), period.fromMs()));
             }
-            if (last != null && holding.round() <= last.round()) {
-                breaches.add(String.format(Locale.ROOT, "%s: round %d of %s after round %d of %s", lease, holding.round(), holding.process(), last.round(),
+            if (last != null && period.round() <= last.round()) {
+                breaches.add(String.format(Locale.ROOT, "%s: round %d of %s after round %d of %s", lease, period.round(), period.process(), last.round(),
                         last.process()));
             }
             if (last != null) {
-                gaps.add(Math.max(0, holding.fromMs() - last.toMs()));
+                gaps.add(Math.max(0, period.fromMs() - last.toMs()));
             }
-            last = last == null || holding.toMs() > last.toMs() ? holding : last;
+            last = last == null || period.toMs() > last.toMs() ? period : last;
         }
-        return new Found(breaches, holdings, gaps);
+        return new Result(breaches, holdPeriods, gaps);
     }
 }
--- a/src/main/java/dappleseam/lab/fleet/Subject.java
+++ b/src/main/java/dappleseam/lab/fleet/MembershipVariant.java
@@ -8,29 +8,29 @@
 import java.util.List;
 
 /** The membership implementation that a simulated fleet runs: the shipped one, or a baseline to compare it with. */
-public interface Subject {
+public interface MembershipVariant {
     void begin(double nowMs, List<InetSocketAddress> known);
 
-    MembershipProtocol heard(double nowMs);
+    MembershipProtocol receiver(double nowMs);
 
     void woken(double nowMs);
 
-    void refused(double nowMs, InetSocketAddress peer);
+    void connectionRefused(double nowMs, InetSocketAddress peer);
 
-    void leaving(double nowMs);
+    void announceLeave(double nowMs);
 
     /** The view's entry for a member, or null. */
-    MemberEntry of(MemberName name);
+    MemberEntry lookup(MemberName name);
 
     /** The shipped membership module. */
-    record Shipped(Membership membership) implements Subject {
+    record Shipped(Membership membership) implements MembershipVariant {
         @Override
         public void begin(double nowMs, List<InetSocketAddress> known) {
             membership.begin(nowMs, known);
         }
 
         @Override
-        public MembershipProtocol heard(double nowMs) {
+        public MembershipProtocol receiver(double nowMs) {
             return membership.receiver(nowMs);
         }
 
@@ -40,17 +40,17 @@
         }
 
         @Override
-        public void refused(double nowMs, InetSocketAddress peer) {
+        public void connectionRefused(double nowMs, InetSocketAddress peer) {
             membership.connectionRefused(nowMs, peer);
         }
 
         @Override
-        public void leaving(double nowMs) {
+        public void announceLeave(double nowMs) {
             membership.announceLeave(nowMs);
         }
 
         @Override
-        public MemberEntry of(MemberName name) {
+        public MemberEntry lookup(MemberName name) {
             return membership.lookup(name);
         }
     }
--- a/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
+++ b/src/main/java/dappleseam/lab/fleet/SimulatedFleet.java
@@ -30,7 +30,7 @@
  * Many members in simulated time, fully determined by the seed: every datagram and wake-up is an event, and faults can be injected while it runs.
  * The membership module is the one that {@code serve} uses, unless a baseline is chosen. Times are in ms.
  */
-public final class SimulatedFleet extends SimulatedTime {
+public final class SimulatedFleet extends EventSimulation {
     /** The membership module that the members run. */
     public enum Module {
         SHIPPED,
@@ -41,29 +41,29 @@
     }
 
     /** Notified of every change of an entry in a member's view; {@code before} is null for a member that was not in the view. */
-    public interface Watcher {
-        void saw(double nowMs, Node viewer, MemberEntry before, MemberEntry now);
+    public interface ViewListener {
+        void viewChanged(double nowMs, Node viewer, MemberEntry before, MemberEntry now);
     }
 
     /** Bytes of a datagram in addition to its entries: the message's own overhead, and the UDP and IP headers. */
-    private static final int FRAME_BYTES = 20 + 28;
+    private static final int OVERHEAD_BYTES = 20 + 28;
     /** A day in ms. Start times are wall-clock times, so simulated time begins a day after the epoch, which leaves room for clocks that are behind. */
     private static final long DAY_MS = 86_400_000L;
 
-    private final Module kind;
-    private final MembershipConfig terms;
+    private final Module module;
+    private final MembershipConfig config;
     private final SplittableRandom random;
     private final List<Node> nodes = new ArrayList<>();
-    private final Map<InetSocketAddress, Node> at = new HashMap<>();
-    private Planted planted = Planted.NONE;
-    private Watcher watcher = (nowMs, viewer, before, after) -> { };
+    private final Map<InetSocketAddress, Node> runningNodes = new HashMap<>();
+    private PlantedFault plantedFault = PlantedFault.NONE;
+    private ViewListener viewListener = (nowMs, viewer, before, after) -> { };
     /** Shares of all datagrams that are lost and that are duplicated, and the maximum delay of a datagram. */
-    public double loss;
-    public double doubled;
-    public double delayMs = 2;
+    public double lossRate;
+    public double duplicationRate;
+    public double maxDelayMs = 2;
     public long datagrams;
     /** The fleet features that are enabled for members started from now on. */
-    public FleetFeatures choices = FleetFeatures.NONE;
+    public FleetFeatures features = FleetFeatures.NONE;
     public long bytes;
 
     /** A member's slot in the fleet: its process can be killed, stopped and restarted. */
@@ -71,26 +71,26 @@
         public final int number;
         public final MemberName name;
         public InetSocketAddress address;
-        public Subject subject;
+        public MembershipVariant variant;
         public boolean up;
-        public double stoppedUntil;
+        public double stoppedUntilMs;
         /** Datagrams only pass between nodes of the same partition. */
-        public int group;
+        public int partition;
         /** Numbers of the nodes whose datagrams do not reach this one; set on both nodes for a cut in both directions. */
-        public final Set<Integer> deafTo = new HashSet<>();
-        public double loss;
+        public final Set<Integer> blockedSenders = new HashSet<>();
+        public double lossRate;
         /** Offset of its wall clock in ms. */
-        public long clockOffMs;
+        public long clockOffsetMs;
         /** Queries per second, as its router would report them; NaN while not known. */
-        public double ratePerS = Double.NaN;
-        public SignalExchange desk;
-        public double upSince;
-        public double downSince = Double.NaN;
-        public MembershipStatus standing;
-        public final List<String> lines = new ArrayList<>();
-        private int process;
+        public double trafficPerS = Double.NaN;
+        public SignalExchange signalExchange;
+        public double startedAtMs;
+        public double downSinceMs = Double.NaN;
+        public MembershipStatus status;
+        public final List<String> logLines = new ArrayList<>();
+        private int epoch;
         private double wakeAt = Double.NaN;
-        private final List<Runnable> waiting = new ArrayList<>();
+        private final List<Runnable> queuedDeliveries = new ArrayList<>();
 
         private Node(int number, MemberName name, InetSocketAddress address) {
             this.number = number;
@@ -101,34 +101,34 @@
         /** Starts a process that knows nothing but the seed addresses. */
         public void start(List<InetSocketAddress> seeds) {
             up = true;
-            upSince = now;
-            process++;
-            at.put(address, this);
-            MemberEntry self = new MemberEntry(name, address, new Generation(Math.max(0, DAY_MS + (long) now + clockOffMs), random.nextLong()), 0, MemberEntry.State.ALIVE, 0);
-            subject = switch (kind) {
-                case HEARTBEATS -> new Heartbeats(this, terms.periodMs(), self);
-                default -> new Subject.Shipped(new Membership(terms, self, this, random.split(), now));
+            startedAtMs = now;
+            epoch++;
+            runningNodes.put(address, this);
+            MemberEntry self = new MemberEntry(name, address, new Generation(Math.max(0, DAY_MS + (long) now + clockOffsetMs), random.nextLong()), 0, MemberEntry.State.ALIVE, 0);
+            variant = switch (module) {
+                case HEARTBEATS -> new HeartbeatMembership(this, config.periodMs(), self);
+                default -> new MembershipVariant.Shipped(new Membership(config, self, this, random.split(), now));
             };
-            subject.begin(now, seeds);
-            if (choices.any()) {
-                desk = new SignalExchange(membership(), terms.periodMs(), terms.maxMembers(), Announcement.NO_LOCATION, choices, new Rates(), (to, news) -> send(to, FleetMessage.of(membership().self(), news)),
+            variant.begin(now, seeds);
+            if (features.any()) {
+                signalExchange = new SignalExchange(membership(), config.periodMs(), config.maxMembers(), Announcement.NO_LOCATION, features, new SimulatedRouter(), (to, news) -> send(to, FleetMessage.of(membership().self(), news)),
                         random.split(), now);
-                wakeDesk(process);
+                scheduleSignalExchange(epoch);
             }
         }
 
-        private void wakeDesk(int mine) {
-            after(Math.max(desk.wakeAt(), stoppedUntil) - now, () -> {
-                if (process == mine && !isStopped()) {
-                    desk.woken(now);
+        private void scheduleSignalExchange(int scheduledEpoch) {
+            schedule(Math.max(signalExchange.wakeAt(), stoppedUntilMs) - now, () -> {
+                if (epoch == scheduledEpoch && !isStopped()) {
+                    signalExchange.woken(now);
                 }
-                if (process == mine) {
-                    wakeDesk(mine);
+                if (epoch == scheduledEpoch) {
+                    scheduleSignalExchange(scheduledEpoch);
                 }
             });
         }
 
-        private final class Rates implements RouterAdapter {
+        private final class SimulatedRouter implements RouterAdapter {
             @Override
             public Collection<LocalObservation> observations() {
                 return List.of();
@@ -136,14 +136,14 @@
 
             @Override
             public double queriesPerS() {
-                return ratePerS;
+                return trafficPerS;
             }
 
             @Override
-            public void onVerdicts(List<PeerVerdict> words) { }
+            public void onVerdicts(List<PeerVerdict> verdicts) { }
 
             @Override
-            public void onShare(double share, double place) { }
+            public void onShare(double share, double position) { }
         }
 
         /** The nonce of its current process. */
@@ -152,104 +152,104 @@
         }
 
         public Membership membership() {
-            return ((Subject.Shipped) subject).membership();
+            return ((MembershipVariant.Shipped) variant).membership();
         }
 
         /** Ends the process as SIGKILL does. */
         public void kill() {
             up = false;
-            downSince = now;
-            process++;
+            downSinceMs = now;
+            epoch++;
             wakeAt = Double.NaN;
-            stoppedUntil = 0;
-            waiting.clear();
-            at.remove(address, this);
+            stoppedUntilMs = 0;
+            queuedDeliveries.clear();
+            runningNodes.remove(address, this);
         }
 
-        public void leaveOrderly() {
-            subject.leaving(now);
+        public void leave() {
+            variant.announceLeave(now);
             kill();
         }
 
         /** Stops the process for a time, as SIGSTOP and SIGCONT do: datagrams that arrive meanwhile wait in its socket buffer, up to a limit. */
         public void stop(double forMs) {
-            stoppedUntil = now + forMs;
-            int mine = process;
-            after(forMs, () -> {
-                if (process == mine) {
-                    List<Runnable> late = List.copyOf(waiting);
-                    waiting.clear();
-                    if (kind != Module.PLAIN) {
-                        late.forEach(Runnable::run);
+            stoppedUntilMs = now + forMs;
+            int stoppedEpoch = epoch;
+            schedule(forMs, () -> {
+                if (epoch == stoppedEpoch) {
+                    List<Runnable> queued = List.copyOf(queuedDeliveries);
+                    queuedDeliveries.clear();
+                    if (module != Module.PLAIN) {
+                        queued.forEach(Runnable::run);
                     }
                     if (!Double.isNaN(wakeAt) && wakeAt <= now) {
                         wakeAt = Double.NaN;
-                        subject.woken(now);
+                        variant.woken(now);
                     }
-                    if (kind == Module.PLAIN) {
-                        late.forEach(Runnable::run);
+                    if (module == Module.PLAIN) {
+                        queued.forEach(Runnable::run);
                     }
                 }
             });
         }
 
         public boolean isStopped() {
-            return now < stoppedUntil;
+            return now < stoppedUntilMs;
         }
 
         @Override
-        protected void send(InetSocketAddress to, FleetMessage letter) {
-            send(to, letter, false);
+        protected void send(InetSocketAddress to, FleetMessage message) {
+            send(to, message, false);
         }
 
-        private void send(InetSocketAddress to, FleetMessage sent, boolean isCall) {
+        private void send(InetSocketAddress to, FleetMessage sent, boolean isConnected) {
             datagrams++;
-            bytes += size(sent) + FRAME_BYTES;
-            Node peer = at.get(to);
-            if (peer == null || !passes(peer)) {
+            bytes += messageBytes(sent) + OVERHEAD_BYTES;
+            Node peer = runningNodes.get(to);
+            if (peer == null || !isDelivered(peer)) {
                 return;
             }
-            FleetMessage letter = planted.passed(sent, peer.name, isCall);
-            if (letter == null) {
+            FleetMessage message = plantedFault.intercept(sent, peer.name, isConnected);
+            if (message == null) {
                 return;
             }
-            int copies = doubled > 0 && random.nextDouble() < doubled ? 2 : 1;
-            int process = peer.process;
+            int copies = duplicationRate > 0 && random.nextDouble() < duplicationRate ? 2 : 1;
+            int peerEpoch = peer.epoch;
             InetSocketAddress from = address;
             for (int i = 0; i < copies; i++) {
-                after(0.1 + delayMs * random.nextDouble(), () -> {
-                    if (!peer.up || peer.process != process) {
+                schedule(0.1 + maxDelayMs * random.nextDouble(), () -> {
+                    if (!peer.up || peer.epoch != peerEpoch) {
                         return;
                     }
                     Runnable delivery = () -> {
-                        letter.deliver(from, peer.subject.heard(now));
-                        if (letter.announcements() != null && peer.desk != null) {
-                            peer.desk.receive(now, letter.announcements());
+                        message.deliver(from, peer.variant.receiver(now));
+                        if (message.announcements() != null && peer.signalExchange != null) {
+                            peer.signalExchange.receive(now, message.announcements());
                         }
                     };
                     if (!peer.isStopped()) {
                         delivery.run();
-                    } else if (peer.waiting.size() < 500) {
-                        peer.waiting.add(delivery);
+                    } else if (peer.queuedDeliveries.size() < 500) {
+                        peer.queuedDeliveries.add(delivery);
                     }
                 });
             }
         }
 
-        private boolean passes(Node to) {
-            double lost = Math.max(loss, Math.max(SimulatedFleet.this.loss, to.loss));
-            return group == to.group && !to.deafTo.contains(number) && (lost == 0 || random.nextDouble() >= lost);
+        private boolean isDelivered(Node to) {
+            double rate = Math.max(lossRate, Math.max(SimulatedFleet.this.lossRate, to.lossRate));
+            return partition == to.partition && !to.blockedSenders.contains(number) && (rate == 0 || random.nextDouble() >= rate);
         }
 
         @Override
-        public void pingConnected(InetSocketAddress peer, MemberEntry self, long number, MemberName target, List<MemberEntry> news) {
-            send(peer, pingMessage(self, number, target, news), true);
-            Node there = nodeAt(peer);
-            if (at.get(peer) == null && there != null && passes(there)) {
-                int mine = process;
-                after(1, () -> {
-                    if (process == mine && !isStopped()) {
-                        subject.refused(now, peer);
+        public void pingConnected(InetSocketAddress peer, MemberEntry self, long sequence, MemberName target, List<MemberEntry> updates) {
+            send(peer, pingMessage(self, sequence, target, updates), true);
+            Node destination = nodeAt(peer);
+            if (runningNodes.get(peer) == null && destination != null && isDelivered(destination)) {
+                int sendingEpoch = epoch;
+                schedule(1, () -> {
+                    if (epoch == sendingEpoch && !isStopped()) {
+                        variant.connectionRefused(now, peer);
                     }
                 });
             }
@@ -258,38 +258,38 @@
         @Override
         public void wakeAt(double ms) {
             wakeAt = ms;
-            int mine = process;
-            after(Math.max(0, ms - now), () -> {
-                if (process == mine && wakeAt == ms && !isStopped()) {
+            int scheduledEpoch = epoch;
+            schedule(Math.max(0, ms - now), () -> {
+                if (epoch == scheduledEpoch && wakeAt == ms && !isStopped()) {
                     wakeAt = Double.NaN;
-                    subject.woken(now);
+                    variant.woken(now);
                 }
             });
         }
 
         @Override
         public void memberChanged(MemberEntry before, MemberEntry after) {
-            watcher.saw(now, this, before, after);
+            viewListener.viewChanged(now, this, before, after);
         }
 
         @Override
-        public void statusChanged(MembershipStatus now) {
-            standing = now;
+        public void statusChanged(MembershipStatus newStatus) {
+            status = newStatus;
         }
 
         @Override
         public void log(String text) {
-            if (lines.size() < 1000) {
-                lines.add(text);
+            if (logLines.size() < 1000) {
+                logLines.add(text);
             }
         }
     }
 
-    public SimulatedFleet(Module kind, MembershipConfig terms, int members, long seed) {
+    public SimulatedFleet(Module module, MembershipConfig config, int members, long seed) {
         super(0);
-        this.kind = kind;
-        this.terms = kind == Module.WITHOUT_LOCAL_HEALTH || kind == Module.PLAIN
-                ? new MembershipConfig(terms.periodMs(), terms.initialFleetSize(), terms.maxMembers(), terms.forgetAfterMs(), false, terms.indirectProbes()) : terms;
+        this.module = module;
+        this.config = module == Module.WITHOUT_LOCAL_HEALTH || module == Module.PLAIN
+                ? new MembershipConfig(config.periodMs(), config.initialFleetSize(), config.maxMembers(), config.forgetAfterMs(), false, config.indirectProbes()) : config;
         random = new SplittableRandom(seed);
         for (int i = 0; i < members; i++) {
             nodes.add(new Node(i, new MemberName("p" + i), address(i)));
@@ -305,20 +305,20 @@
         }
     }
 
-    private static int size(FleetMessage letter) {
-        int size = letter.sender().maxEncodedBytes() + (letter.subject() == null ? 0 : letter.subject().maxEncodedBytes())
-                + (letter.digests() == null ? 0 : Integer.BYTES * letter.digests().length);
-        for (MemberEntry notice : letter.updates()) {
-            size += notice.maxEncodedBytes();
+    private static int messageBytes(FleetMessage message) {
+        int size = message.sender().maxEncodedBytes() + (message.subject() == null ? 0 : message.subject().maxEncodedBytes())
+                + (message.digests() == null ? 0 : Integer.BYTES * message.digests().length);
+        for (MemberEntry entry : message.updates()) {
+            size += entry.maxEncodedBytes();
         }
-        return size + (letter.announcements() == null ? 0 : letter.announcements().stream().mapToInt(Announcement::maxEncodedBytes).sum());
+        return size + (message.announcements() == null ? 0 : message.announcements().stream().mapToInt(Announcement::maxEncodedBytes).sum());
     }
 
     /**
      * Creates a duplicate: a node that uses another node's name, as after a configuration mistake. It is not started, and is not among {@link #nodes()},
      * whose views have to agree.
      */
-    public Node twinOf(int number) {
+    public Node createDuplicate(int number) {
         return new Node(nodes.size(), nodes.get(number).name, address(nodes.size()));
     }
 
@@ -331,13 +331,13 @@
         return null;
     }
 
-    public void watch(Watcher by) {
-        watcher = by;
+    public void setViewListener(ViewListener listener) {
+        viewListener = listener;
     }
 
     /** Sets the fault planted between the members. */
-    public void plant(Planted by) {
-        planted = by;
+    public void setPlantedFault(PlantedFault fault) {
+        plantedFault = fault;
     }
 
     public List<Node> nodes() {
@@ -354,30 +354,30 @@
 
     /** Starts all members within one period; the first {@code seeds} nodes are the seed addresses of all. */
     public void startAll(int seeds) {
-        List<InetSocketAddress> known = kind == Module.HEARTBEATS ? nodes.stream().map(n -> n.address).toList()
+        List<InetSocketAddress> known = module == Module.HEARTBEATS ? nodes.stream().map(n -> n.address).toList()
                 : nodes.subList(0, Math.min(seeds, nodes.size())).stream().map(n -> n.address).toList();
-        nodes.forEach(node -> after(random.nextDouble() * terms.periodMs(), () -> node.start(known)));
+        nodes.forEach(node -> schedule(random.nextDouble() * config.periodMs(), () -> node.start(known)));
     }
 
     /** Starts all members within one period and then preloads their views: in a large fleet, gossip about all the starts would take minutes. */
-    public void startKnown() {
+    public void startPreloaded() {
         startAll(1);
-        runFor(terms.periodMs() + 1);
+        runFor(config.periodMs() + 1);
         List<MemberEntry> all = nodes.stream().map(n -> n.membership().self()).toList();
         nodes.forEach(n -> n.membership().preload(now, all));
     }
 
     /** Whether every running process considers every other running process live, in its current generation, and no stopped member live. */
-    public boolean agree() {
-        return nodes.stream().filter(n -> n.up).allMatch(this::isRight);
+    public boolean allViewsCorrect() {
+        return nodes.stream().filter(n -> n.up).allMatch(this::isViewCorrect);
     }
 
     /** Whether one node's view is correct in that sense. */
-    public boolean isRight(Node viewer) {
+    public boolean isViewCorrect(Node viewer) {
         for (Node node : nodes) {
-            MemberEntry held = viewer.subject.of(node.name);
-            boolean present = held != null && held.state().isLive();
-            if (present != node.up || node.up && kind != Module.HEARTBEATS && !held.generation().equals(node.membership().self().generation())) {
+            MemberEntry viewEntry = viewer.variant.lookup(node.name);
+            boolean present = viewEntry != null && viewEntry.state().isLive();
+            if (present != node.up || node.up && module != Module.HEARTBEATS && !viewEntry.generation().equals(node.membership().self().generation())) {
                 return false;
             }
         }
@@ -385,14 +385,14 @@
     }
 
     /** Runs until all views are correct; returns the time it took in ms, or NaN if it took longer than the given time. */
-    public double untilAgreed(double mostMs) {
+    public double runUntilAgreed(double maxMs) {
         double from = now;
-        while (now < from + mostMs) {
-            if (agree()) {
+        while (now < from + maxMs) {
+            if (allViewsCorrect()) {
                 return now - from;
             }
-            runFor(terms.periodMs() / 10);
+            runFor(config.periodMs() / 10);
         }
-        return agree() ? now - from : Double.NaN;
+        return allViewsCorrect() ? now - from : Double.NaN;
     }
 }
--- a/src/main/java/dappleseam/lab/fleet/Subsets.java
+++ b/src/main/java/dappleseam/lab/fleet/SubsetMeasurement.java
@@ -18,9 +18,9 @@
  * random choice, rendezvous hashing (Thaler, Ravishankar 1998) and deterministic subsetting (Google's SRE book, chapter 20) with subsets of one.
  * Traffic is skewed: some proxies have twenty times as much as others.
  */
-public record Subsets(int proxies, int locations, int copies, long seed) {
+public record SubsetMeasurement(int proxies, int locations, int copies, long seed) {
     /** How a proxy selects its copy. */
-    public enum Way { CHANCE, RENDEZVOUS, DETERMINISTIC,
+    public enum Strategy { CHANCE, RENDEZVOUS, DETERMINISTIC,
         /** The shipped traffic positions computed over all proxies, ignoring locations, as before proxies announced their locations. */
         ONE_LINE,
         /** The shipped strategy: traffic positions within each location. */
@@ -32,7 +32,7 @@
      * many copies of its own; {@code proxyCountPeak}: the same by number of proxies instead of traffic; {@code moved}: mean number of proxies that change
      * their copy when one proxy joins or leaves.
      */
-    public record Found(double peak, double near, double proxiesPeak, double moved) {}
+    public record Result(double peak, double locationPeak, double proxyCountPeak, double moved) {}
 
     private Map<MemberName, Double> traffic(int count) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -43,31 +43,31 @@
         return traffic;
     }
 
-    private Map<MemberName, Integer> copies(Way way, Map<MemberName, Double> traffic) {
+    private Map<MemberName, Integer> assign(Strategy strategy, Map<MemberName, Double> traffic) {
         List<MemberName> numbered = new ArrayList<>(traffic.keySet());
         numbered.sort(Comparator.comparing(MemberName::text));
-        Map<MemberName, Integer> found = new HashMap<>();
+        Map<MemberName, Integer> assigned = new HashMap<>();
         for (int i = 0; i < numbered.size(); i++) {
             MemberName name = numbered.get(i);
-            found.put(name, switch (way) {
+            assigned.put(name, switch (strategy) {
                 case CHANCE -> (int) (copies * new SplittableRandom(seed ^ name.hashCode()).nextDouble());
                 case RENDEZVOUS -> rendezvous(name);
                 case DETERMINISTIC -> deterministic(i);
                 case ONE_LINE -> (int) (copies * TrafficPosition.of(name, traffic));
-                case PLACES -> (int) (copies * TrafficPosition.of(name, at(location(name), traffic)));
+                case PLACES -> (int) (copies * TrafficPosition.of(name, trafficAt(location(name), traffic)));
             });
         }
-        return found;
+        return assigned;
     }
 
     private int location(MemberName name) {
         return Integer.parseInt(name.text().substring(name.text().lastIndexOf('-') + 1)) % locations;
     }
 
-    private Map<MemberName, Double> at(int location, Map<MemberName, Double> traffic) {
-        Map<MemberName, Double> there = new HashMap<>(traffic);
-        there.keySet().removeIf(name -> location(name) != location);
-        return there;
+    private Map<MemberName, Double> trafficAt(int location, Map<MemberName, Double> traffic) {
+        Map<MemberName, Double> local = new HashMap<>(traffic);
+        local.keySet().removeIf(name -> location(name) != location);
+        return local;
     }
 
     private int rendezvous(MemberName name) {
@@ -92,27 +92,27 @@
         return order.get(client % copies);
     }
 
-    public Found measure(Way way) {
+    public Result measure(Strategy strategy) {
         Map<MemberName, Double> traffic = traffic(proxies);
-        Map<MemberName, Integer> before = copies(way, traffic);
+        Map<MemberName, Integer> before = assign(strategy, traffic);
         double[] served = new double[copies];
-        double[] by = new double[copies];
-        double[][] near = new double[locations][copies];
+        double[] proxyCounts = new double[copies];
+        double[][] servedByLocation = new double[locations][copies];
         before.forEach((name, copy) -> {
             served[copy] += traffic.get(name);
-            by[copy]++;
-            near[location(name)][copy] += traffic.get(name);
+            proxyCounts[copy]++;
+            servedByLocation[location(name)][copy] += traffic.get(name);
         });
-        Map<MemberName, Integer> more = copies(way, traffic(proxies + 1));
-        Map<MemberName, Double> fewer = new HashMap<>(traffic);
-        fewer.remove(before.keySet().stream().min(Comparator.comparing(MemberName::text)).orElseThrow());
-        Map<MemberName, Integer> less = copies(way, fewer);
-        long moved = before.keySet().stream().filter(name -> !before.get(name).equals(more.get(name))).count()
-                + less.keySet().stream().filter(name -> !before.get(name).equals(less.get(name))).count();
-        return new Found(peak(served), Arrays.stream(near).mapToDouble(Subsets::peak).max().orElse(0), peak(by), moved / 2.0);
+        Map<MemberName, Integer> afterJoin = assign(strategy, traffic(proxies + 1));
+        Map<MemberName, Double> remaining = new HashMap<>(traffic);
+        remaining.remove(before.keySet().stream().min(Comparator.comparing(MemberName::text)).orElseThrow());
+        Map<MemberName, Integer> afterLeave = assign(strategy, remaining);
+        long moved = before.keySet().stream().filter(name -> !before.get(name).equals(afterJoin.get(name))).count()
+                + afterLeave.keySet().stream().filter(name -> !before.get(name).equals(afterLeave.get(name))).count();
+        return new Result(peak(served), Arrays.stream(servedByLocation).mapToDouble(SubsetMeasurement::peak).max().orElse(0), peak(proxyCounts), moved / 2.0);
     }
 
-    private static double peak(double[] of) {
-        return Arrays.stream(of).max().orElse(0) / Arrays.stream(of).average().orElse(1);
+    private static double peak(double[] values) {
+        return Arrays.stream(values).max().orElse(0) / Arrays.stream(values).average().orElse(1);
     }
 }
--- a/src/main/java/dappleseam/lab/fleet/ViewChecker.java
+++ b/src/main/java/dappleseam/lab/fleet/ViewChecker.java
@@ -12,7 +12,7 @@
 /** Checks the guarantees of the membership by comparing the proxies' own records of their views with the ground truth. Performs no I/O. */
 public final class ViewChecker {
     /** The guarantees, named by the way in which they are broken. */
-    public enum Promise {
+    public enum Guarantee {
         /** An ended process is still considered live by one that had the time to detect the end. */
         LATE,
         /** A running process was considered failed although no fault affected it or the viewer. */
@@ -34,19 +34,19 @@
     }
 
     /** One broken guarantee, with a description of what happened. */
-    public record Breach(Promise promise, double ms, String what) {}
+    public record Breach(Guarantee promise, double ms, String what) {}
 
     /** What a process divides the fleet-wide limits by from that time on: the fleet size, or the reciprocal of its share. */
-    public record Counted(double ms, long viewer, double counted) {}
+    public record Divisor(double ms, long viewer, double divisor) {}
 
     /** {@code FAILS} and {@code CLEARED} are a process's own observations of a cache, {@code CONVICTED} is the result of its peers' verdicts. */
     public enum Verdict { FAILS, CLEARED, CONVICTED }
 
     /** A process's verdict on a cache from that time on. */
-    public record Word(double ms, long viewer, Verdict verdict, String cache) {}
+    public record CacheVerdict(double ms, long viewer, Verdict verdict, String cache) {}
 
     /** What the processes recorded. {@code fleetSizes} and {@code shareDivisors}: what they divided by, without and with shares by traffic. */
-    public record Records(List<Sight> sights, List<Counted> counts, List<Counted> shares, List<Word> words) {
+    public record Records(List<ViewChange> viewChanges, List<Divisor> fleetSizes, List<Divisor> shareDivisors, List<CacheVerdict> verdicts) {
         public Records() {
             this(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         }
@@ -57,175 +57,175 @@
      * {@code settledAtMs}: the time at which all views have to be correct; later records, made while the fleet is shut down, are ignored.
      * {@code propagationMs}: the fault-free time in which a new process becomes known to all; until then its use does not count towards the sum.
      */
-    public record Bounds(double lateMs, double graceMs, double settledMs, double rumourMs) {}
+    public record Bounds(double detectionMs, double graceMs, double settledAtMs, double propagationMs) {}
 
-    private static final int MOST_TOLD = 50;
+    private static final int MAX_REPORTED = 50;
     /** Suspicions of one process by one viewer within the grace time that count as repeated: one may occur by chance, but not this many. */
-    private static final int MOST_SUSPICIONS = 4;
+    private static final int MAX_SUSPICIONS = 4;
 
     /** Time in ms that an observation may take to be delivered. */
-    private static final double TOLD_MS = 2000;
+    private static final double DELIVERY_MS = 2000;
 
-    private final Truth truth;
+    private final GroundTruth groundTruth;
     private final Bounds bounds;
     private final List<Breach> breaches = new ArrayList<>();
     /** The history of each view entry, by viewer and member. */
-    private final Map<Long, Map<String, TreeMap<Double, Sight>>> held = new HashMap<>();
+    private final Map<Long, Map<String, TreeMap<Double, ViewChange>>> views = new HashMap<>();
 
-    private ViewChecker(Truth truth, Bounds bounds) {
-        this.truth = truth;
+    private ViewChecker(GroundTruth groundTruth, Bounds bounds) {
+        this.groundTruth = groundTruth;
         this.bounds = bounds;
     }
 
-    public static List<Breach> check(Truth truth, Records records, Bounds bounds) {
-        ViewChecker checker = new ViewChecker(truth, bounds);
-        List<Sight> ordered = records.sights.stream().filter(s -> s.ms() <= bounds.settledMs()).sorted(Comparator.comparingDouble(Sight::ms)).toList();
-        ordered.forEach(checker::see);
-        checker.late();
-        checker.agreement();
-        checker.within(records.counts, Promise.MORE_THAN_WHOLE, 0);
-        checker.within(records.shares, Promise.SHARES_OVER_WHOLE, margin((int) truth.processes().stream().map(Truth.Process::member).distinct().count()));
-        checker.convictions(records.words);
-        return checker.breaches.stream().sorted(Comparator.comparingDouble(Breach::ms)).limit(MOST_TOLD).toList();
+    public static List<Breach> check(GroundTruth groundTruth, Records records, Bounds bounds) {
+        ViewChecker checker = new ViewChecker(groundTruth, bounds);
+        List<ViewChange> ordered = records.viewChanges.stream().filter(s -> s.ms() <= bounds.settledAtMs()).sorted(Comparator.comparingDouble(ViewChange::ms)).toList();
+        ordered.forEach(checker::addViewChange);
+        checker.checkDetection();
+        checker.checkAgreement();
+        checker.checkTotal(records.fleetSizes, Guarantee.MORE_THAN_WHOLE, 0);
+        checker.checkTotal(records.shareDivisors, Guarantee.SHARES_OVER_WHOLE, shareMargin((int) groundTruth.processes().stream().map(GroundTruth.Process::member).distinct().count()));
+        checker.checkConvictions(records.verdicts);
+        return checker.breaches.stream().sorted(Comparator.comparingDouble(Breach::ms)).limit(MAX_REPORTED).toList();
     }
 
-    private void breach(Promise promise, double ms, String what, Object... of) {
-        breaches.add(new Breach(promise, ms, String.format(Locale.ROOT, what, of)));
+    private void addBreach(Guarantee guarantee, double ms, String template, Object... args) {
+        breaches.add(new Breach(guarantee, ms, String.format(Locale.ROOT, template, args)));
     }
 
-    private void see(Sight sight) {
-        TreeMap<Double, Sight> past = held.computeIfAbsent(sight.viewer(), v -> new HashMap<>())
-                .computeIfAbsent(sight.who(), w -> new TreeMap<>());
-        Sight before = past.isEmpty() ? null : past.lastEntry().getValue();
-        past.put(sight.ms(), sight);
-        Truth.Process viewer = truth.process(sight.viewer());
-        Truth.Process seen = truth.process(sight.nonce());
-        if (viewer == null || seen == null) {
+    private void addViewChange(ViewChange change) {
+        TreeMap<Double, ViewChange> history = views.computeIfAbsent(change.viewer(), v -> new HashMap<>())
+                .computeIfAbsent(change.member(), w -> new TreeMap<>());
+        ViewChange before = history.isEmpty() ? null : history.lastEntry().getValue();
+        history.put(change.ms(), change);
+        GroundTruth.Process viewer = groundTruth.process(change.viewer());
+        GroundTruth.Process observed = groundTruth.process(change.nonce());
+        if (viewer == null || observed == null) {
             return; // a process that this run did not start
         }
-        double from = sight.ms() - bounds.graceMs();
-        if (sight.state() == State.FAILED && seen.runsAt(sight.ms()) && isCalm(viewer, from, sight.ms())
-                && isCalm(seen, from, sight.ms())) {
-            breach(Promise.FALSE_FAILURE, sight.ms(), "%s considered %s failed while it was running", viewer.member(), seen.member());
+        double from = change.ms() - bounds.graceMs();
+        if (change.state() == State.FAILED && observed.runsAt(change.ms()) && isFaultFree(viewer, from, change.ms())
+                && isFaultFree(observed, from, change.ms())) {
+            addBreach(Guarantee.FALSE_FAILURE, change.ms(), "%s considered %s failed while it was running", viewer.member(), observed.member());
         }
-        if (sight.state() == State.SUSPECT && seen.runsAt(sight.ms()) && isCalm(viewer, from, sight.ms()) && isCalm(seen, from, sight.ms())
-                && past.subMap(from, true, sight.ms(), true).values().stream()
-                .filter(s -> s.state() == State.SUSPECT && s.nonce() == sight.nonce()).count() >= MOST_SUSPICIONS) {
-            breach(Promise.SUSPECTED_AGAIN, sight.ms(), "%s suspected %s repeatedly while it was running", viewer.member(), seen.member());
+        if (change.state() == State.SUSPECT && observed.runsAt(change.ms()) && isFaultFree(viewer, from, change.ms()) && isFaultFree(observed, from, change.ms())
+                && history.subMap(from, true, change.ms(), true).values().stream()
+                .filter(s -> s.state() == State.SUSPECT && s.nonce() == change.nonce()).count() >= MAX_SUSPICIONS) {
+            addBreach(Guarantee.SUSPECTED_AGAIN, change.ms(), "%s suspected %s repeatedly while it was running", viewer.member(), observed.member());
         }
-        if (sight.state() == State.ENDED && seen.runsAt(sight.ms())) {
-            breach(Promise.FALSE_END, sight.ms(), "%s considered %s ended while it was running", viewer.member(), seen.member());
+        if (change.state() == State.ENDED && observed.runsAt(change.ms())) {
+            addBreach(Guarantee.FALSE_END, change.ms(), "%s considered %s ended while it was running", viewer.member(), observed.member());
         }
-        boolean wasOver = before != null && before.nonce() == sight.nonce() && !before.state().isLive();
-        if (wasOver && sight.state().isLive() && sight.ms() > seen.toMs() + bounds.lateMs()) {
-            breach(Promise.RESURRECTION, sight.ms(), "%s considered %s %s again, %.0f ms after it had ended", viewer.member(), seen.member(), sight.state(),
-                    sight.ms() - seen.toMs());
+        boolean wasDown = before != null && before.nonce() == change.nonce() && !before.state().isLive();
+        if (wasDown && change.state().isLive() && change.ms() > observed.toMs() + bounds.detectionMs()) {
+            addBreach(Guarantee.RESURRECTION, change.ms(), "%s considered %s %s again, %.0f ms after it had ended", viewer.member(), observed.member(), change.state(),
+                    change.ms() - observed.toMs());
         }
     }
 
-    private boolean isCalm(Truth.Process process, double fromMs, double toMs) {
-        return truth.isCalm(process.member(), fromMs, toMs);
+    private boolean isFaultFree(GroundTruth.Process process, double fromMs, double toMs) {
+        return groundTruth.isFaultFree(process.member(), fromMs, toMs);
     }
 
-    private Sight heldAt(long viewer, String who, double ms) {
-        TreeMap<Double, Sight> past = held.getOrDefault(viewer, Map.of()).get(who);
-        Map.Entry<Double, Sight> entry = past == null ? null : past.floorEntry(ms);
+    private ViewChange viewAt(long viewer, String member, double ms) {
+        TreeMap<Double, ViewChange> history = views.getOrDefault(viewer, Map.of()).get(member);
+        Map.Entry<Double, ViewChange> entry = history == null ? null : history.floorEntry(ms);
         return entry == null ? null : entry.getValue();
     }
 
-    private void late() {
-        for (Truth.Process over : truth.processes()) {
-            double due = over.toMs() + bounds.lateMs();
-            if (due >= bounds.settledMs()) {
+    private void checkDetection() {
+        for (GroundTruth.Process ended : groundTruth.processes()) {
+            double due = ended.toMs() + bounds.detectionMs();
+            if (due >= bounds.settledAtMs()) {
                 continue; // too late to be judged, or never ended
             }
-            for (Truth.Process viewer : truth.processes()) {
-                if (viewer.fromMs() > over.toMs() - bounds.graceMs() || viewer.toMs() <= due || !isCalm(viewer, over.toMs() - bounds.graceMs(), due)
-                        || viewer.member().equals(over.member())) {
+            for (GroundTruth.Process viewer : groundTruth.processes()) {
+                if (viewer.fromMs() > ended.toMs() - bounds.graceMs() || viewer.toMs() <= due || !isFaultFree(viewer, ended.toMs() - bounds.graceMs(), due)
+                        || viewer.member().equals(ended.member())) {
                     continue;
                 }
-                Sight held = heldAt(viewer.nonce(), over.member(), due);
-                if (held != null && held.nonce() == over.nonce() && held.state().isLive()) {
-                    breach(Promise.LATE, due, "%s still considered %s %s, %.0f ms after it had ended", viewer.member(), over.member(), held.state(),
-                            bounds.lateMs());
+                ViewChange lastChange = viewAt(viewer.nonce(), ended.member(), due);
+                if (lastChange != null && lastChange.nonce() == ended.nonce() && lastChange.state().isLive()) {
+                    addBreach(Guarantee.LATE, due, "%s still considered %s %s, %.0f ms after it had ended", viewer.member(), ended.member(), lastChange.state(),
+                            bounds.detectionMs());
                 }
             }
         }
     }
 
-    private void agreement() {
-        double at = bounds.settledMs();
-        List<Truth.Process> running = truth.processes().stream().filter(p -> p.runsAt(at)).toList();
-        for (Truth.Process viewer : running) {
-            for (Truth.Process other : running) {
-                Sight sight = other.nonce() == viewer.nonce() ? null : heldAt(viewer.nonce(), other.member(), at);
-                if (other.nonce() != viewer.nonce() && (sight == null || sight.nonce() != other.nonce() || !sight.state().isLive())) {
-                    breach(Promise.NO_AGREEMENT, at, "%s considers %s %s, although it is running", viewer.member(), other.member(),
-                            sight == null ? "unknown" : sight.nonce() == other.nonce() ? sight.state() : "an earlier process");
+    private void checkAgreement() {
+        double at = bounds.settledAtMs();
+        List<GroundTruth.Process> running = groundTruth.processes().stream().filter(p -> p.runsAt(at)).toList();
+        for (GroundTruth.Process viewer : running) {
+            for (GroundTruth.Process other : running) {
+                ViewChange change = other.nonce() == viewer.nonce() ? null : viewAt(viewer.nonce(), other.member(), at);
+                if (other.nonce() != viewer.nonce() && (change == null || change.nonce() != other.nonce() || !change.state().isLive())) {
+                    addBreach(Guarantee.NO_AGREEMENT, at, "%s considers %s %s, although it is running", viewer.member(), other.member(),
+                            change == null ? "unknown" : change.nonce() == other.nonce() ? change.state() : "an earlier process");
                 }
             }
-            held.getOrDefault(viewer.nonce(), Map.of()).keySet().forEach(who -> {
-                Sight sight = heldAt(viewer.nonce(), who, at);
-                if (sight != null && sight.state().isLive() && truth.runningAt(who, at) == null) {
-                    breach(Promise.NO_AGREEMENT, at, "%s considers %s %s, although it is not running", viewer.member(), who, sight.state());
+            views.getOrDefault(viewer.nonce(), Map.of()).keySet().forEach(member -> {
+                ViewChange change = viewAt(viewer.nonce(), member, at);
+                if (change != null && change.state().isLive() && groundTruth.runningAt(member, at) == null) {
+                    addBreach(Guarantee.NO_AGREEMENT, at, "%s considers %s %s, although it is not running", viewer.member(), member, change.state());
                 }
             });
         }
     }
 
     /** The number of correct views at that time, and the number of views. */
-    public static int[] right(Truth truth, List<Sight> sights, double ms) {
-        ViewChecker checker = new ViewChecker(truth, new Bounds(0, 0, ms, 0));
-        sights.stream().filter(s -> s.ms() <= ms).sorted(Comparator.comparingDouble(Sight::ms)).forEach(checker::see);
+    public static int[] countCorrectViews(GroundTruth groundTruth, List<ViewChange> viewChanges, double ms) {
+        ViewChecker checker = new ViewChecker(groundTruth, new Bounds(0, 0, ms, 0));
+        viewChanges.stream().filter(s -> s.ms() <= ms).sorted(Comparator.comparingDouble(ViewChange::ms)).forEach(checker::addViewChange);
         checker.breaches.clear();
-        checker.agreement();
-        List<String> wrong = checker.breaches.stream().map(b -> b.what().substring(0, b.what().indexOf(' '))).distinct().toList();
-        int running = (int) truth.processes().stream().filter(p -> p.runsAt(ms)).count();
-        return new int[] {running - wrong.size(), running};
+        checker.checkAgreement();
+        List<String> wrongViewers = checker.breaches.stream().map(b -> b.what().substring(0, b.what().indexOf(' '))).distinct().toList();
+        int running = (int) groundTruth.processes().stream().filter(p -> p.runsAt(ms)).count();
+        return new int[] {running - wrongViewers.size(), running};
     }
 
     /** Guards caches against verdicts without an observation: each conviction needs a witness on another member, whose observation was recent enough to be still announced. */
-    private void convictions(List<Word> words) {
-        List<Word> ordered = words.stream().sorted(Comparator.comparingDouble(Word::ms)).toList();
-        Map<String, Map<Long, Double>> until = new HashMap<>(); // by cache and witness; infinite while the witness observes failures
-        for (Word word : ordered) {
-            Map<Long, Double> witnesses = until.computeIfAbsent(word.cache, cache -> new HashMap<>());
-            if (word.verdict != Verdict.CONVICTED) {
-                witnesses.put(word.viewer, word.verdict == Verdict.FAILS ? Double.POSITIVE_INFINITY : word.ms);
+    private void checkConvictions(List<CacheVerdict> verdicts) {
+        List<CacheVerdict> ordered = verdicts.stream().sorted(Comparator.comparingDouble(CacheVerdict::ms)).toList();
+        Map<String, Map<Long, Double>> witnessedUntil = new HashMap<>(); // by cache and witness; infinite while the witness observes failures
+        for (CacheVerdict cacheVerdict : ordered) {
+            Map<Long, Double> witnesses = witnessedUntil.computeIfAbsent(cacheVerdict.cache, cache -> new HashMap<>());
+            if (cacheVerdict.verdict != Verdict.CONVICTED) {
+                witnesses.put(cacheVerdict.viewer, cacheVerdict.verdict == Verdict.FAILS ? Double.POSITIVE_INFINITY : cacheVerdict.ms);
                 continue;
             }
-            String viewer = truth.process(word.viewer).member();
-            double since = word.ms - dappleseam.fleet.share.NodeObservation.MAX_AGE_MS - TOLD_MS;
-            if (witnesses.entrySet().stream().noneMatch(e -> e.getValue() >= since && !truth.process(e.getKey()).member().equals(viewer))) {
-                breach(Promise.FALSE_SIGNAL, word.ms, "%s was convinced that %s fails, which no other member observed", viewer, word.cache);
+            String viewer = groundTruth.process(cacheVerdict.viewer).member();
+            double since = cacheVerdict.ms - dappleseam.fleet.share.NodeObservation.MAX_AGE_MS - DELIVERY_MS;
+            if (witnesses.entrySet().stream().noneMatch(e -> e.getValue() >= since && !groundTruth.process(e.getKey()).member().equals(viewer))) {
+                addBreach(Guarantee.FALSE_SIGNAL, cacheVerdict.ms, "%s was convinced that %s fails, which no other member observed", viewer, cacheVerdict.cache);
             }
         }
     }
 
     /** How far the sum of all shares may exceed one: by a fifth for partitions and delayed announcements, and by one and a half even shares for new processes. */
-    public static double margin(int members) {
+    public static double shareMargin(int members) {
         return 0.2 + 1.5 / members;
     }
 
     /** Guards the division of limits: the sum of the reciprocal divisors of all running processes stays within one plus the margin. */
-    private void within(List<Counted> counts, Promise promise, double margin) {
-        Map<Long, Double> now = new HashMap<>();
+    private void checkTotal(List<Divisor> divisors, Guarantee guarantee, double margin) {
+        Map<Long, Double> latest = new HashMap<>();
         double worst = 1 + margin;
-        Breach found = null;
-        for (Counted count : counts.stream().filter(c -> c.ms() <= bounds.settledMs()).sorted(Comparator.comparingDouble(Counted::ms)).toList()) {
-            now.put(count.viewer(), count.counted());
+        Breach worstBreach = null;
+        for (Divisor record : divisors.stream().filter(c -> c.ms() <= bounds.settledAtMs()).sorted(Comparator.comparingDouble(Divisor::ms)).toList()) {
+            latest.put(record.viewer(), record.divisor());
             double sum = 0;
-            for (Map.Entry<Long, Double> entry : now.entrySet()) {
-                Truth.Process process = truth.process(entry.getKey());
-                sum += process != null && process.runsAt(count.ms()) && truth.isKnown(process, count.ms(), bounds.rumourMs()) ? 1.0 / entry.getValue() : 0;
+            for (Map.Entry<Long, Double> entry : latest.entrySet()) {
+                GroundTruth.Process process = groundTruth.process(entry.getKey());
+                sum += process != null && process.runsAt(record.ms()) && groundTruth.isPropagated(process, record.ms(), bounds.propagationMs()) ? 1.0 / entry.getValue() : 0;
             }
             if (sum > worst + 1e-9) {
                 worst = sum;
-                found = new Breach(promise, count.ms(), String.format(Locale.ROOT, "the members together used %.3f of the fleet-wide limits", sum));
+                worstBreach = new Breach(guarantee, record.ms(), String.format(Locale.ROOT, "the members together used %.3f of the fleet-wide limits", sum));
             }
         }
-        if (found != null) {
-            breaches.add(found);
+        if (worstBreach != null) {
+            breaches.add(worstBreach);
         }
     }
 }
