--- a/src/main/java/dappleseam/lab/fleet/FaultHistory.java
+++ b/src/main/java/dappleseam/lab/fleet/FaultHistory.java
@@ -106,7 +106,7 @@
         final Set<Integer> unavailable = new HashSet<>();
         final SplittableRandom traffic = new SplittableRandom(seed ^ 0x7ea551c);
         double highest;
-        double highestAtMs;
+        double highestAt;
         double lowestShare = Double.POSITIVE_INFINITY;
         double atEnd;
 
@@ -143,7 +143,7 @@
             }
             if (sum > highest) {
                 highest = sum;
-                highestAtMs = fleet.nowMs();
+                highestAt = fleet.nowMs();
             }
             atEnd = sum;
         }
@@ -166,10 +166,10 @@
             }
             advance(Math.max(0, lastFaultEnd - fleet.nowMs()) + 1);
             double faultsEndedAt = fleet.nowMs();
-            double agreedMs = untilAgreed(AGREEMENT_MS);
+            double timeToAgreement = untilAgreed(AGREEMENT_MS);
             advance(Math.max(0, faultsEndedAt + AGREEMENT_MS - fleet.nowMs()));
-            return new Outcome(ViewChecker.check(groundTruth, records, new ViewChecker.Bounds(DETECTION_MS, GRACE_MS, fleet.nowMs(), PROPAGATION_MS)), agreedMs,
-                    fleet.datagrams, new ShareTotals(highest, highestAtMs, lowestShare, atEnd));
+            return new Outcome(ViewChecker.check(groundTruth, records, new ViewChecker.Bounds(DETECTION_MS, GRACE_MS, fleet.nowMs(), PROPAGATION_MS)), timeToAgreement,
+                    fleet.datagrams, new ShareTotals(highest, highestAt, lowestShare, atEnd));
         }
 
         double untilAgreed(double maxMs) {
--- a/src/main/java/dappleseam/lab/fleet/GroundTruth.java
+++ b/src/main/java/dappleseam/lab/fleet/GroundTruth.java
@@ -51,15 +51,15 @@
 
     /** Whether no fault affected the member in the given period. */
     public synchronized boolean isFaultFree(String member, double fromMs, double toMs) {
-        return faults.stream().noneMatch(t -> t.overlaps(member, fromMs, toMs));
+        return faults.stream().noneMatch(fault -> fault.overlaps(member, fromMs, toMs));
     }
 
     /** Whether, since its start, the process has had an uninterrupted period of that length without any fault: enough for all members to learn of it. */
     synchronized boolean isPropagated(Process process, double ms, double propagationMs) {
         List<Double> starts = new ArrayList<>(List.of(process.fromMs));
-        faults.forEach(t -> starts.add(t.toMs));
+        faults.forEach(fault -> starts.add(fault.toMs));
         return starts.stream().anyMatch(start -> start >= process.fromMs && start + propagationMs <= ms
-                && faults.stream().noneMatch(t -> t.fromMs < start + propagationMs && t.toMs > start));
+                && faults.stream().noneMatch(fault -> fault.fromMs < start + propagationMs && fault.toMs > start));
     }
 
     /** The member's process that was running at the given time, or null. */
--- a/src/main/java/dappleseam/lab/fleet/LeaseChecker.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseChecker.java
@@ -80,16 +80,16 @@
 
     private static List<HoldPeriod> holdPeriods(List<LeaseRecord> records) {
         Map<String, HoldPeriod> periods = new LinkedHashMap<>();
-        for (LeaseRecord record : records) {
-            String key = record.process() + '/' + record.round();
+        for (LeaseRecord leaseRecord : records) {
+            String key = leaseRecord.process() + '/' + leaseRecord.round();
             HoldPeriod before = periods.get(key);
-            if (Double.isNaN(record.untilMs())) {
+            if (Double.isNaN(leaseRecord.untilMs())) {
                 if (before != null) {
-                    periods.put(key, new HoldPeriod(before.process(), before.round(), before.fromMs(), Math.min(before.toMs(), record.ms())));
+                    periods.put(key, new HoldPeriod(before.process(), before.round(), before.fromMs(), Math.min(before.toMs(), leaseRecord.ms())));
                 }
             } else {
-                double to = Math.min(record.untilMs(), record.endedMs());
-                periods.put(key, new HoldPeriod(record.process(), record.round(), before == null ? record.ms() : before.fromMs(), before == null ? to : Math.max(before.toMs(), to)));
+                double to = Math.min(leaseRecord.untilMs(), leaseRecord.endedMs());
+                periods.put(key, new HoldPeriod(leaseRecord.process(), leaseRecord.round(), before == null ? leaseRecord.ms() : before.fromMs(), before == null ? to : Math.max(before.toMs(), to)));
             }
         }
         return periods.values().stream().sorted(Comparator.comparingDouble(HoldPeriod::fromMs)).toList();
--- a/src/main/java/dappleseam/lab/fleet/LeaseExploration.java
+++ b/src/main/java/dappleseam/lab/fleet/LeaseExploration.java
@@ -31,8 +31,9 @@
     private static final int CHECK_OR_ACT = 96;
 
     /**
-     * Plays all paths of up to {@code depth} moves with at most {@code maxFaults} faults, for each of the extreme combinations of clock rates. With {@code coarse}, a move
-     * delivers all messages between a candidate and some voters, so that a few moves suffice to acquire, lose and reacquire the lease.
+     * Plays all paths of up to {@code depth} moves with at most {@code maxFaults} faults, for each of the extreme combinations of clock rates. With
+     * {@code coarse}, one move delivers all messages between a candidate and some voters, so that a few moves suffice to acquire, lose and reacquire the
+     * lease.
      */
     public Result searchAll(int depth, int maxFaults, boolean coarse) {
         Search search = new Search(depth, maxFaults, coarse);
--- a/src/main/java/dappleseam/lab/fleet/MembershipExploration.java
+++ b/src/main/java/dappleseam/lab/fleet/MembershipExploration.java
@@ -20,8 +20,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Model checking of the membership: all orders of events of a small fleet up to a depth, i.e. which datagram arrives next, is lost or is duplicated, when time advances,
- * and which member is killed, starts without state, or stalls. The module is the shipped one; equal states are continued from only once.
+ * Model checking of the membership: all orders of events of a small fleet up to a depth, i.e. which datagram arrives next, is lost or is duplicated,
+ * when time advances, and which member is killed, starts without state, or stalls. The module is the shipped one; equal states are continued from
+ * only once.
  */
 public final class MembershipExploration {
     /** An event; {@code which} is a datagram's index or a member's number. */
--- a/src/main/java/dappleseam/lab/fleet/PlantedFault.java
+++ b/src/main/java/dappleseam/lab/fleet/PlantedFault.java
@@ -61,8 +61,8 @@
             return message;
         }
         List<NodeObservation> lies = IntStream.range(0, ACCUSED_CACHES).mapToObj(i -> new NodeObservation(new NodeId(ListReader.hash("cache-" + i)), 0, true, 0)).toList();
-        return FleetMessage.of(message.sender(), message.announcements().stream().map(b -> IntStream.range(0, liars).anyMatch(i -> b.member().text().equals("lab-" + i))
-                ? new Announcement(b.member(), b.generation(), b.number(), b.location(), b.traffic(), lies) : b).toList());
+        return FleetMessage.of(message.sender(), message.announcements().stream().map(announcement -> IntStream.range(0, liars).anyMatch(i -> announcement.member().text().equals("lab-" + i))
+                ? new Announcement(announcement.member(), announcement.generation(), announcement.number(), announcement.location(), announcement.traffic(), lies) : announcement).toList());
     }
 
     /** The messages that are forged in response to a message. */
@@ -83,9 +83,9 @@
             case LIAR -> withLies(message, 1);
             case LIARS -> withLies(message, 4);
             case NO_RATES -> message.announcements() == null ? message
-                    : FleetMessage.of(message.sender(), message.announcements().stream().map(b -> new Announcement(b.member(), b.generation(), b.number(), b.location(), AnnouncedTraffic.of(0), b.observations())).toList());
+                    : FleetMessage.of(message.sender(), message.announcements().stream().map(announcement -> new Announcement(announcement.member(), announcement.generation(), announcement.number(), announcement.location(), AnnouncedTraffic.of(0), announcement.observations())).toList());
             case FORGETFUL_VOTER -> to.equals(VOTERS.get(0)) && forgetfulReply(message.leaseMessage()) != null ? null : message;
-            case NO_REFUTATION -> message.withUpdates(message.updates().stream().filter(n -> !n.name().equals(to)).toList());
+            case NO_REFUTATION -> message.withUpdates(message.updates().stream().filter(entry -> !entry.name().equals(to)).toList());
             case NO_INDIRECT_PROBE -> message.kind() == FleetMessage.Kind.ASK ? null : message;
             case NO_MERGE -> isConnected || message.kind() == FleetMessage.Kind.SUMS ? null : message;
         };
--- a/src/main/java/dappleseam/lab/fleet/ViewChecker.java
+++ b/src/main/java/dappleseam/lab/fleet/ViewChecker.java
@@ -79,7 +79,7 @@
 
     public static List<Breach> check(GroundTruth groundTruth, Records records, Bounds bounds) {
         ViewChecker checker = new ViewChecker(groundTruth, bounds);
-        List<ViewChange> ordered = records.viewChanges.stream().filter(s -> s.ms() <= bounds.settledAtMs()).sorted(Comparator.comparingDouble(ViewChange::ms)).toList();
+        List<ViewChange> ordered = records.viewChanges.stream().filter(change -> change.ms() <= bounds.settledAtMs()).sorted(Comparator.comparingDouble(ViewChange::ms)).toList();
         ordered.forEach(checker::addViewChange);
         checker.checkDetection();
         checker.checkAgreement();
@@ -110,7 +110,7 @@
         }
         if (change.state() == State.SUSPECT && observed.runsAt(change.ms()) && isFaultFree(viewer, from, change.ms()) && isFaultFree(observed, from, change.ms())
                 && history.subMap(from, true, change.ms(), true).values().stream()
-                .filter(s -> s.state() == State.SUSPECT && s.nonce() == change.nonce()).count() >= MAX_SUSPICIONS) {
+                .filter(earlier -> earlier.state() == State.SUSPECT && earlier.nonce() == change.nonce()).count() >= MAX_SUSPICIONS) {
             addBreach(Guarantee.SUSPECTED_AGAIN, change.ms(), "%s suspected %s repeatedly while it was running", viewer.member(), observed.member());
         }
         if (change.state() == State.ENDED && observed.runsAt(change.ms())) {
@@ -176,10 +176,10 @@
     /** The number of correct views at that time, and the number of views. */
     public static int[] countCorrectViews(GroundTruth groundTruth, List<ViewChange> viewChanges, double ms) {
         ViewChecker checker = new ViewChecker(groundTruth, new Bounds(0, 0, ms, 0));
-        viewChanges.stream().filter(s -> s.ms() <= ms).sorted(Comparator.comparingDouble(ViewChange::ms)).forEach(checker::addViewChange);
+        viewChanges.stream().filter(change -> change.ms() <= ms).sorted(Comparator.comparingDouble(ViewChange::ms)).forEach(checker::addViewChange);
         checker.breaches.clear();
         checker.checkAgreement();
-        List<String> wrongViewers = checker.breaches.stream().map(b -> b.what().substring(0, b.what().indexOf(' '))).distinct().toList();
+        List<String> wrongViewers = checker.breaches.stream().map(breach -> breach.what().substring(0, breach.what().indexOf(' '))).distinct().toList();
         int running = (int) groundTruth.processes().stream().filter(p -> p.runsAt(ms)).count();
         return new int[] {running - wrongViewers.size(), running};
     }
@@ -212,16 +212,16 @@
         Map<Long, Double> latest = new HashMap<>();
         double worst = 1 + margin;
         Breach worstBreach = null;
-        for (Divisor record : divisors.stream().filter(c -> c.ms() <= bounds.settledAtMs()).sorted(Comparator.comparingDouble(Divisor::ms)).toList()) {
-            latest.put(record.viewer(), record.divisor());
+        for (Divisor newDivisor : divisors.stream().filter(divisor -> divisor.ms() <= bounds.settledAtMs()).sorted(Comparator.comparingDouble(Divisor::ms)).toList()) {
+            latest.put(newDivisor.viewer(), newDivisor.divisor());
             double sum = 0;
             for (Map.Entry<Long, Double> entry : latest.entrySet()) {
                 GroundTruth.Process process = groundTruth.process(entry.getKey());
-                sum += process != null && process.runsAt(record.ms()) && groundTruth.isPropagated(process, record.ms(), bounds.propagationMs()) ? 1.0 / entry.getValue() : 0;
+                sum += process != null && process.runsAt(newDivisor.ms()) && groundTruth.isPropagated(process, newDivisor.ms(), bounds.propagationMs()) ? 1.0 / entry.getValue() : 0;
             }
             if (sum > worst + 1e-9) {
                 worst = sum;
-                worstBreach = new Breach(guarantee, record.ms(), String.format(Locale.ROOT, "the members together used %.3f of the fleet-wide limits", sum));
+                worstBreach = new Breach(guarantee, newDivisor.ms(), String.format(Locale.ROOT, "the members together used %.3f of the fleet-wide limits", sum));
             }
         }
         if (worstBreach != null) {
--- a/src/test/java/dappleseam/lab/fleet/FaultHistoryTest.java
+++ b/src/test/java/dappleseam/lab/fleet/FaultHistoryTest.java
@@ -34,10 +34,10 @@
 
     @Property(tries = 150, seed = "20261202", edgeCases = EdgeCasesMode.NONE)
     void sharesAddUpToOneAndNoMemberStarves(@ForAll("histories") FaultHistory history) {
-        FaultHistory.Outcome verdict = history.withShares().play();
-        assertThat(verdict.breaches()).isEmpty();
-        assertThat(verdict.shareTotals().highest()).isLessThan(1 + ViewChecker.shareMargin(6));
-        assertThat(verdict.shareTotals().lowestShare()).as("half of an even share").isGreaterThan(ShareCalculator.EVEN_PART - 1e-9);
+        FaultHistory.Outcome outcome = history.withShares().play();
+        assertThat(outcome.breaches()).isEmpty();
+        assertThat(outcome.shareTotals().highest()).isLessThan(1 + ViewChecker.shareMargin(6));
+        assertThat(outcome.shareTotals().lowestShare()).as("half of an even share").isGreaterThan(ShareCalculator.EVEN_PART - 1e-9);
     }
 
     /** Without the others' traffic, each member takes its own for all traffic of the fleet, so the shares add up to more than one. */
--- a/src/test/java/dappleseam/lab/fleet/LeaseCheckerTest.java
+++ b/src/test/java/dappleseam/lab/fleet/LeaseCheckerTest.java
@@ -14,8 +14,8 @@
 class LeaseCheckerTest {
     private static final double RUNS = Double.POSITIVE_INFINITY;
 
-    private static Result check(LeaseRecord... lines) {
-        return LeaseChecker.check(List.of(lines)).get("l");
+    private static Result check(LeaseRecord... records) {
+        return LeaseChecker.check(List.of(records)).get("l");
     }
 
     private static LeaseRecord held(String process, long round, double ms, double until) {
@@ -40,8 +40,8 @@
         assertThat(check(held("a", 1, 0, 300), held("b", 2, 310, 320), lost("b", 2, 312), held("c", 3, 311, 400)).breaches()).hasSize(1);
     }
 
-    private static LeaseChecker.Write write(long round, long number, boolean taken) {
-        return new LeaseChecker.Write(0, new Token(round, 1), number, taken);
+    private static LeaseChecker.Write write(long round, long number, boolean accepted) {
+        return new LeaseChecker.Write(0, new Token(round, 1), number, accepted);
     }
 
     @Test
@@ -54,12 +54,12 @@
     @Test
     void theTimeWithoutAHolderIsReportedByKindOfFault() {
         Result found = check(held("a", 1, 0, 100), held("b", 2, 130, 200), held("c", 3, 260, 300));
-        Map<String, LeaseChecker.TakeoverTimes> absences = LeaseChecker.takeoverTimes(List.of(new LeaseChecker.HolderFault("cut", 50, "a"), new LeaseChecker.HolderFault("stop", 150, "b"),
+        Map<String, LeaseChecker.TakeoverTimes> takeoverTimes = LeaseChecker.takeoverTimes(List.of(new LeaseChecker.HolderFault("cut", 50, "a"), new LeaseChecker.HolderFault("stop", 150, "b"),
                 new LeaseChecker.HolderFault("stop", 270, "c")), found.holdPeriods(), Set.of("stop"));
-        assertThat(absences.get("cut").withoutHolderMs()).containsExactly(30.0);
-        assertThat(absences.get("cut").sinceFaultMs()).containsExactly(80.0);
-        assertThat(absences.get("stop").withoutHolderMs()).containsExactly(110.0);
-        assertThat(absences.get("stop").notTakenOver()).isEqualTo(1);
+        assertThat(takeoverTimes.get("cut").withoutHolderMs()).containsExactly(30.0);
+        assertThat(takeoverTimes.get("cut").sinceFaultMs()).containsExactly(80.0);
+        assertThat(takeoverTimes.get("stop").withoutHolderMs()).containsExactly(110.0);
+        assertThat(takeoverTimes.get("stop").notTakenOver()).isEqualTo(1);
     }
 
     @Test
--- a/src/test/java/dappleseam/lab/fleet/MembershipExplorationTest.java
+++ b/src/test/java/dappleseam/lab/fleet/MembershipExplorationTest.java
@@ -16,8 +16,8 @@
     /** Guards against exceeding the fleet-wide limits when a member starts long after the others have agreed. */
     @Test
     void noOrderOfLateStartsExceedsTheFleetWideLimits() {
-        for (int early = 1; early < 3; early++) {
-            assertThat(new MembershipExploration(early, 5, 2, true, PlantedFault.NONE).run().violation()).isNull();
+        for (int initialMembers = 1; initialMembers < 3; initialMembers++) {
+            assertThat(new MembershipExploration(initialMembers, 5, 2, true, PlantedFault.NONE).run().violation()).isNull();
         }
     }
 
--- a/src/test/java/dappleseam/lab/fleet/StallPeriodsTest.java
+++ b/src/test/java/dappleseam/lab/fleet/StallPeriodsTest.java
@@ -7,12 +7,12 @@
 class StallPeriodsTest {
     @Test
     void overlappingPeriodsCountOnceAndIncludeTheGracePeriod() {
-        StallPeriods disturbances = new StallPeriods(500);
-        disturbances.addStall(2000, 300); // 1700 to 2500
-        disturbances.addStall(2200, 100); // 2100 to 2700
-        disturbances.addStall(9000, 1000); // 8000 to 9500
-        assertThat(disturbances.overlapMs(0, 5000)).isEqualTo(1000);
-        assertThat(disturbances.overlapMs(2000, 8500)).isEqualTo(700 + 500);
-        assertThat(disturbances.overlapMs(3000, 4000)).isZero();
+        StallPeriods stallPeriods = new StallPeriods(500);
+        stallPeriods.addStall(2000, 300); // 1700 to 2500
+        stallPeriods.addStall(2200, 100); // 2100 to 2700
+        stallPeriods.addStall(9000, 1000); // 8000 to 9500
+        assertThat(stallPeriods.overlapMs(0, 5000)).isEqualTo(1000);
+        assertThat(stallPeriods.overlapMs(2000, 8500)).isEqualTo(700 + 500);
+        assertThat(stallPeriods.overlapMs(3000, 4000)).isZero();
     }
 }
