--- a/src/main/java/dappleseam/lab/fleet/ViewChecker.java
+++ b/src/main/java/dappleseam/lab/fleet/ViewChecker.java
@@ -79,7 +79,7 @@
 
     public static List<Breach> check(GroundTruth groundTruth, Records records, Bounds bounds) {
         ViewChecker checker = new ViewChecker(groundTruth, bounds);
-        List<ViewChange> ordered = records.viewChanges.stream().filter(change -> change.ms() <= bounds.settledAtMs()).sorted(Comparator.comparingDouble(ViewChange::ms)).toList();
+        List<ViewChange> ordered = records.viewChanges.stream().filter(viewChange -> viewChange.ms() <= bounds.settledAtMs()).sorted(Comparator.comparingDouble(ViewChange::ms)).toList();
         ordered.forEach(checker::addViewChange);
         checker.checkDetection();
         checker.checkAgreement();
@@ -176,7 +176,7 @@
     /** The number of correct views at that time, and the number of views. */
     public static int[] countCorrectViews(GroundTruth groundTruth, List<ViewChange> viewChanges, double ms) {
         ViewChecker checker = new ViewChecker(groundTruth, new Bounds(0, 0, ms, 0));
-        viewChanges.stream().filter(change -> change.ms() <= ms).sorted(Comparator.comparingDouble(ViewChange::ms)).forEach(checker::addViewChange);
+        viewChanges.stream().filter(viewChange -> viewChange.ms() <= ms).sorted(Comparator.comparingDouble(ViewChange::ms)).forEach(checker::addViewChange);
         checker.breaches.clear();
         checker.checkAgreement();
         List<String> wrongViewers = checker.breaches.stream().map(breach -> breach.what().substring(0, breach.what().indexOf(' '))).distinct().toList();
@@ -212,7 +212,7 @@
         Map<Long, Double> latest = new HashMap<>();
         double worst = 1 + margin;
         Breach worstBreach = null;
-        for (Divisor newDivisor : divisors.stream().filter(divisor -> divisor.ms() <= bounds.settledAtMs()).sorted(Comparator.comparingDouble(Divisor::ms)).toList()) {
+        for (Divisor newDivisor : divisors.stream().filter(d -> d.ms() <= bounds.settledAtMs()).sorted(Comparator.comparingDouble(Divisor::ms)).toList()) {
             latest.put(newDivisor.viewer(), newDivisor.divisor());
             double sum = 0;
             for (Map.Entry<Long, Double> entry : latest.entrySet()) {
