--- a/src/main/java/dappleseam/lab/fleet/MembershipExploration.java
+++ b/src/main/java/dappleseam/lab/fleet/MembershipExploration.java
@@ -279,7 +279,7 @@
             name = new MemberName("p" + number);
         }
 
-        /** Starts the member without state. Its wall clock stands still, so its generations differ in their nonces only, and the greater one is not always the later. */
+        /** Starts the member without state. Its wall clock does not advance, so its generations differ in their nonces only, and the greater one is not always the later. */
         void start(double now) {
             random = new CountingRandom();
             MemberEntry self = new MemberEntry(name, SimulatedFleet.address(number), new Generation(1000, 10L * (starts % 2 == 0 ? 5 + starts : 5 - starts) + number), 0, State.ALIVE, 0);
