--- a/src/main/java/dappleseam/lab/ExploreCommand.java
+++ b/src/main/java/dappleseam/lab/ExploreCommand.java
@@ -6,26 +6,26 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Every order of events of three members, to a depth. */
-@Command(name = "explore", mixinStandardHelpOptions = true, description = "Play every order of events of three members; status 1 where one breaks a promise.")
+/** Explores every order of events among three members of a fleet, up to a depth. */
+@Command(name = "explore", mixinStandardHelpOptions = true, description = "Explore every order of events among three members; exit status 1 if a guarantee is violated.")
 final class ExploreCommand implements Callable<Integer> {
-    @Option(names = "--depth", defaultValue = "6", description = "Events in a row (default: 6).")
+    @Option(names = "--depth", defaultValue = "6", description = "Maximum length of a sequence of events (default: 6).")
     private int depth;
 
-    @Option(names = "--faults", defaultValue = "2", description = "Losses, repeats, deaths and stalls among them, at most (default: 2).")
+    @Option(names = "--faults", defaultValue = "2", description = "Maximum number of losses, duplicates, kills and stalls in a sequence (default: 2).")
     private int faults;
 
-    @Option(names = "--early", defaultValue = "3", description = "Members of the three that run at first; the others start later, or never (default: 3).")
+    @Option(names = "--early", defaultValue = "3", description = "How many of the three members run from the beginning; the others start later or never (default: 3).")
     private int early;
 
-    @Option(names = "--planted", defaultValue = "NONE", description = "A defence that is taken out: ${COMPLETION-CANDIDATES}.")
+    @Option(names = "--planted", defaultValue = "NONE", description = "Protection to disable: ${COMPLETION-CANDIDATES}.")
     private Planted planted;
 
     @Override
     public Integer call() {
         Exploration.Found found = new Exploration(early, depth, faults, true, planted).run();
-        System.out.printf("early %d, depth %d, faults %d, planted %s: %d states in %d ways, %s%n", early, depth, faults, planted, found.states(), found.ways(),
-                found.broken() == null ? "nothing broken" : found.broken());
+        System.out.printf("early %d, depth %d, faults %d, planted %s: %d states on %d paths, %s%n", early, depth, faults, planted, found.states(), found.ways(),
+                found.broken() == null ? "no violation" : found.broken());
         return found.broken() == null ? 0 : 1;
     }
 }
--- a/src/main/java/dappleseam/lab/FleetRun.java
+++ b/src/main/java/dappleseam/lab/FleetRun.java
@@ -47,32 +47,36 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Plays a rehearsal of many proxies: real processes, every datagram between them through a fault tool, and takes all of it down again. */
+/**
+ * Runs a scenario of many proxies as real processes. Every datagram between them passes through a {@link DatagramFaultInjector}. Closing it kills all
+ * processes that are left.
+ */
 final class FleetRun implements AutoCloseable {
     private static final double NANOS_PER_MS = 1e6;
     private static final double MS_PER_S = 1000;
-    /** Looks for a holder of a lease before a blow at it, and the time in ms between two. */
+    /** How often a lease holder is looked for before it is disrupted, and the time in ms between two checks. */
     private static final int HOLDER_TRIES = 50;
     private static final long HOLDER_AGAIN_MS = 100;
+    /** Members that each proxy is given as seeds. */
     private static final int SEEDS = 2;
-    /** From a process's spawning until a slow start stands still, in ms: in the middle of its way up. */
+    /** Time in ms from spawning a process until SLOW_START stops it, which is in the middle of its start-up. */
     private static final long SLOW_FROM_MS = 300;
     private static final int READY_S = 60;
-    /** Periods from an end until all know it; after a trouble in which failures are still told; until a new process is known to all. */
+    /** In membership periods: until all members know of an end; after a fault, during which failures may still be reported; until a new process is known to all. */
     private static final double LATE_PERIODS = 60;
     private static final double GRACE_PERIODS = 60;
     private static final double RUMOUR_PERIODS = 10;
-    /** Proxies from which on one link that is cut is no reason to fail anybody. */
+    /** From this number of proxies on, indirect probes bridge a single cut link, so that it justifies no failure. */
     private static final int ENOUGH_TO_HELP = 5;
-    /** Share of a period from which a delay is a trouble. */
+    /** Delay, as a share of a membership period, from which on it counts as a fault. */
     private static final double LONG_DELAY = 0.2;
-    /** Before its end, in ms, it is looked at whether a cut has to last longer; multiple of its time that it lasts at most. */
+    /** Time in ms before the end of a cut at which it is decided whether to extend it; the longest total time as a multiple of the planned one. */
     private static final double PROLONG_LEAD_MS = 100;
     private static final double MOST_PROLONGED = 3;
 
     private final FleetScenario scenario;
     private final boolean alone;
-    /** Of this rehearsal alone: guards against another one beside it whose members have the same names. */
+    /** Unique fleet name of this run, so that a concurrent run with the same member names cannot interfere. */
     private final String fleet = "lab-" + Long.toHexString(System.nanoTime()) + '-' + ProcessHandle.current().pid();
     private final String serve;
     private final Path home;
@@ -92,7 +96,7 @@
     private volatile boolean failed;
     private volatile boolean stopped;
 
-    /** One member's place: where it listens and is reached, whatever process is there. */
+    /** A member's fixed addresses and configuration, whichever process currently runs there. */
     private final class Seat {
         final int number;
         final ObjectNode config;
@@ -118,7 +122,7 @@
             return home.resolve("proxy-" + number);
         }
 
-        /** A process in this place; {@code bind} and {@code reached} differ for a twin. */
+        /** Starts a process in this slot; {@code bindTo} and {@code advertised} differ from the slot's own ports for a duplicate. */
         Instance spawn(int bind, int reached, ObjectNode told) throws IOException {
             String name = "process-" + processes++;
             int control = ports.take();
@@ -144,14 +148,14 @@
             ProxyProcess process = new ProxyProcess(alone ? serve : serve + " --fleet " + path, home(), own, name);
             Instance instance = new Instance(this, process, control, home().resolve(name + "-views"));
             instances.add(instance);
-            if (stopped) { // it came between the look at all and its own end
+            if (stopped) { // started while killAll() was going through the list
                 process.close();
             }
             return instance;
         }
     }
 
-    /** One process, and when it was taken down. */
+    /** One proxy process and the time at which it was stopped. */
     private static final class Instance {
         final Seat seat;
         final ProxyProcess process;
@@ -167,7 +171,7 @@
             this.views = views;
         }
 
-        /** As leases' records name it. */
+        /** The process's name in lease records. */
         String title() {
             return "lab-" + seat.number + '/' + views.getFileName();
         }
@@ -178,7 +182,7 @@
         }
     }
 
-    /** {@code alone}: proxies know nothing of each other, to compare what it costs that they do. */
+    /** {@code alone}: the proxies run without a fleet, to compare the cost of being in one. */
     FleetRun(FleetScenario scenario, String serve, Path home, Planted planted, boolean alone) throws IOException {
         this.alone = alone;
         this.scenario = scenario;
@@ -199,10 +203,12 @@
         return System.nanoTime() / NANOS_PER_MS;
     }
 
+    /** A step of the run that may fail. */
     private interface Work {
         void run() throws IOException, InterruptedException;
     }
 
+    /** A failure of the action marks the run as incomplete. */
     private Runnable safely(Work work) {
         return () -> {
             try {
@@ -220,6 +226,7 @@
         timeline.add(String.format("%8.2f s  %s", (nowMs() - beganMs) / MS_PER_S, what));
     }
 
+    /** Starts everything, runs the scenario, stops everything and checks the recorded views, leases and queries. */
     FleetReport play() throws IOException, InterruptedException {
         for (int i = 0; i < scenario.proxies(); i++) {
             seats.add(new Seat(i));
@@ -288,7 +295,7 @@
             if (instance.shouldRun) {
                 ends.add(hands.submit(safely(() -> {
                     if (!instance.process.end()) {
-                        ledger.notes.add("a proxy did not end at SIGTERM");
+                        ledger.notes.add("a proxy did not exit on SIGTERM");
                     }
                 })));
             }
@@ -308,7 +315,10 @@
         }
     }
 
-    /** One link's cut lasts until both its ends have run undisturbed for as long as the scenario says: else a busy machine hides what it shows. */
+    /**
+     * Extends the cut of a single link until both its ends have run without a stall for the time that the scenario asks for. On a busy machine the stalls
+     * would otherwise hide what the cut is to show.
+     */
     private void watchCut(LinkFault fault) {
         double fromMs = beganMs + fault.atS() * MS_PER_S;
         lookAtCut(fault, fromMs, fault.forS() * MS_PER_S, fromMs + MOST_PROLONGED * fault.forS() * MS_PER_S);
@@ -321,13 +331,13 @@
             double undisturbed = now - fromMs - Math.max(disturbedMs(fault.from(), fromMs, now), disturbedMs(fault.to(), fromMs, now));
             double more = Math.min(wantedMs - undisturbed, mostUntilMs - endMs);
             if (more > PROLONG_LEAD_MS) {
-                note(String.format(Locale.ROOT, "the cut %s %s lasts %.1f s longer: its ends were not run", fault.from(), fault.to(), more / MS_PER_S));
+                note(String.format(Locale.ROOT, "the cut %s %s is extended by %.1f s: its endpoints were stalled", fault.from(), fault.to(), more / MS_PER_S));
                 lookAtCut(links.prolong(fault, more / MS_PER_S), fromMs, wantedMs, mostUntilMs);
             }
         }), Math.round(Math.max(0, endMs - PROLONG_LEAD_MS - nowMs())), TimeUnit.MILLISECONDS);
     }
 
-    /** Of the processes in those places as they are now, by their own records. */
+    /** Time that the current processes of those slots were stalled, by their own records. */
     private double disturbedMs(Set<Integer> numbers, double fromMs, double toMs) throws IOException {
         Disturbances disturbances = new Disturbances(Membership.STALL_GRACE_PERIODS * scenario.periodMs());
         for (int number : numbers) {
@@ -340,7 +350,7 @@
         return disturbances.within(fromMs, toMs);
     }
 
-    /** What the checker has to know of a fault on links. */
+    /** Tells the checker of a link fault that may legitimately cause failures. */
     private void mark(LinkFault fault) {
         double from = beganMs + MS_PER_S * fault.atS();
         double to = from + MS_PER_S * fault.forS();
@@ -363,15 +373,15 @@
         }
     }
 
-    /** Whoever holds the lease by the processes' own records; nobody is hit where nobody does. */
+    /** Disrupts the current lease holder, by the processes' own records; does nothing if there is none. */
     private void hit(Takeover takeover) throws IOException, InterruptedException {
         Instance holder = awaitHolder();
         if (holder == null) {
-            note(takeover.blow() + " of a holder: there is none");
+            note(takeover.blow() + " of the holder: no process holds the lease");
             return;
         }
         Seat seat = holder.seat;
-        note(takeover.blow() + " of the holder, " + seat.number);
+        note(takeover.blow() + " of the holder, proxy " + seat.number);
         hits.add(new LeaseChecker.Hit(takeover.blow().name().toLowerCase(Locale.ROOT), nowMs(), holder.title()));
         switch (takeover.blow()) {
             case KILL -> befall(new ProcessEvent(0, takeover.forS(), ProcessKind.RESTART, Set.of()), seat);
@@ -384,14 +394,14 @@
             case END -> {
                 ledger.isDown(seat.clients);
                 holder.process.end();
-                holder.down(); // until then it answers, and holds what it held
+                holder.down(); // not before its exit: until then it answers and may hold the lease
                 links.isUp(seat.reachedAt, false);
                 startAgain(seat, takeover.forS());
             }
         }
     }
 
-    /** Null where nobody holds it for so long: a busy machine may take seconds to the first lease. */
+    /** Waits for a holder, as a busy machine may need seconds until the first lease; null if there is none in time. */
     private Instance awaitHolder() throws IOException, InterruptedException {
         Instance holder = holder();
         for (int tries = 0; holder == null && tries < HOLDER_TRIES; tries++) {
@@ -408,7 +418,7 @@
             for (JsonNode one : runs ? lines(instance) : List.<JsonNode>of()) {
                 last = isOfLease(one) ? leaseLine(instance, one) : last;
             }
-            if (last != null && last.untilMs() > nowMs()) { // not for one that was lost
+            if (last != null && last.untilMs() > nowMs()) { // false for a lost lease, whose untilMs is NaN
                 return instance;
             }
         }
@@ -481,7 +491,7 @@
         }
     }
 
-    /** From nothing, after that time; clients come to it once it is ready. */
+    /** Starts a new process without saved state after that time; clients use it once it is ready. */
     private void startAgain(Seat seat, double afterS) {
         after(afterS, () -> {
             start(seat);
@@ -502,7 +512,7 @@
         links.isUp(seat.reachedAt, false);
     }
 
-    /** From nothing: as on a machine whose disk does not last. */
+    /** Starts a new process without saved state, as on a machine whose disk is not persistent. */
     private void start(Seat seat) throws IOException {
         Path tmp = seat.home().resolve("tmp");
         try (var files = Files.walk(tmp)) {
@@ -514,7 +524,7 @@
         seat.now = seat.spawn(seat.bindPort, seat.reachedAt, seat.config);
     }
 
-    /** A process's own record, line by line. */
+    /** The lines of a process's own record. */
     private static List<JsonNode> lines(Instance instance) throws IOException {
         List<JsonNode> lines = new ArrayList<>();
         ObjectMapper json = new ObjectMapper();
@@ -522,7 +532,7 @@
             try {
                 lines.add(json.readTree(line));
             } catch (IOException e) {
-                continue; // it was killed in the middle of a line
+                continue; // the process was killed while it wrote the line
             }
         }
         return lines;
@@ -538,7 +548,7 @@
                 held ? line.path("until").asDouble() : Double.NaN, instance.endedMs);
     }
 
-    /** A process's own record of its view; what it has no line for, it never came to. */
+    /** Sorts the lines of a process's own record into the checkers' inputs. */
     private void read(Instance instance, ViewChecker.Records records, List<LeaseChecker.Line> leases) throws IOException {
         long viewer = 0;
         for (JsonNode one : lines(instance)) {
@@ -561,7 +571,7 @@
         }
     }
 
-    /** Nothing is left running. */
+    /** Kills all processes, and those that are just being started. */
     void stopAll() {
         stopped = true;
         instances.forEach(i -> i.process.close());
--- a/src/main/java/dappleseam/lab/GrowthCommand.java
+++ b/src/main/java/dappleseam/lab/GrowthCommand.java
@@ -9,25 +9,25 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** What a proxy needs by the size of the fleet, on real processes, beside the bounds of the acceptance. */
-@Command(name = "growth", mixinStandardHelpOptions = true, description = "Measure one proxy beside 200 and 3,200 caches; status 1 where a bound is passed.")
+/** Measures with real processes what a proxy needs depending on the number of caches, and compares it with the acceptance bounds. */
+@Command(name = "growth", mixinStandardHelpOptions = true, description = "Measure one proxy with 200 and with 3,200 caches; exit status 1 if a bound is exceeded.")
 final class GrowthCommand implements Callable<Integer> {
-    @Option(names = "--usual", defaultValue = "200", description = "Caches of the usual fleet (default: 200).")
+    @Option(names = "--usual", defaultValue = "200", description = "Number of caches of the usual fleet (default: 200).")
     private int usual;
 
-    @Option(names = "--large", defaultValue = "3200", description = "Caches of the large one (default: 3200).")
+    @Option(names = "--large", defaultValue = "3200", description = "Number of caches of the large fleet (default: 3200).")
     private int large;
 
-    @Option(names = "--days", split = ",", defaultValue = "CALM,ROLLING_REPLACEMENT,ZONE_LOST,WHOLE_LISTS", description = "Which: ${COMPLETION-CANDIDATES}.")
+    @Option(names = "--days", split = ",", defaultValue = "CALM,ROLLING_REPLACEMENT,ZONE_LOST,WHOLE_LISTS", description = "Patterns of change to run: ${COMPLETION-CANDIDATES}.")
     private List<Day> days;
 
-    @Option(names = "--seconds", defaultValue = "30", description = "Length of a day (default: 30).")
+    @Option(names = "--seconds", defaultValue = "30", description = "Length of each run in seconds (default: 30).")
     private double seconds;
 
-    @Option(names = "--per-second", defaultValue = "40", description = "Queries a second (default: 40).")
+    @Option(names = "--per-second", defaultValue = "40", description = "Queries per second (default: 40).")
     private double perSecond;
 
-    @Option(names = "--serve", defaultValue = "exec sh deploy/serve.sh", description = "How a proxy is started.")
+    @Option(names = "--serve", defaultValue = "exec sh deploy/serve.sh", description = "Shell command that starts a proxy.")
     private String serve;
 
     @Override
--- a/src/main/java/dappleseam/lab/Lab.java
+++ b/src/main/java/dappleseam/lab/Lab.java
@@ -28,37 +28,37 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The laboratory's sub-commands. */
-@Command(name = "lab", mixinStandardHelpOptions = true, description = "Rehearse troubles against stand-ins.",
+/** The {@code lab} command and its sub-commands, which test real proxies and simulated fleets under faults. */
+@Command(name = "lab", mixinStandardHelpOptions = true, description = "Run proxies against emulated services under faults, and simulate fleets.",
         subcommands = {Lab.Run.class, Lab.FleetCommand.class, HistoriesCommand.class, SizesCommand.class, ExploreCommand.class, LeasesCommand.class, SubsetsCommand.class, GrowthCommand.class}, synopsisSubcommandLabel = "COMMAND")
 public final class Lab implements Callable<Integer> {
     @Override
     public Integer call() {
-        System.err.println("dappleseam lab: say which: run, fleet, histories, sizes, explore, leases, subsets, growth");
+        System.err.println("dappleseam lab: missing sub-command: run, fleet, histories, sizes, explore, leases, subsets or growth");
         return 2;
     }
 
-    /** What every rehearsal is told, and how it ends. */
+    /** A command that runs one scenario: its common options, and how the result becomes a report and an exit status. */
     abstract static class Rehearsal<S, R extends Told> implements Callable<Integer> {
-        @Parameters(paramLabel = "SCENARIO", description = "The scenario's file.")
+        @Parameters(paramLabel = "SCENARIO", description = "The scenario file.")
         protected Path file;
 
-        @Option(names = "--serve", defaultValue = "exec sh deploy/serve.sh", description = "How a proxy is started.")
+        @Option(names = "--serve", defaultValue = "exec sh deploy/serve.sh", description = "Shell command that starts a proxy.")
         protected String serve;
 
-        @Option(names = "--json", description = "Where the report goes as JSON, too.")
+        @Option(names = "--json", description = "File to which the report is also written as JSON.")
         protected Path json;
 
-        @Option(names = "--folder", description = "Where the proxies' files and logs go (default: a new one).")
+        @Option(names = "--folder", description = "Folder for the proxies' files and logs (default: a new temporary folder).")
         protected Path folder;
 
         abstract S read() throws IOException;
 
         abstract R play(S scenario, Path home) throws IOException, InterruptedException;
 
-        /** What else is made of its report. */
+        /** Hook for further output made from the report. */
         void more(R report) throws IOException {
-            // nothing
+            // none by default
         }
 
         @Override
@@ -87,10 +87,10 @@
         }
     }
 
-    /** Plays one scenario, whole. */
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Play a scenario; status 1 where a rule is broken, 3 where that cannot be told.")
+    /** Runs one scenario from start to end. */
+    @Command(name = "run", mixinStandardHelpOptions = true, description = "Run a scenario; exit status 1 if a rule is broken, 3 if that cannot be decided.")
     static final class Run extends Rehearsal<Scenario, Report> {
-        @Option(names = "--proxies", defaultValue = "1", description = "Proxies beside each other (default: 1).")
+        @Option(names = "--proxies", defaultValue = "1", description = "Number of proxies that run side by side (default: 1).")
         private int proxies;
 
         @Override
@@ -104,16 +104,16 @@
         }
     }
 
-    /** Plays one scenario of many proxies, whole. */
-    @Command(name = "fleet", mixinStandardHelpOptions = true, description = "Play a scenario of many proxies; status 1 where a promise is broken, 3 where that cannot be told.")
+    /** Runs one scenario of many proxies from start to end. */
+    @Command(name = "fleet", mixinStandardHelpOptions = true, description = "Run a scenario of many proxies; exit status 1 if a guarantee is violated, 3 if that cannot be decided.")
     static final class FleetCommand extends Rehearsal<FleetScenario, FleetReport> {
-        @Option(names = "--plot", description = "Where a picture of how many views were right goes, as PNG.")
+        @Option(names = "--plot", description = "PNG file for a chart of the share of correct views over time.")
         private Path plot;
 
-        @Option(names = "--planted", defaultValue = "NONE", description = "A defence that the fault tool takes out: ${COMPLETION-CANDIDATES}.")
+        @Option(names = "--planted", defaultValue = "NONE", description = "Protection to disable: ${COMPLETION-CANDIDATES}.")
         private Planted planted;
 
-        @Option(names = "--alone", description = "Proxies know nothing of each other: to compare costs.")
+        @Option(names = "--alone", description = "Run the proxies without a fleet, to compare the cost.")
         private boolean alone;
 
         @Override
@@ -124,7 +124,7 @@
         @Override
         FleetReport play(FleetScenario scenario, Path home) throws IOException, InterruptedException {
             try (FleetRun run = new FleetRun(scenario, serve, home, planted, alone)) {
-                Runtime.getRuntime().addShutdownHook(new Thread(run::stopAll)); // also after Ctrl-C
+                Runtime.getRuntime().addShutdownHook(new Thread(run::stopAll)); // also on Ctrl-C
                 return run.play();
             }
         }
@@ -137,7 +137,7 @@
         }
     }
 
-    /** Peers, faults, proxies and load; all are down again when it returns. */
+    /** Runs a scenario with emulated services, fault injectors, proxies and load; all of them are stopped when it returns. */
     static Report play(Scenario scenario, String serve, int proxies, Path home) throws IOException, InterruptedException {
         Ledger ledger = new Ledger();
         List<ProxyProcess> started = new ArrayList<>();
@@ -166,7 +166,7 @@
             for (ProxyProcess proxy : started) {
                 boolean alive = proxy.isAlive();
                 if (!alive || !proxy.end()) {
-                    ledger.notes.add(alive ? "a proxy did not end at SIGTERM" : "a proxy crashed: the run is incomplete");
+                    ledger.notes.add(alive ? "a proxy did not exit on SIGTERM" : "a proxy crashed: the run is incomplete");
                 }
             }
             List<FaultTool> tools = new ArrayList<>(fleet.tools());
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Connections that are still there a while after all proxies and clients have ended. */
+    /** Connections that are still open up to 1 s after all proxies and clients have ended. */
     private static int leftOpen(List<FaultTool> tools) throws InterruptedException {
         for (int i = 0; i < 50 && tools.stream().anyMatch(t -> t.open() > 0); i++) {
             Thread.sleep(20);
--- a/src/main/java/dappleseam/lab/LeasesCommand.java
+++ b/src/main/java/dappleseam/lab/LeasesCommand.java
@@ -10,45 +10,45 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Model checking of leases. */
-@Command(name = "leases", mixinStandardHelpOptions = true, description = "Check leases: every order of events to a depth, then random ones; status 1 where one breaks.")
+/** Model-checks the lease protocol, exhaustively to a depth and by random walks. */
+@Command(name = "leases", mixinStandardHelpOptions = true, description = "Model-check leases: every order of events to a depth, then random walks; exit status 1 on a violation.")
 final class LeasesCommand implements Callable<Integer> {
-    @Option(names = "--depth", defaultValue = "5", description = "Large steps in a row of the exhaustive search (default: 5; 0: none).")
+    @Option(names = "--depth", defaultValue = "5", description = "Depth of the exhaustive search in large steps (default: 5; 0: none).")
     private int depth;
 
-    @Option(names = "--troubles", defaultValue = "1", description = "Restarts and the like among them, at most (default: 1).")
+    @Option(names = "--troubles", defaultValue = "1", description = "Maximum number of restarts and other faults in it (default: 1).")
     private int troubles;
 
-    @Option(names = "--from", defaultValue = "1", description = "First seed of random ways (default: 1).")
+    @Option(names = "--from", defaultValue = "1", description = "First seed of the random walks (default: 1).")
     private long from;
 
-    @Option(names = "--seeds", defaultValue = "20000", description = "How many (default: 20000).")
+    @Option(names = "--seeds", defaultValue = "20000", description = "Number of random walks (default: 20000).")
     private int seeds;
 
-    @Option(names = "--steps", defaultValue = "500", description = "Steps of each (default: 500).")
+    @Option(names = "--steps", defaultValue = "500", description = "Steps of each random walk (default: 500).")
     private int steps;
 
-    @Option(names = "--candidates", defaultValue = "2", description = "Candidates, 1 to 3 (default: 2).")
+    @Option(names = "--candidates", defaultValue = "2", description = "Number of candidates, 1 to 3 (default: 2).")
     private int candidates;
 
-    @Option(names = "--disks", description = "Voters have disks, and some get old copies back.")
+    @Option(names = "--disks", description = "Voters keep their state on disk, and some are restored from old copies.")
     private boolean disks;
 
-    @Option(names = "--changing", description = "The set of voters changes, one by one.")
+    @Option(names = "--changing", description = "The set of voters changes, one voter at a time.")
     private boolean changing;
 
-    @Option(names = "--planted", defaultValue = "NONE", description = "A fault that is built in: ${COMPLETION-CANDIDATES}.")
+    @Option(names = "--planted", defaultValue = "NONE", description = "Defect to plant: ${COMPLETION-CANDIDATES}.")
     private Planted planted;
 
-    @Option(names = "--crowd", split = ",", description = "Instead: what so many candidates send, over some seeds.")
+    @Option(names = "--crowd", split = ",", description = "Instead: simulate that many candidates and measure what they send.")
     private List<Integer> crowd = List.of();
 
-    @Option(names = "--spread", description = "Instead: how a thousand leases lie over fifty members, and how many move.")
+    @Option(names = "--spread", description = "Instead: measure how a thousand leases spread over fifty members, and how many move.")
     private boolean spread;
 
     private static final int CROWD_DEATHS = 40;
 
-    /** Status 1 where two held one lease at once. */
+    /** Runs the simulations; exit status 1 if two members held the same lease at once. */
     private int crowds() {
         long breaches = 0;
         for (int members : crowd) {
@@ -75,13 +75,13 @@
         boolean broke = false;
         if (depth > 0) {
             LeaseExploration.Found found = exploration.exhaust(depth, troubles, true);
-            System.out.printf("depth %d, troubles %d: %d states in %d ways, up to %d takes, %s%n", depth, troubles, found.states(), found.ways(), found.takes(),
-                    found.broken() == null ? "nothing broken" : found.broken());
+            System.out.printf("depth %d, troubles %d: %d states on %d paths, up to %d acquisitions, %s%n", depth, troubles, found.states(), found.ways(), found.takes(),
+                    found.broken() == null ? "no violation" : found.broken());
             broke = found.broken() != null;
         }
         List<Walk> walks = LongStream.range(from, from + seeds).parallel().mapToObj(seed -> exploration.walk(seed, steps)).toList();
         List<Walk> broken = walks.stream().filter(w -> w.broken() != null).toList();
-        System.out.printf("%d random ways from seed %d on, %d steps, %d takes, %d overlaps, %d broken%n", seeds, from,
+        System.out.printf("%d random walks from seed %d on, %d steps, %d acquisitions, %d overlaps, %d violations%n", seeds, from,
                 walks.stream().mapToLong(Walk::steps).sum(), walks.stream().mapToLong(Walk::takes).sum(), walks.stream().mapToLong(Walk::overlaps).sum(), broken.size());
         if (!broken.isEmpty()) {
             System.out.println("seed " + broken.get(0).seed() + ": " + broken.get(0).broken());
--- a/src/main/java/dappleseam/lab/Metronome.java
+++ b/src/main/java/dappleseam/lab/Metronome.java
@@ -5,7 +5,7 @@
 import java.lang.management.GarbageCollectorMXBean;
 import java.lang.management.ManagementFactory;
 
-/** Measures how late a thread of this process is run, as all stand-ins are, and what held it up. */
+/** Measures how late a thread of this process is scheduled, which the emulators' threads share, and what delayed it: waiting for a processor or garbage collection. */
 final class Metronome extends Thread {
     private static final int BEAT_MS = 2;
 
--- a/src/main/java/dappleseam/lab/SubsetsCommand.java
+++ b/src/main/java/dappleseam/lab/SubsetsCommand.java
@@ -10,19 +10,19 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** How evenly proxies spread over the copies of a hot key, and how many move as one comes or goes, beside baselines. */
+/** Measures how evenly proxies spread over the copies of a hot key and how many change their copy when a proxy joins or leaves, compared with baselines. */
 @Command(name = "subsets", mixinStandardHelpOptions = true, description = "Measure how proxies spread over the copies of a hot key.")
 final class SubsetsCommand implements Callable<Integer> {
-    @Option(names = "--proxies", split = ",", defaultValue = "100,1000", description = "Sizes (default: 100,1000).")
+    @Option(names = "--proxies", split = ",", defaultValue = "100,1000", description = "Numbers of proxies (default: 100,1000).")
     private List<Integer> proxies;
 
-    @Option(names = "--copies", defaultValue = "8", description = "Copies of the key (default: 8).")
+    @Option(names = "--copies", defaultValue = "8", description = "Number of copies of the key (default: 8).")
     private int copies;
 
-    @Option(names = "--locations", defaultValue = "1", description = "Locations that proxies are spread over, each with so many copies of its own (default: 1).")
+    @Option(names = "--locations", defaultValue = "1", description = "Number of locations of the proxies, each with that many copies of its own (default: 1).")
     private int locations;
 
-    @Option(names = "--seeds", defaultValue = "200", description = "Draws of traffic (default: 200).")
+    @Option(names = "--seeds", defaultValue = "200", description = "Number of random traffic distributions (default: 200).")
     private int seeds;
 
     @Override
@@ -30,7 +30,7 @@
         for (int count : proxies) {
             for (Way way : Way.values()) {
                 List<Found> found = LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> new Subsets(count, locations, copies, seed).measure(way)).toList();
-                System.out.printf("%5d proxies, %d copies, %-13s busiest copy over the mean: median %.3f, most %.3f; at the worst location median %.3f; by proxies, most %.3f; moved by one more or less: %.1f, most %.1f%n", count, copies, way,
+                System.out.printf("%5d proxies, %d copies, %-13s busiest copy relative to the mean: median %.3f, maximum %.3f; at the worst location, median %.3f; by number of proxies, maximum %.3f; proxies moved when one joins or leaves: mean %.1f, maximum %.1f%n", count, copies, way,
                         at(found.stream().mapToDouble(Found::peak).toArray(), 0.5), at(found.stream().mapToDouble(Found::peak).toArray(), 1),
                         at(found.stream().mapToDouble(Found::near).toArray(), 0.5),
                         at(found.stream().mapToDouble(Found::proxiesPeak).toArray(), 1), found.stream().mapToDouble(Found::moved).average().orElse(0),
--- a/src/main/java/dappleseam/lab/check/Ledger.java
+++ b/src/main/java/dappleseam/lab/check/Ledger.java
@@ -6,36 +6,39 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** What peers and clients saw, each thing once, with its time in ms; any thread writes. */
+/** Thread-safe record of what the emulated services and the clients observed during a run. Times are in ms since it was created. */
 public final class Ledger {
-    /** An execution whose last byte came to a node, at {@code atMs} at the earliest; {@code effect} where it ran and was no repeat that is dropped. */
+    /**
+     * An execution that reached a node completely. {@code atMs}: the earliest possible time of its last byte; {@code effect}: whether it was executed, that is, neither
+     * refused nor dropped as a duplicate; {@code refused}: whether the node was too busy.
+     */
     public record Execution(String query, String node, double atMs, String mark, boolean effect, boolean turnedAway) {}
 
-    /** {@code TAKEN_DOWN}: had no answer in time, and the scenario killed or stopped its proxy meanwhile. */
+    /** How a query ended for its client. {@code TAKEN_DOWN}: no answer in time, while the scenario had killed or stopped its proxy. */
     public enum Verdict { COMPLETED, REJECTED, ABORTED, SPOILT, CUT, UNANSWERED, LEFT, TAKEN_DOWN }
 
     /**
-     * A query as its client saw it: written by {@code sentMs}, its end noted at {@code endedMs}; its last byte came at {@code cameMs} at the earliest. {@code answers} counts whole answers to it;
-     * {@code port}: of the proxy that had it last, 0 for none.
+     * A query as its client saw it. {@code sentMs}: when it had been written; {@code endedMs}: when its end was noticed; {@code lastByteMs}: the earliest possible time of
+     * the last byte of its answer; {@code answers}: the number of complete answers; {@code port}: of the last proxy that it was sent to, 0 for none.
      */
     public record Query(String id, String grade, boolean write, double sentMs, double timeoutMs, double cameMs, double endedMs,
                         Verdict verdict, int answers, int port) {
-        /** By a client that is never late. */
+        /** For a client that notices the last byte without delay. */
         public Query(String id, String grade, boolean write, double sentMs, double timeoutMs, double endedMs, Verdict verdict, int answers, int port) {
             this(id, grade, write, sentMs, timeoutMs, endedMs, endedMs, verdict, answers, port);
         }
     }
 
-    /** The list service has told of a node's state. */
+    /** The list service has sent a node's state to a proxy. */
     public record Told(String node, String state, double atMs) {}
 
-    /** A cache's process started; 0 for one that is warm from the beginning. */
+    /** The start of a cache's process. {@code cold}: whether it starts empty and with reduced capacity. */
     public record Started(String node, double atMs, boolean cold) {}
 
-    /** Lateness in ms of the laboratory's own threads from which it is noted by itself. */
+    /** Lateness in ms of the laboratory's own threads from which on it is recorded as a stall. */
     public static final double HELD_UP_MS = 50;
 
-    /** The laboratory was late itself until {@code atMs}: of that, and of the time since the last one, it waited for a processor and collected garbage so long. */
+    /** A stall of the laboratory itself that ended at {@code atMs}, with the time spent waiting for a processor and collecting garbage since the stall before. */
     public record HeldUp(double atMs, double lateMs, double waitedMs, double collectedMs) {}
 
     public final Queue<HeldUp> heldUps = new ConcurrentLinkedQueue<>();
@@ -44,61 +47,65 @@
     public final Queue<Told> told = new ConcurrentLinkedQueue<>();
     public final Queue<Started> started = new ConcurrentLinkedQueue<>();
     public final Queue<String> notes = new ConcurrentLinkedQueue<>();
-    /** A call came to the list service. */
+    /** A call to the list service. {@code answered}: false if it was refused by the limit of calls. */
     public record ListCall(double atMs, boolean answered) {}
 
     public final Queue<ListCall> callsForList = new ConcurrentLinkedQueue<>();
     public final AtomicInteger listCalls = new AtomicInteger();
-    /** By a proxy's port, when the scenario took it down, and when it was there again. */
+    /** Ports of proxies that are about to stop. */
     private final Set<Integer> avoided = ConcurrentHashMap.newKeySet();
+    /** Each entry: a proxy's port, when the scenario took the proxy down, and when it was available again. */
     private final Queue<double[]> outages = new ConcurrentLinkedQueue<>();
     private final long bornNanos = System.nanoTime();
 
     private volatile double latenessMs;
 
-    /** The laboratory was so late itself; what it times can be off by as much. */
+    /** Records that the laboratory itself was late; its measured times can be off by as much. */
     public synchronized void late(double ms) {
         latenessMs = Math.max(latenessMs, ms);
     }
 
-    /** The most it was late so far. */
+    /** The greatest lateness so far. */
     public double latenessMs() {
         return latenessMs;
     }
 
-    /** The scenario takes a proxy down, or stops it, until {@link #isBack}. */
+    /** The scenario takes the proxy at that port down, or stops it, until {@link #markUp}. */
     public void isDown(int port) {
         outages.add(new double[] {port, nowMs(), Double.POSITIVE_INFINITY});
     }
 
+    /** The proxy at that port is available again. */
     public void isBack(int port) {
         outages.forEach(o -> o[2] = o[0] == port ? Math.min(o[2], nowMs()) : o[2]);
     }
 
-    /** It is about to end, as a front sees: nobody comes to it any more. */
+    /** The proxy is about to end: as behind a load balancer, no client is sent to it any more. */
     public void isAvoided(int port) {
         avoided.add(port);
     }
 
-    /** Whether a client may go there now. */
+    /** Whether clients may currently be sent to the proxy at that port. */
     public boolean takesClients(int port) {
         return !avoided.contains(port) && !wasDown(port, nowMs(), nowMs());
     }
 
+    /** Whether the scenario had that proxy down at any time in that period. */
     public boolean wasDown(int port, double fromMs, double toMs) {
         return outages.stream().anyMatch(o -> o[0] == port && o[1] <= toMs && o[2] >= fromMs);
     }
 
+    /** The same for any proxy. */
     public boolean wasAnyDown(double fromMs, double toMs) {
         return outages.stream().anyMatch(o -> o[1] <= toMs && o[2] >= fromMs);
     }
 
-    /** Ms since the ledger began. */
+    /** Time in ms since the ledger was created. */
     public double nowMs() {
         return msAt(System.nanoTime());
     }
 
-    /** The same for a time of {@link System#nanoTime}. */
+    /** Converts a time of {@link System#nanoTime}. */
     public double msAt(long nanos) {
         return (nanos - bornNanos) / 1e6;
     }
--- a/src/main/java/dappleseam/lab/check/RuleChecker.java
+++ b/src/main/java/dappleseam/lab/check/RuleChecker.java
@@ -16,17 +16,21 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** The four rules over what peers and clients saw. Free of I/O; each breach tells the query's history. */
+/**
+ * Checks the four rules on the record of a run, without I/O. Rule 1: each query has exactly one answer, within its statement timeout, and is not executed after it.
+ * Rule 2: a non-idempotent query is not retried if it may have been executed, and an idempotency key takes effect once. Rule 3: a drained node receives no executions.
+ * Rule 4: a cold cache is not overloaded. Each breach describes the query's history.
+ */
 public final class RuleChecker {
-    /** What every time limit is longer by, in ms: the way there and back. */
+    /** Allowance in ms that is added to every time limit for the way there and back. */
     static final double SLACK_MS = 50;
-    /** Time in ms after a drain was told in which executions may still go there. */
+    /** Time in ms after a drain was announced during which executions may still be sent to the node. */
     static final double GRACE_MS = 500;
-    /** A cold cache falls over when sent more than so many times what it can do, for so many ms. */
+    /** A cold cache is overloaded when it is sent more than this multiple of its capacity during a window of this length in ms. */
     static final double FALL_MULTIPLE = 3;
     static final double FALL_MS = 1500;
 
-    /** A rule that was broken, 1 to 4; {@code timed} where it rests on a time limit, which a late laboratory cannot judge. */
+    /** A broken rule, 1 to 4. {@code timeBased}: whether it depends on a time limit, which cannot be judged when the laboratory itself was late. */
     public record Breach(int rule, String what, boolean timed) {}
 
     private final Scenario scenario;
@@ -38,10 +42,10 @@
         grades = scenario.load().grades().stream().collect(Collectors.toMap(Grade::name, Function.identity()));
     }
 
-    /** Faults on the clients' own connections are not the proxy's: an answer cut there breaks nothing. */
+    /** {@code hasClientFaults}: faults on the clients' own connections are not the proxy's, so an answer that is cut there breaks no rule. */
     public static List<Breach> check(Scenario scenario, Ledger ledger, boolean clientsAreCut) {
         RuleChecker checker = new RuleChecker(scenario);
-        // In the order in which nodes noted them: a node notes an execution before it answers, and times are only the earliest.
+        // In the order in which the nodes recorded them, not by time: a node records an execution before it answers, and its time is only the earliest possible one.
         Map<String, List<Execution>> byQuery = ledger.executions.stream().collect(Collectors.groupingBy(Execution::query));
         for (Query query : ledger.queries) {
             checker.oneAnswer(query, byQuery.getOrDefault(query.id(), List.of()), clientsAreCut);
@@ -59,7 +63,7 @@
 
     private void breach(int rule, String what, List<Execution> history, boolean timed) {
         breaches.add(new Breach(rule, what + history.stream().map(e -> String.format("; %s at %.1f ms%s", e.node(), e.atMs(),
-                e.turnedAway() ? " turned away" : e.effect() ? "" : " dropped as a repeat")).collect(Collectors.joining()), timed));
+                e.turnedAway() ? " refused" : e.effect() ? "" : " dropped as a duplicate")).collect(Collectors.joining()), timed));
     }
 
     private void oneAnswer(Query q, List<Execution> executions, boolean clientsAreCut) {
@@ -71,13 +75,13 @@
             breach(1, "query " + q.id() + " ended " + q.verdict() + " after "
                     + Math.round(q.endedMs() - q.sentMs()) + " of " + Math.round(q.timeoutMs()) + " ms", executions);
         } else if (!lost && q.verdict() != Verdict.LEFT && q.answers() != 1) {
-            breach(1, "query " + q.id() + " had " + q.answers() + " answers", executions);
+            breach(1, "query " + q.id() + " received " + q.answers() + " answers", executions);
         } else if (!lost && q.cameMs() > q.sentMs() + q.timeoutMs() + SLACK_MS) {
             breach(1, "query " + q.id() + " was answered after its statement timeout", executions, true);
         }
         for (Execution e : executions) {
             if (!clientsAreCut && e.atMs() > q.endedMs() + SLACK_MS) {
-                breach(1, "query " + q.id() + " was sent on after its end at " + Math.round(q.endedMs()) + " ms", executions, true);
+                breach(1, "query " + q.id() + " was forwarded after its end at " + Math.round(q.endedMs()) + " ms", executions, true);
                 return;
             }
         }
@@ -90,9 +94,9 @@
         long effects = executions.stream().filter(Execution::effect).count();
         boolean ranBeforeLast = executions.stream().limit(Math.max(0, executions.size() - 1)).anyMatch(Execution::effect);
         if (effects > 1 || ranBeforeLast) {
-            breach(2, "query " + q.id() + " was sent again though it may have run", executions);
+            breach(2, "query " + q.id() + " was retried although it may have been executed", executions);
         } else if (effects > 0 && q.verdict() == Verdict.REJECTED) {
-            breach(2, "query " + q.id() + " was rejected though it ran", executions);
+            breach(2, "query " + q.id() + " was rejected although it was executed", executions);
         }
     }
 
@@ -101,7 +105,7 @@
                 .collect(Collectors.groupingBy(Execution::mark));
         byMark.forEach((mark, ran) -> {
             if (ran.size() > 1) {
-                breach(2, "mark " + mark + " had its effect " + ran.size() + " times", ran);
+                breach(2, "idempotency key " + mark + " took effect " + ran.size() + " times", ran);
             }
         });
     }
@@ -118,13 +122,13 @@
         for (Execution e : ledger.executions) {
             Double at = leftAt.get(e.node());
             if (at != null && e.atMs() > at + GRACE_MS + SLACK_MS) {
-                breach(3, e.node() + " got query " + e.query() + " " + Math.round(e.atMs() - at)
-                        + " ms after its drain was told", List.of(), true);
+                breach(3, e.node() + " received query " + e.query() + " " + Math.round(e.atMs() - at)
+                        + " ms after its drain was announced", List.of(), true);
             }
         }
     }
 
-    /** Commands within any window of the stated length, against what the cache can do in it. */
+    /** Compares the commands within any window of the stated length with the capacity of the cache during it. */
     private void coldCaches(Ledger ledger) {
         double perMs = scenario.caches().slots() / Math.max(0.1, scenario.caches().workMs());
         double warmMs = scenario.caches().warmS() * 1000;
@@ -142,7 +146,7 @@
                 double age = Math.max(0, sent.get(from).atMs() - start.atMs());
                 double share = scenario.caches().coldFrom() + (1 - scenario.caches().coldFrom()) * age / Math.max(1, warmMs);
                 if (to - from + 1 > FALL_MULTIPLE * share * perMs * FALL_MS) {
-                    breach(4, start.node() + " got " + (to - from + 1) + " commands in " + FALL_MS + " ms, "
+                    breach(4, start.node() + " received " + (to - from + 1) + " commands in " + FALL_MS + " ms, "
                             + Math.round(age) + " ms after its cold start", List.of(), true);
                     break;
                 }
--- a/src/main/java/dappleseam/lab/emulator/CacheEmulator.java
+++ b/src/main/java/dappleseam/lab/emulator/CacheEmulator.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A cache node that only stores: capacity, a cold start, a connection cap, keys held and missed. */
+/** Emulates a cache node that only stores values: with limited capacity, a cold start, a connection limit, and hits and misses. */
 public final class CacheEmulator extends Peer {
     private static final int MOST_PARTS = 8;
     private static final int LONGEST = 4 << 20;
@@ -35,7 +35,7 @@
     private volatile double errs;
     private volatile double spoils;
 
-    /** What a cache tells the origin of. */
+    /** Is notified of cache misses. */
     interface Origin {
         void missed(String query, CacheEmulator at);
     }
@@ -69,7 +69,7 @@
         held.remove(key);
     }
 
-    /** A process that has just started, perhaps under a new name: cold and empty. */
+    /** Acts as a newly started process, possibly under a new name: cold and empty. */
     void restart(String newUid) throws IOException {
         uid = newUid;
         held.clear();
@@ -94,6 +94,7 @@
         spoils = share;
     }
 
+    /** Current share of the full capacity, which grows after a cold start. */
     private double share() {
         double age = (ledger.nowMs() - startedAt) / 1000;
         return age >= rules.warmS() ? 1 : rules.coldFrom() + (1 - rules.coldFrom()) * age / rules.warmS();
@@ -114,8 +115,8 @@
             String[] words = command(in);
             String answer = answer(words, ledger.msAt(in.receivedNanos()));
             while (silent) {
-                Thread.sleep(SILENT_STEP_MS); // a machine cut off says nothing, and goes on when it is back
-                in.available(); // guards the proxy: what is read late came after nothing was there
+                Thread.sleep(SILENT_STEP_MS); // a machine that is cut off sends nothing, and continues once it is connected again
+                in.available(); // updates the last time without input, by which later input is stamped: the proxy must not be blamed for a late read
             }
             out.write(answer.getBytes(StandardCharsets.ISO_8859_1));
         }
@@ -124,13 +125,13 @@
     private static String[] command(InputStream in) throws IOException {
         String head = Blocking.line(in);
         if (!head.matches("\\*[1-8]")) {
-            throw new IOException("garbage: a close is all it gets");
+            throw new IOException("malformed command: the connection is closed");
         }
         String[] words = new String[Math.min(MOST_PARTS, head.charAt(1) - '0')];
         for (int i = 0; i < words.length; i++) {
             String length = Blocking.line(in);
             if (!length.matches("\\$\\d{1,7}") || Integer.parseInt(length.substring(1)) > LONGEST) {
-                throw new IOException("garbage");
+                throw new IOException("malformed command");
             }
             words[i] = new String(in.readNBytes(Integer.parseInt(length.substring(1))), StandardCharsets.ISO_8859_1);
             Blocking.line(in);
--- a/src/main/java/dappleseam/lab/emulator/Fleet.java
+++ b/src/main/java/dappleseam/lab/emulator/Fleet.java
@@ -11,9 +11,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** All peers of the proxies, and the troubles that befall them by the scenario. */
+/** All emulated services that the proxies use, and the incidents that happen to them in the scenario. */
 public final class Fleet implements AutoCloseable {
-    /** Time in ms after which the list service knows of what befell a process. */
+    /** Time in ms after which the list service notices that a process has died. */
     private static final long NOTICE_MS = 1500;
 
     private final Scenario scenario;
@@ -46,7 +46,7 @@
         list.begin();
     }
 
-    /** Where that port is reached: at a fault tool in front of it where the scenario has faults there. */
+    /** The port at which proxies reach the given one: that of a fault injector in front of it if the scenario has faults there. */
     private int through(Where where, int port) throws IOException {
         List<Fault> script = scenario.faults().stream().filter(f -> f.where() == where).toList();
         if (script.isEmpty()) {
@@ -61,6 +61,7 @@
         return listPort;
     }
 
+    /** The list as a proxy knows it at its start. */
     public ObjectNode known() {
         return list.whole();
     }
@@ -69,7 +70,7 @@
         return tools;
     }
 
-    /** Begins the scenario's clock. */
+    /** Starts the clock of the scenario's incidents. */
     public void begin() {
         for (Trouble trouble : scenario.troubles()) {
             at(trouble.atS(), () -> set(trouble, true));
--- a/src/main/java/dappleseam/lab/emulator/LargeFleet.java
+++ b/src/main/java/dappleseam/lab/emulator/LargeFleet.java
@@ -7,14 +7,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A list of many caches, behind which stand a few emulators: what a proxy does for each listed cache is what is measured. */
+/** A list of many caches that are served by a few emulators, as only the cost of each listed cache for a proxy is measured. */
 public final class LargeFleet implements AutoCloseable {
-    /** What happens to the caches in the course of a day. */
+    /** What happens to the caches during a run. */
     public enum Day { CALM, ROLLING_REPLACEMENT, ZONE_LOST, WHOLE_LISTS }
 
-    /** Emulators that are lost together. */
+    /** Emulators that fail together when a zone is lost. */
     private static final int LOST = 2;
-    /** Times as shares of the day: when something first happens, and when the last step of a replacement begins. */
+    /** Times as shares of the run: when something first happens, and by when the steps of a replacement have begun. */
     private static final double FROM = 0.2;
     private static final double UP_TO = 0.8;
     private static final int STEPS = 20;
@@ -44,7 +44,7 @@
         list.begin();
     }
 
-    /** Nodes of those numbers, all in one change of the list; {@code generation} tells successors from those before them. */
+    /** Sets the entries of those nodes in a single change of the list. {@code suffix}: distinguishes the names of successors from those of their predecessors. */
     private void tell(int from, int to, String generation, String state, double bootMs) {
         synchronized (list) {
             for (int i = from; i < to; i++) {
@@ -57,21 +57,22 @@
         return list.port();
     }
 
+    /** The list as a proxy knows it at its start. */
     public ObjectNode known() {
         return list.whole();
     }
 
-    /** Connections that caches have accepted so far. */
+    /** Connections that the caches have accepted so far. */
     public int connectionsMade() {
         return caches.stream().mapToInt(Peer::accepted).sum();
     }
 
-    /** Bytes of lists told so far. */
+    /** Bytes of lists sent so far. */
     public long listBytes() {
         return list.bytesTold();
     }
 
-    /** Begins a day of that length. */
+    /** Starts a pattern of changes that takes {@code seconds}. */
     public void begin(Day day, double seconds) {
         switch (day) {
             case CALM -> { }
--- a/src/main/java/dappleseam/lab/emulator/ListEmulator.java
+++ b/src/main/java/dappleseam/lab/emulator/ListEmulator.java
@@ -16,7 +16,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The list service, with watches. */
+/** Emulates the list service, including watches: calls that are held until the list changes. */
 public final class ListEmulator extends Peer {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Pattern CALL =
@@ -37,12 +37,12 @@
         this.ledger = ledger;
     }
 
-    /** So many calls a second are answered from now on, the others turned away; 0 for all. */
+    /** From now on answers at most that many calls per second and refuses the others; 0 for no limit. */
     synchronized void bears(int callsPerS) {
         borne = callsPerS;
     }
 
-    /** From now on each answer is the whole list. */
+    /** From now on sends the full list instead of changes. */
     synchronized void tellsWhole() {
         whole = true;
     }
@@ -64,13 +64,13 @@
         return ++thisSecond <= borne || borne == 0;
     }
 
-    /** A node as the list has it from now on; {@code port} is where the proxies reach it. */
+    /** Sets a node's entry; {@code port} is where the proxies reach it. */
     synchronized void tell(String uid, int port, String machine, String state, double bootMs) {
         entries.put(uid, new Entry(++rev, uid, port, machine, state, bootMs));
         notifyAll();
     }
 
-    /** The list as JSON: what came after {@code from}, or all that is not gone. */
+    /** The list as JSON: the changes after version {@code from}, or all nodes that are not gone. Adds the entries to {@code sent}. */
     private synchronized ObjectNode since(long from, List<Entry> told) {
         boolean all = from == 0 || whole && rev > from;
         ObjectNode list = JSON.createObjectNode().put("rev", rev).put("all", all);
@@ -102,11 +102,11 @@
         while (true) {
             Matcher call = CALL.matcher(Blocking.line(in));
             for (String line = Blocking.line(in); !line.isEmpty(); line = Blocking.line(in)) {
-                continue; // no header tells anything here
+                continue; // headers are ignored
             }
             ledger.listCalls.incrementAndGet();
             if (!call.matches()) {
-                throw new IOException("garbage: a close is all it gets");
+                throw new IOException("malformed request: the connection is closed");
             }
             boolean borne = isBorne();
             ledger.callsForList.add(new Ledger.ListCall(ledger.nowMs(), borne));
--- a/src/main/java/dappleseam/lab/emulator/OriginEmulator.java
+++ b/src/main/java/dappleseam/lab/emulator/OriginEmulator.java
@@ -14,13 +14,15 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.Semaphore;
 
-/** The origin: reads for what caches lack, writes, and repeats dropped by their mark within a window. */
+/** Emulates the origin: reads after cache misses, writes, and deduplication by idempotency key within a window. */
 public final class OriginEmulator extends Peer implements CacheEmulator.Origin {
     private final Origin rules;
     private final Caches caches;
     private final Ledger ledger;
     private final Semaphore slots;
+    /** Caches that missed the key of a query, by the query's identifier; they store the value once the origin has answered. */
     private final Map<String, ConcurrentLinkedQueue<CacheEmulator>> missed = new ConcurrentHashMap<>();
+    /** When each idempotency key was first used. */
     private final Map<String, Double> marks = new ConcurrentHashMap<>();
     private volatile List<CacheEmulator> all = List.of();
 
@@ -35,7 +37,7 @@
         all = listed;
     }
 
-    /** The value made for that query: a client can tell it from any other. */
+    /** The value for that key and query, distinct from that of any other query, so that a client can verify it. */
     public static String value(String key, String query, int bytes) {
         String start = key + '/' + query + '/';
         return start + "v".repeat(Math.max(0, bytes - start.length()));
@@ -51,7 +53,7 @@
         while (true) {
             String[] first = Blocking.line(in).split(" ");
             if (first.length != 3 || !first[1].startsWith("/")) {
-                throw new IOException("garbage: a close is all it gets");
+                throw new IOException("malformed request: the connection is closed");
             }
             Map<String, String> headers = Blocking.headers(in);
             in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
--- a/src/main/java/dappleseam/lab/emulator/Peer.java
+++ b/src/main/java/dappleseam/lab/emulator/Peer.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A stand-in that listens on a port of its own, with a thread for each connection. */
+/** Base of the emulated services: listens on a port of its own and serves each connection on a thread. */
 abstract class Peer implements AutoCloseable {
     private static final int BACKLOG = 512;
-    /** Tries to listen again where a process died a moment ago, and the time in ms between two. */
+    /** Attempts to bind to the port of a process that has just crashed, and the time in ms between two. */
     private static final int BINDS = 50;
     private static final long BIND_AGAIN_MS = 20;
 
@@ -52,7 +52,7 @@
         });
     }
 
-    /** Speaks on one connection until it ends. */
+    /** Serves one connection until it ends. */
     abstract void serve(TimedInput in, OutputStream out) throws IOException, InterruptedException;
 
     public int port() {
@@ -68,7 +68,7 @@
         return open.size();
     }
 
-    /** As a process that dies: connections are reset, new ones refused. */
+    /** Acts as a crashed process: resets its connections and refuses new ones. */
     final void die() throws IOException {
         server.close();
         for (Socket socket : open) {
@@ -76,12 +76,12 @@
                 socket.setSoLinger(true, 0);
                 socket.close();
             } catch (IOException e) {
-                continue; // its own thread has closed it
+                continue; // closed by its own thread
             }
         }
     }
 
-    /** As the process that comes after it, at the same address. */
+    /** Acts as a new process at the same address. */
     final void comeBack() throws IOException {
         for (int tries = 1; ; tries++) {
             server = new ServerSocket();
@@ -90,7 +90,7 @@
                 server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), BACKLOG);
                 begin();
                 return;
-            } catch (BindException e) { // the old listener is held until its thread has left accept
+            } catch (BindException e) { // the old listener keeps the port until its thread has returned from accept
                 server.close();
                 if (tries == BINDS) {
                     throw e;
--- a/src/main/java/dappleseam/lab/emulator/StoreEmulator.java
+++ b/src/main/java/dappleseam/lab/emulator/StoreEmulator.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * A store behind HTTP for the fleet's last list, as {@link dappleseam.fleet.lastlist.HttpStore} asks for. The first write of each token is long on its way: it is
- * looked at only {@code lateMs} after it came, whatever happened since.
+ * Emulates an HTTP store for the fleet's last list, as {@link dappleseam.fleet.lastlist.HttpStore} requires it. The first write of each token is delayed, as if by the network:
+ * it is applied only {@code delayMs} after its arrival, whatever has happened since.
  */
 public final class StoreEmulator extends Peer {
     private static final double NANOS_PER_MS = 1e6;
@@ -30,18 +30,18 @@
     private Stored kept;
     private byte[] body;
 
-    /** {@code fenced}: whether it refuses what comes before what it has. */
+    /** {@code fenced}: whether it refuses writes that are older than the stored one. */
     public StoreEmulator(double lateMs, boolean fenced) throws IOException {
         this.lateMs = lateMs;
         this.fenced = fenced;
     }
 
-    /** Begins to listen. */
+    /** Starts accepting connections. */
     public void open() {
         begin();
     }
 
-    /** All that was judged so far, in order, on the machine's monotonic clock. */
+    /** All writes so far, accepted and refused, in the order in which they were applied; times are on the machine's monotonic clock. */
     public Queue<Write> writes() {
         return writes;
     }
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Looks and replaces in one step; the token that is there where it does not. */
+    /** Compares and replaces atomically; null if the write was accepted, otherwise the token of the stored one. */
     private synchronized Token judge(Token token, long number, Stored told, byte[] sent) {
         boolean takes = !fenced || kept == null || kept.isBefore(token, number);
         writes.add(new Write(System.nanoTime() / NANOS_PER_MS, token, number, takes));
--- a/src/main/java/dappleseam/lab/emulator/Timetable.java
+++ b/src/main/java/dappleseam/lab/emulator/Timetable.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** What befalls the peers in the course of a rehearsal, one thing after the other on a thread of its own. */
+/** Runs the events of a scenario one after the other on a thread of its own. */
 final class Timetable implements AutoCloseable {
-    /** Something that befalls a peer. */
+    /** Something that happens to an emulated service. */
     interface Event {
         void play() throws IOException;
     }
@@ -20,18 +20,18 @@
         return thread;
     });
 
-    /** What cannot be played is noted in the ledger. */
+    /** Events that fail are noted in the ledger. */
     Timetable(Ledger ledger) {
         this.ledger = ledger;
     }
 
-    /** Plays it so many ms from now. */
+    /** Runs the event after that time in ms. */
     void in(long ms, Event event) {
         events.schedule(() -> {
             try {
                 event.play();
             } catch (IOException e) {
-                ledger.notes.add("an event could not be played: " + e.getMessage());
+                ledger.notes.add("an event could not be applied: " + e.getMessage());
             }
         }, ms, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/dappleseam/lab/fault/FaultTool.java
+++ b/src/main/java/dappleseam/lab/fault/FaultTool.java
@@ -20,15 +20,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** Stands between sockets: what comes on its port goes on to another, each way through the faults of its script. */
+/** A TCP relay that injects faults: connections to its port are forwarded to another port, each direction with the faults that are planned for it. */
 public final class FaultTool implements AutoCloseable {
-    /** The bits of its one byte that a garbling turns over. */
+    /** The bits that GARBLE flips in a single byte. */
     public static final byte GARBLED_BITS = 0x55;
     private static final int BUFFER = 16 << 10;
     private static final int BACKLOG = 512;
     private static final int CONNECT_MS = 2000;
 
-    /** What befalls one way of one connection, from its byte {@code at} on. */
+    /** A fault in one direction of one connection, from the byte {@code offset} on. */
     public record Planned(long connection, Way way, How how, long at, double size) {}
 
     private final ServerSocket server;
@@ -50,18 +50,18 @@
         return server.getLocalPort();
     }
 
-    /** The plans of the connections so far. */
+    /** The faults planned for the connections so far. */
     public List<Planned> planned() {
         return planned.stream().sorted(Comparator.comparingLong(Planned::connection).thenComparing(Planned::way)
                 .thenComparingLong(Planned::at)).toList();
     }
 
-    /** Connections open now, both sides counted. */
+    /** Number of sockets that are open now, counting both sides of a connection. */
     public int open() {
         return open.size();
     }
 
-    /** By the connection's number and nothing else: the same seed plans the same faults at the same offsets. */
+    /** Depends on the seed and the connection's number only: the same seed plans the same faults at the same offsets. */
     static List<Planned> plan(List<Fault> script, long seed, long connection) {
         SplittableRandom random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L + connection);
         List<Planned> plan = new ArrayList<>();
@@ -108,7 +108,7 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                continue; // it is closed all the same
+                continue; // nothing more can be done
             }
         }
     }
@@ -118,12 +118,13 @@
             try {
                 socket.setSoLinger(true, 0);
             } catch (IOException e) {
-                continue; // closed by its peer already
+                continue; // already closed by the other side
             }
         }
         end(sockets);
     }
 
+    /** Copies one direction until it ends, applying its faults at their offsets. */
     private void pump(Socket from, Socket to, List<Planned> plan) throws IOException, InterruptedException {
         byte[] bytes = new byte[BUFFER];
         long passed = 0;
@@ -153,7 +154,7 @@
         }
     }
 
-    /** In pieces, once a split has begun. */
+    /** Writes the bytes in small pieces once a SPLIT has been reached. */
     private static void write(OutputStream out, byte[] bytes, int from, int count, List<Planned> plan, int next)
             throws IOException, InterruptedException {
         int piece = plan.subList(0, next).stream().filter(p -> p.how() == How.SPLIT).mapToInt(p -> (int) Math.max(1, p.size()))
@@ -167,7 +168,7 @@
         }
     }
 
-    /** Whether the way goes on. */
+    /** Applies a fault; returns whether this direction continues. */
     private boolean befall(Planned fault, byte[] bytes, int at, Socket from, Socket to)
             throws IOException, InterruptedException {
         switch (fault.how()) {
@@ -184,7 +185,7 @@
             }
             case HALF_CLOSE -> {
                 to.shutdownOutput();
-                from.getInputStream().transferTo(OutputStream.nullOutputStream()); // else the sender would wait for ever
+                from.getInputStream().transferTo(OutputStream.nullOutputStream()); // discards the rest, or the sender would block for ever
                 if (from.isOutputShutdown()) {
                     end(from, to);
                 }
--- a/src/main/java/dappleseam/lab/fault/LinkTool.java
+++ b/src/main/java/dappleseam/lab/fault/LinkTool.java
@@ -29,14 +29,14 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * Stands between proxies: each is reached at a port of this tool, which passes datagrams on from the sender's own port here, so that
- * every link is known both ways. Faults by a script; the same seed does the same to the same datagram of a link.
+ * A UDP relay between proxies that injects faults. Each proxy is reached at a port of the relay, and datagrams are forwarded from the relay's port of their sender, so that
+ * the link is known for both directions. With the same seed, the same datagram of a link is treated in the same way.
  */
 public final class LinkTool implements AutoCloseable {
     private static final double NANOS_PER_MS = 1e6;
     private static final int GARBLED_BYTES = 8;
     private static final int ROOM = 512 << 10;
-    /** Least second byte of a rehearsal's own address: 127.64.0.0/10, which nothing else is bound to. */
+    /** Smallest second byte of a run's own address, in 127.64.0.0/10, where nothing else is bound. */
     private static final int OWN_FROM = 64;
 
     private final MessageCodec envelope;
@@ -50,7 +50,7 @@
     private final Queue<Runnable> posted = new ConcurrentLinkedQueue<>();
     private final Map<LinkHow, Long> done = new EnumMap<>(LinkHow.class);
     private final ByteBuffer in = ByteBuffer.allocate(2048);
-    /** Each proxy as it last wrote of itself, for letters that are made up. */
+    /** Each proxy's own entry as it last sent it, for forged messages. */
     private final Map<Integer, MemberEntry> lastSelf = new HashMap<>();
     private final Map<FleetMessage.Kind, Long> kinds = new EnumMap<>(FleetMessage.Kind.class);
     private volatile List<LinkFault> script = List.of();
@@ -61,7 +61,7 @@
     private long count;
     private final Thread thread;
 
-    /** One proxy as others reach it. */
+    /** The port at which a proxy is reached, and the one where it listens. */
     private static final class Place {
         final int number;
         final int port;
@@ -75,6 +75,7 @@
         }
     }
 
+    /** A datagram that is to be forwarded at a time. */
     private record Waiting(long atNanos, long order, Place from, Place to, byte[] bytes) implements Comparable<Waiting> {
         @Override
         public int compareTo(Waiting other) {
@@ -92,12 +93,12 @@
         thread.setDaemon(true);
     }
 
-    /** The address at which all are reached: of the loopback net, and of this rehearsal alone, so that another one beside it never gets a port of it that was closed for a while. */
+    /** The loopback address at which all proxies are reached. It is unique to this run, so that a concurrent one cannot get a port of this run that is closed for a while. */
     public String host() {
         return host.getHostAddress();
     }
 
-    /** A proxy that listens on that port of its own; returns where it is to be reached. Before {@link #start}. */
+    /** Adds a proxy that listens on {@code bindPort}; returns the port at which it is to be reached. To be called before {@link #start}. */
     public int add(int number, int bindPort) throws IOException {
         DatagramChannel channel = open(0);
         int port = ((InetSocketAddress) channel.getLocalAddress()).getPort();
@@ -107,7 +108,7 @@
         return port;
     }
 
-    /** The same at any time, from any thread. */
+    /** The same while the relay runs, from any thread. */
     public int addWhileRunning(int number, int bindPort) throws IOException {
         CompletableFuture<Integer> port = new CompletableFuture<>();
         posted.add(() -> {
@@ -135,13 +136,13 @@
         thread.start();
     }
 
-    /** From now on, times in the script count from here. */
+    /** Replaces the faults; their times count from now. */
     public void play(List<LinkFault> faults) {
         beganNanos = System.nanoTime();
         script = faults;
     }
 
-    /** Its process has gone or come: a host without it denies, as hosts do. */
+    /** Closes or opens the port of a proxy whose process has ended or started; with a closed port, the system refuses its datagrams as on a real host. */
     public void isUp(int port, boolean up) {
         posted.add(() -> {
             Place place = byPort.get(port);
@@ -153,7 +154,7 @@
                     place.channel = open(port);
                 }
             } catch (IOException e) {
-                throw new IllegalStateException("a port of the link tool is lost", e);
+                throw new IllegalStateException("a port of the datagram fault injector could not be opened or closed", e);
             }
         });
         selector.wakeup();
@@ -181,7 +182,7 @@
                 }
             }
         } catch (IOException e) {
-            throw new IllegalStateException("the link tool has failed", e);
+            throw new IllegalStateException("the datagram fault injector failed", e);
         }
     }
 
@@ -196,11 +197,11 @@
                 FleetMessage letter = envelope.decode(in.array(), in.position());
                 Place from = byPort.get(letter.sender().address().getPort());
                 if (from != null) {
-                    // What comes from another port than its own is a try of a member that failed.
+                    // A datagram from another port than the sender's own is a connected ping to a member that has failed.
                     pass(from, to, letter, Arrays.copyOf(in.array(), in.position()), source.getPort() != from.bindPort);
                 }
             } catch (InvalidDatagramException e) {
-                continue; // no proxy of this rehearsal sends such
+                continue; // not from a proxy of this run
             }
         }
     }
@@ -251,7 +252,7 @@
         }
     }
 
-    /** Comes at once, whatever is cut: a faulty voter is one that all reach. */
+    /** Sends a forged message immediately, even over a link that is cut, as if all could reach the faulty voter. */
     private void forge(Planted.Forged forged) {
         Place from = placeOf(forged.from());
         Place to = placeOf(forged.to());
@@ -274,25 +275,26 @@
                 passedBytes += bytes.length;
             }
         } catch (IOException e) {
-            done.merge(LinkHow.LOSS, 1L, Long::sum); // it did not arrive
+            done.merge(LinkHow.LOSS, 1L, Long::sum); // counts as lost
         }
     }
 
-    /** Datagrams passed on, their bytes, and how many each fault hit. */
+    /** Number of datagrams forwarded. */
     public long passed() {
         return passed;
     }
 
+    /** Their total size. */
     public long passedBytes() {
         return passedBytes;
     }
 
-    /** Datagrams of each kind that came to the tool; after {@link #close}. */
+    /** Number of datagrams received of each kind; to be called after {@link #close}. */
     public Map<FleetMessage.Kind, Long> kinds() {
         return kinds;
     }
 
-    /** That fault of the script lasts for so much longer; from any thread. Returns it as it is then. */
+    /** Extends a fault; returns the extended one. From any thread. */
     public LinkFault prolong(LinkFault fault, double byS) {
         LinkFault longer = fault.prolonged(byS);
         posted.add(() -> script = script.stream().map(f -> f.equals(fault) ? longer : f).toList());
@@ -300,7 +302,7 @@
         return longer;
     }
 
-    /** From now on for so long, nothing passes to or from that proxy; from any thread. */
+    /** Cuts all links of that proxy, starting now. From any thread. */
     public void isolate(int number, double forS) {
         posted.add(() -> {
             double atS = (System.nanoTime() - beganNanos) / NANOS_PER_MS / 1000;
@@ -312,7 +314,7 @@
         selector.wakeup();
     }
 
-    /** After {@link #close}. */
+    /** Number of datagrams that each kind of fault applied to; to be called after {@link #close}. */
     public Map<LinkHow, Long> done() {
         return done;
     }
--- a/src/main/java/dappleseam/lab/growth/Growth.java
+++ b/src/main/java/dappleseam/lab/growth/Growth.java
@@ -18,17 +18,17 @@
 import java.util.Locale;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** What one proxy needs over a day by the size of the fleet: same traffic, same limits, sixteen times the caches. */
+/** Measures what one proxy needs depending on the number of caches, with the same traffic and limits; by default, the large size has sixteen times the caches. */
 public final class Growth {
     private static final int EMULATORS = 8;
-    /** Caches for each proxy of the fleet: the capacity of all caches, counted for each proxy, stays the same. */
+    /** Caches per proxy of the fleet, so that the cache capacity per proxy is the same at both sizes. */
     private static final int CACHES_A_PROXY = 2;
     private static final int SAMPLE_MS = 50;
 
-    /** What one proxy took over one day. */
+    /** What one proxy used during a run. {@code served}: the share of queries that were completed. */
     public record Need(double cpuS, double memoryMb, int descriptors, int connections, double listKb, double served) {}
 
-    /** A figure at the usual size and at the large one, and what the acceptance allows there. */
+    /** A value at the usual and at the large size, and the acceptance bound for the large one. */
     private record Line(String what, double usual, double large, double bound, boolean isOver) {}
 
     private final String serve;
@@ -49,7 +49,7 @@
                 new Load(perSecond, 20_000, 0.9, List.of(read)), List.of(), List.of());
     }
 
-    /** Plays one day with one proxy beside so many caches. */
+    /** Runs a pattern of changes with one proxy and that many caches. */
     public Need play(Day day, int caches) throws IOException, InterruptedException {
         Scenario scenario = scenario(day);
         Ledger ledger = new Ledger();
@@ -71,6 +71,7 @@
         }
     }
 
+    /** Starts a thread that tracks the highest number of open descriptors. */
     private static Thread sampler(ProxyProcess proxy, AtomicInteger most) {
         Thread thread = new Thread(() -> {
             try {
@@ -87,10 +88,10 @@
         return thread;
     }
 
-    /** The figures of both sizes beside the bounds, as they are printed, and whether one is passed. */
+    /** The values of both sizes with the bounds as a printable table, and whether a bound is exceeded. */
     public record Comparison(String table, boolean isOver) {}
 
-    /** Both sizes beside the bounds that the acceptance sets. */
+    /** Compares both sizes with the acceptance bounds. */
     public static Comparison compare(Day day, int largeCaches, Need usual, Need large) {
         double thousands = largeCaches / 1000.0;
         List<Line> lines = List.of(
--- a/src/main/java/dappleseam/lab/load/LoadTool.java
+++ b/src/main/java/dappleseam/lab/load/LoadTool.java
@@ -30,22 +30,22 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** Open-loop clients: arrivals are drawn ahead, so that a slow proxy does not slow its own load. */
+/** Generates load as an open loop: arrival times are drawn in advance, so that a slow proxy does not reduce its own load. */
 public final class LoadTool {
-    /** Queries open at once at most; a load that reaches it says so, as it is no longer open. */
+    /** Maximum number of open queries. A run that reaches it reports that, because its load is no longer an open loop. */
     private static final int MOST_OPEN = 600;
     private static final int CONNECT_MS = 1000;
-    /** Time in ms past a query's time for which its answer is waited for: a late one, of a proxy that was not run for seconds, is told from none. */
+    /** Time in ms for which an answer is awaited beyond the statement timeout. It tells a late answer, of a proxy that was not scheduled for seconds, from a missing one. */
     private static final int LATE_MS = 30_000;
     private static final double LONGEST_MS = 600_000;
 
-    /** One first try, as drawn. */
+    /** The first attempt of a query. {@code disconnectsAfterMs}: infinite for a client that waits for the answer. */
     public record Arrival(double atMs, Grade grade, String key, double leavesAfterMs) {}
 
     private final Scenario scenario;
     private final Ledger ledger;
     private final List<Integer> proxies;
-    /** By proxy: else the last one that answered would get nearly all of a thin load. */
+    /** Idle connections by proxy; with a common pool, the proxy that answered last would get nearly all of a light load. */
     private final Map<Integer, ConcurrentLinkedDeque<Client>> idle = new TreeMap<>();
     private final Map<String, Histogram> times = new TreeMap<>();
     private final Semaphore open = new Semaphore(MOST_OPEN);
@@ -62,7 +62,7 @@
         scenario.load().grades().forEach(g -> times.put(g.name(), new ConcurrentHistogram((long) LONGEST_MS * 1000, 3)));
     }
 
-    /** All first tries of a scenario, by its seed alone. */
+    /** All first attempts of a scenario; they depend on the scenario and its seed only. */
     public static List<Arrival> draw(Scenario scenario) {
         SplittableRandom random = new SplittableRandom(scenario.seed());
         double[] upTo = new double[Math.min(scenario.load().keys(), 100_000)];
@@ -93,7 +93,7 @@
         return -Math.log(1 - random.nextDouble()) * 1000 / scenario.load().perSecond();
     }
 
-    /** Plays it, and waits until every query has its verdict. */
+    /** Generates the load of the scenario and waits until the outcome of every query is known. */
     public void play() throws InterruptedException {
         ExecutorService clients = Executors.newCachedThreadPool(work -> {
             Thread thread = new Thread(null, work, "client", 128 << 10);
@@ -124,11 +124,12 @@
         }
         clients.shutdown();
         if (!clients.awaitTermination(60, TimeUnit.SECONDS)) {
-            ledger.notes.add("clients did not end: the verdicts are incomplete");
+            ledger.notes.add("clients did not finish: the outcomes are incomplete");
         }
         idle.values().forEach(all -> all.forEach(LoadTool::close));
     }
 
+    /** Sends a query with the retries that its grade allows. */
     private void query(Arrival arrival, int number, double intendedMs) {
         String mark = arrival.grade().repeat() == Repeat.DEDUPLICATED ? "m" + number : "";
         for (int attempt = 0; attempt <= arrival.grade().retries(); attempt++) {
@@ -179,7 +180,7 @@
                 } catch (IOException e) {
                     first = -1;
                 }
-                // The proxy closed it between queries: once more, on a new one; but not one that was taken down with it.
+                // The proxy closed an idle connection: try again on a new one, unless the proxy itself was taken down meanwhile.
                 if (first < 0 && reused != null && !ledger.wasDown(reused.port, began, ledger.nowMs())) {
                     close(client);
                     continue;
@@ -212,7 +213,7 @@
         return answer;
     }
 
-    /** By turns, as a front does, which asks its proxies whether they are there. */
+    /** Round robin over the available proxies, like a load balancer with health checks. */
     private synchronized int choose() {
         int tries = 0;
         int port;
@@ -233,7 +234,7 @@
         try {
             client.socket.close();
         } catch (IOException e) {
-            return; // it is of no further use anyway
+            return; // not used any more
         }
     }
 
@@ -245,7 +246,7 @@
         return command.toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    /** What it is, by its first byte; only the value made for this query completes it. */
+    /** Reads the rest of an answer after its first byte; only the value for this query counts as completed. */
     private Answer read(int first, InputStream in, Arrival a, String id) throws IOException {
         if (first < 0) {
             return new Answer(Verdict.CUT, 0);
@@ -266,14 +267,14 @@
         }
         byte[] expected = OriginEmulator.value(a.key(), id, a.grade().write() ? 0 : scenario.caches().valueBytes()).getBytes(StandardCharsets.ISO_8859_1);
         boolean right = Arrays.equals(value, expected);
-        if (!right && isGarbledOnItsWay(value, expected)) { // no proxy can tell, and none is to blame
-            ledger.notes.add("the fault tool garbled a byte of the value of " + id);
+        if (!right && isGarbledOnItsWay(value, expected)) { // the proxy cannot detect this and is not at fault
+            ledger.notes.add("the fault injector garbled a byte of the value of " + id);
             right = true;
         }
         return new Answer(right ? Verdict.COMPLETED : Verdict.SPOILT, 0);
     }
 
-    /** Whether it is the query's own value but for one byte, with just the bits turned over that a planned garbling turns. */
+    /** Whether the value differs from the expected one in a single byte, by exactly the bits that a planned GARBLE flips. */
     private boolean isGarbledOnItsWay(byte[] value, byte[] expected) {
         int at = Arrays.mismatch(value, expected);
         boolean isPlanned = scenario.faults().stream().anyMatch(fault -> fault.how() == Scenario.How.GARBLE && fault.where() != Scenario.Where.CLIENTS);
@@ -281,11 +282,12 @@
                 && Arrays.equals(value, at + 1, value.length, expected, at + 1, expected.length);
     }
 
-    /** Microseconds from the intended send to the answer, retries included, by grade. */
+    /** Time in microseconds from the intended send to the answer, including retries, by grade. */
     public Map<String, Histogram> times() {
         return times;
     }
 
+    /** Whether the maximum number of open queries was reached, so that the load was not an open loop any more. */
     public boolean wasFull() {
         return wasFull;
     }
--- a/src/main/java/dappleseam/lab/peer/Blocking.java
+++ b/src/main/java/dappleseam/lab/peer/Blocking.java
@@ -6,24 +6,25 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What all of the laboratory that blocks on sockets has in common. */
+/** Helpers for the parts of the laboratory that use blocking sockets. */
 public final class Blocking {
     private static final long STACK_BYTES = 128 << 10;
     private static final int LONGEST_LINE = 8192;
 
     private Blocking() {}
 
-    /** What a thread does until its socket ends. */
+    /** The task of a thread that ends with its socket. */
     public interface Work {
         void run() throws IOException, InterruptedException;
     }
 
+    /** Runs the task on a daemon thread; an {@link IOException} ends it silently. */
     public static void start(String name, Work work) {
         Thread thread = new Thread(null, () -> {
             try {
                 work.run();
             } catch (IOException e) {
-                return; // the other side has gone, or this one is over
+                return; // the connection or the listener was closed by either side
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -32,7 +33,7 @@
         thread.start();
     }
 
-    /** The headers of one message in HTTP, by their names in lower case. */
+    /** Reads the headers of an HTTP message; names are in lower case. */
     public static Map<String, String> headers(InputStream in) throws IOException {
         Map<String, String> headers = new HashMap<>();
         for (String line = line(in); !line.isEmpty(); line = line(in)) {
@@ -44,12 +45,12 @@
         return headers;
     }
 
-    /** A line without its end. */
+    /** Reads a line; returns it without its line end. */
     public static String line(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0 || line.length() > LONGEST_LINE) {
-                throw new IOException(c < 0 ? "ended in a line" : "a line without end");
+                throw new IOException(c < 0 ? "connection closed within a line" : "line is too long");
             }
             line.append((char) c);
         }
--- a/src/main/java/dappleseam/lab/peer/TimedInput.java
+++ b/src/main/java/dappleseam/lab/peer/TimedInput.java
@@ -7,30 +7,31 @@
 import java.io.InputStream;
 
 /**
- * Bytes from a socket, with the earliest time at which the latest of them can have come. A thread of a busy machine reads late: what it waited for a processor, or did elsewhere while bytes were there
- * already, is no lateness of their sender's.
+ * Input from a socket that knows the earliest time at which its latest bytes can have arrived. On a busy machine a thread reads late: the time that it waited for a processor, or was busy elsewhere
+ * while bytes had already arrived, must not count as lateness of the sender.
  */
 public final class TimedInput extends BufferedInputStream {
     private static final double NANOS_PER_MS = 1e6;
 
-    /** {@code openedNanos}: the earliest time at which the connection can have been there, by {@link System#nanoTime}. */
+    /** {@code openedNanos}: the earliest time at which the connection can have been opened, by {@link System#nanoTime}. */
     public TimedInput(InputStream socket, long openedNanos) {
         super(new Stamped(socket, openedNanos));
     }
 
-    /** By {@link System#nanoTime}. */
+    /** The earliest time at which the bytes of the latest read can have arrived, by {@link System#nanoTime}. */
     public long receivedNanos() {
         return ((Stamped) in).receivedNanos;
     }
 
-    /** Now, less what the calling thread has waited for a processor since those times were taken. */
+    /** The current time less the time that the calling thread has waited for a processor since {@code before}. */
     public static long nanosLess(ThreadTimes before) {
         double waitedMs = ThreadTimes.ofCurrentThread().since(before).waitedMs();
         return System.nanoTime() - (Double.isNaN(waitedMs) ? 0 : Math.round(waitedMs * NANOS_PER_MS));
     }
 
+    /** Stamps each read of the socket. */
     private static final class Stamped extends FilterInputStream {
-        /** What comes next comes after this: nothing else was there to read then. */
+        /** The last time at which there was nothing to read: the next bytes arrive after it. */
         private long emptyNanos;
         private long receivedNanos;
 
@@ -54,7 +55,7 @@
             ThreadTimes before = ThreadTimes.ofCurrentThread();
             int count = in.read(bytes, from, length);
             receivedNanos = isThere ? emptyNanos : Math.max(emptyNanos, nanosLess(before));
-            emptyNanos = receivedNanos; // what comes next comes after this
+            emptyNanos = receivedNanos; // the next bytes arrive after these
             return count;
         }
     }
--- a/src/main/java/dappleseam/lab/proxies/Ports.java
+++ b/src/main/java/dappleseam/lab/proxies/Ports.java
@@ -11,15 +11,15 @@
 import java.util.List;
 
 /**
- * Ports for proxies, held until the rehearsal ends: a bound socket that does not listen keeps the system from giving the number away, and
- * lets a proxy listen there, as both allow it. Guards rehearsals beside each other: proxies share a port without a word.
+ * Allocates ports for proxies and reserves them until the run ends. A socket that is bound but does not listen keeps the system from assigning the port again;
+ * a proxy can still listen there, because both set SO_REUSEPORT. Without it, the proxies of concurrent runs would share a port unnoticed.
  */
 public final class Ports implements AutoCloseable {
     private static final int TRIES = 50;
 
     private final List<Socket> held = new ArrayList<>();
 
-    /** One that nobody else is given, for TCP and for datagrams. */
+    /** A port that is free for TCP and for UDP and is not given to anybody else. */
     public synchronized int take() throws IOException {
         InetAddress here = InetAddress.getByName("127.0.0.1");
         for (int i = 0; i < TRIES; i++) {
@@ -31,10 +31,10 @@
             try (DatagramSocket free = new DatagramSocket(socket.getLocalPort(), here)) {
                 return free.getLocalPort();
             } catch (SocketException e) {
-                continue; // taken for datagrams: it stays held, and another is tried
+                continue; // in use for UDP: it stays reserved, and another port is tried
             }
         }
-        throw new IOException("no port is free");
+        throw new IOException("no port is free for both TCP and UDP");
     }
 
     @Override
--- a/src/main/java/dappleseam/lab/proxies/ProxyProcess.java
+++ b/src/main/java/dappleseam/lab/proxies/ProxyProcess.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** One proxy, as operators start it. */
+/** A proxy process, started the way operators start it. */
 public final class ProxyProcess implements AutoCloseable {
     private static final int READY_S = 30;
     private static final int LONGEST_END_S = 5;
@@ -29,7 +29,7 @@
     private final Process process;
     private final int port;
 
-    /** Keeps its files in {@code home}: the configuration that was given, a log, what it writes to its folder for temporary files. */
+    /** {@code workFolder}: holds its files, namely the given configuration, its log, and its folder for temporary files. */
     public ProxyProcess(String command, Path home, ObjectNode config) throws IOException {
         this(command, home, config, "log");
     }
@@ -46,12 +46,12 @@
         process = builder.redirectErrorStream(true).redirectOutput(home.resolve(log).toFile()).start();
     }
 
-    /** What one of so many is told, that listens on that port. */
+    /** The configuration of one of {@code proxies} proxies, which listens on that port. */
     public static ObjectNode config(Scenario scenario, Fleet fleet, int proxies, int number, int port) {
         return config(scenario, fleet.listPort(), fleet.known(), proxies, number, port);
     }
 
-    /** The same with the list as it is known at the start, and where it is followed. */
+    /** The same with the list that is known at the start and the port of the list service. */
     public static ObjectNode config(Scenario scenario, int listPort, ObjectNode known, int proxies, int number, int port) {
         ObjectNode config = new ObjectMapper().createObjectNode().put("name", "lab-" + number).put("listen", "127.0.0.1:" + port)
                 .put("discovery", "127.0.0.1:" + listPort).put("seed", String.format("%016x", scenario.seed() + number));
@@ -85,7 +85,7 @@
         return port;
     }
 
-    /** Waits until it answers a PING. */
+    /** Waits until the proxy answers a PING. */
     public void awaitReady() throws IOException, InterruptedException {
         long until = System.nanoTime() + READY_S * 1_000_000_000L;
         while (System.nanoTime() < until && process.isAlive()) {
@@ -103,7 +103,7 @@
                 process.isAlive()));
     }
 
-    /** Waits until the operators' door at that port says that it is ready; false where it does not in time, or the process has ended. */
+    /** Waits until the control server at that port reports the proxy as ready; false if it does not in time or the process has ended. */
     public boolean awaitYes(int control, int patienceS) throws InterruptedException {
         long until = System.nanoTime() + patienceS * 1_000_000_000L;
         while (System.nanoTime() < until && process.isAlive()) {
@@ -114,29 +114,29 @@
                     return true;
                 }
             } catch (IOException e) {
-                // not there yet
+                // not listening yet
             }
             Thread.sleep(30);
         }
         return false;
     }
 
-    /** Processor time in ms that it has taken so far, of all its threads; NaN once it has ended, or where the system does not tell. */
+    /** Processor time in ms of all its threads so far; NaN once it has ended, or if the system does not provide it. */
     public double cpuMs() {
         return process.toHandle().info().totalCpuDuration().map(d -> d.toNanos() / NANOS_PER_MS).orElse(Double.NaN);
     }
 
-    /** Memory in MB that it has resident; NaN as above. */
+    /** Resident memory in MB; NaN once it has ended, or if the system does not provide it. */
     public double residentMb() {
         return memoryMb("VmRSS:");
     }
 
-    /** The most that it has had. */
+    /** Highest resident memory in MB so far; NaN in the same cases. */
     public double peakMb() {
         return memoryMb("VmHWM:");
     }
 
-    /** Descriptors that it has open; 0 once it has ended. */
+    /** Number of open file descriptors; 0 once it has ended. */
     public int descriptors() {
         String[] open = Path.of("/proc", Long.toString(process.pid()), "fd").toFile().list();
         return open == null ? 0 : open.length;
@@ -145,7 +145,7 @@
     private double memoryMb(String figure) {
         try (Stream<String> lines = Files.lines(Path.of("/proc", Long.toString(process.pid()), "status"))) {
             return lines.filter(line -> line.startsWith(figure)).mapToDouble(line -> Double.parseDouble(line.replaceAll("[^0-9]", "")) / KB_PER_MB).findFirst().orElse(Double.NaN);
-        } catch (IOException | UncheckedIOException e) { // it has just ended
+        } catch (IOException | UncheckedIOException e) { // the process has just ended
             return Double.NaN;
         }
     }
@@ -154,18 +154,18 @@
         return process.isAlive();
     }
 
-    /** SIGTERM; says whether it ended by itself, with status 0. */
+    /** Sends SIGTERM; returns whether the process exited in time with status 0. */
     public boolean end() throws InterruptedException {
         process.destroy();
         return process.waitFor(LONGEST_END_S, TimeUnit.SECONDS) && process.exitValue() == 0;
     }
 
-    /** As by kill with that signal's name: STOP, CONT, TERM. */
+    /** Sends the signal of that name, such as STOP, CONT or TERM. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("sh", "-c", "kill -" + name + ' ' + process.pid()).start().waitFor(LONGEST_END_S, TimeUnit.SECONDS);
     }
 
-    /** Waits until it has ended; false where it has not in time. */
+    /** Waits until the process has exited; false if it does not in time. */
     public boolean awaitEnd() throws InterruptedException {
         return process.waitFor(LONGEST_END_S, TimeUnit.SECONDS);
     }
--- a/src/main/java/dappleseam/lab/report/FleetReport.java
+++ b/src/main/java/dappleseam/lab/report/FleetReport.java
@@ -36,32 +36,34 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** What a rehearsal of many proxies showed: their views against what was done, beside what one of any size shows. */
+/** The report of a run of many proxies: their views, leases and store compared with what was done to them, in addition to the report of any run. */
 public final class FleetReport implements Told {
     private static final double MS_PER_S = 1000;
     private static final double SAMPLE_MS = 500;
     private static final int WIDTH = 1100;
     private static final int HEIGHT = 420;
-    /** Hits after which a holder acts no more, whatever its record says. */
+    /** Kinds of disruption after which a holder cannot act any more, whatever its record says. */
     private static final Set<String> STOPS = Set.of("kill", "stop");
 
-    /** Time in ms after something was done in which what came of it is counted. */
+    /** Time in ms after an event during which its consequences are counted. */
     private static final double AFTER_MS = 5000;
-    /** Times in s since a cache fell silent from which executions there are counted apart. */
+    /** Steps, in s since a cache became silent, by which executions at it are counted. */
     private static final int[] SINCE_S = {0, 2, 5};
-    /** Times in s since it answers again; the last part is as long as it took to come there. */
+    /** Steps in s since it answers again; the last step is as long as the time before it. */
     private static final int[] AGAIN_S = {0, 2, 5};
 
-    /** What a process that ran from the first query to the last took: ms of processor time a second, and MB resident at the end. */
+    /** Cost of a process that ran from the first query to the last: processor time in ms per second, and resident memory in MB at the end. */
     public record Cost(double cpuMsPerS, double residentMb) {}
 
     private final FleetScenario scenario;
     private final Report played;
     private final ObjectNode tree = new ObjectMapper().createObjectNode();
+    /** Samples of the time in s and the percentage of correct views. */
     private final List<double[]> right = new ArrayList<>();
     private final boolean complete;
     private final int broken;
 
+    /** Times in ms are those of {@link System#nanoTime}, but for {@code ledgerStartMs}, which is the start of the scenario in the time of the ledger. */
     public FleetReport(FleetScenario scenario, Report played, Truth truth, List<Sight> sights, List<ViewChecker.Breach> breaches,
                        List<String> timeline, double beganMs, double settledMs, double readyMs, LinkTool links, boolean complete,
                        Map<String, LeaseChecker.Found> leases, List<LeaseChecker.Hit> hits, List<LeaseChecker.Write> writes, Ledger ledger, double playMs, List<Cost> costs) {
@@ -126,7 +128,7 @@
         }
     }
 
-    /** What became of the queries of the seconds after proxies were taken down for good. */
+    /** How the queries ended that were sent just after proxies had been stopped for good. */
     private void afterKills(Ledger ledger, double playMs) {
         for (FleetScenario.ProcessEvent event : scenario.processes()) {
             if (event.kind() == FleetScenario.ProcessKind.KILL || event.kind() == FleetScenario.ProcessKind.END) {
@@ -140,7 +142,7 @@
         }
     }
 
-    /** Calls that came to the list service after an outage of its own: the most in a tenth of a second and in one, and how many were turned away. */
+    /** Calls to the list service after an outage of its own: the most within 100 ms and within 1 s, how many were refused, and when as many had been answered as there are proxies. */
     private void calls(Ledger ledger, double playMs) {
         for (Trouble out : scenario.play().troubles()) {
             if (out.kind() == Scenario.Kind.LIST_OUT) {
@@ -155,6 +157,7 @@
         }
     }
 
+    /** The largest number of the sorted times within any window of that length. */
     private static int mostWithin(double[] sorted, double ms) {
         int most = 0;
         for (int from = 0, to = 0; to < sorted.length; to++) {
@@ -166,7 +169,10 @@
         return most;
     }
 
-    /** While caches were silent: executions that came there all the same, by how long they had been, and what became of queries. {@code playMs}: the scenario's 0 in the ledger. */
+    /**
+     * For the times when caches were silent: executions that were still sent there, by the time since they became silent, and how many queries completed in time.
+     * {@code ledgerStartMs}: the start of the scenario in the time of the ledger.
+     */
     private void wasted(FleetScenario scenario, Ledger ledger, double playMs) {
         List<Trouble> silent = scenario.play().troubles().stream().filter(t -> t.kind() == Scenario.Kind.SILENT).toList();
         if (silent.isEmpty()) {
@@ -206,7 +212,7 @@
         wasted.put("queries", asked).put("completed_in_time_percent", round(100.0 * inTime / Math.max(1, asked)));
     }
 
-    /** Executions at caches that answer again, in that part of the time since, over what came there in as much time before they fell silent. */
+    /** Executions at caches that answer again, during that step of the time since, relative to the expected number by their rate before they became silent. */
     private double again(List<Trouble> silent, Ledger ledger, double playMs, int part) {
         double came = 0;
         double usual = 0;
@@ -223,6 +229,7 @@
         return came / Math.max(1, usual);
     }
 
+    /** Adds the median, the 99th percentile and the maximum. */
     private static void spread(ObjectNode to, String name, List<Double> values) {
         double[] sorted = values.stream().mapToDouble(v -> v).sorted().toArray();
         if (sorted.length > 0) {
@@ -235,7 +242,7 @@
         return right.stream().filter(r -> r[0] >= s).allMatch(r -> r[1] >= 100);
     }
 
-    /** For each process that ended: when the first and the last of those that ran throughout knew it. */
+    /** For each process that ended: when the first and the last of the other processes knew it, and how many did. */
     private void deaths(Truth truth, List<Sight> sights, double settledMs) {
         ArrayNode deaths = tree.putArray("ends");
         for (Truth.Process over : truth.processes()) {
@@ -275,12 +282,12 @@
         return Report.text(tree);
     }
 
-    /** How many views were right over time, with the times at which something was done. */
+    /** Draws the share of correct views over time, with marks where faults and events begin and link faults end. */
     public void plot(Path file) throws IOException {
         System.setProperty("java.awt.headless", "true");
         XYSeries series = new XYSeries("right");
         right.forEach(r -> series.add(r[0], r[1]));
-        JFreeChart chart = ChartFactory.createXYLineChart(scenario.play().name() + ", " + scenario.proxies() + " proxies", "s", "% of views that are right",
+        JFreeChart chart = ChartFactory.createXYLineChart(scenario.play().name() + ", " + scenario.proxies() + " proxies", "s", "% of correct views",
                 new XYSeriesCollection(series), PlotOrientation.VERTICAL, false, false, false);
         XYPlot plot = chart.getXYPlot();
         plot.setBackgroundPaint(Color.WHITE);
@@ -305,13 +312,13 @@
         plot.addDomainMarker(marker);
     }
 
-    /** As the command ends: 0 where all is kept, 1 where a rule or a promise is broken, 3 where that cannot be told. */
+    /** 0 if everything holds, 1 if a rule is broken or a guarantee is violated, 3 if that cannot be decided. */
     @Override
     public int status() {
         return broken > 0 ? 1 : complete ? played.status() : 3;
     }
 
-    /** Broken promises. */
+    /** Number of violated guarantees of views, leases and the store. */
     public int broken() {
         return broken;
     }
--- a/src/main/java/dappleseam/lab/report/Report.java
+++ b/src/main/java/dappleseam/lab/report/Report.java
@@ -21,12 +21,12 @@
 import java.util.stream.StreamSupport;
 import org.HdrHistogram.Histogram;
 
-/** What one run showed, as JSON and as text made of the same tree. */
+/** The report of one run, as JSON and as text that is made from the same tree. */
 public final class Report implements Told {
     private static final double[] PERCENTILES = {50, 90, 99, 100};
-    /** Breaches that a report lists where more of them are doubtful; sure ones are all listed. */
+    /** Breaches that a report lists at most if some are doubtful; certain ones are all listed. */
     private static final int MOST_BREACHES = 20;
-    /** Times that the laboratory was held up that a report lists, the longest first. */
+    /** Stalls of the laboratory that a report lists at most, the longest first. */
     private static final int MOST_HELD_UPS = 5;
 
     private final ObjectNode tree = new ObjectMapper().createObjectNode();
@@ -55,13 +55,13 @@
         ledger.notes.forEach(tree.putArray("notes")::add);
         boolean trustworthy = tools.path("trustworthy").asBoolean();
         List<Breach> sure = breaches.stream().filter(b -> trustworthy || !b.timed()).toList();
-        // Guards the proxy against blame for a busy machine: a laboratory that is late cannot judge a time limit.
+        // A laboratory that was late itself cannot judge time limits: a proxy must not be blamed for a busy machine.
         ObjectNode rules = tree.putObject("rules").put("broken", sure.size()).put("doubtful", breaches.size() - sure.size());
         var told = rules.putArray("breaches");
         listed(breaches, trustworthy).forEach(b -> told.addObject().put("rule", b.rule()).put("sure", trustworthy || !b.timed()).put("what", b.what()));
     }
 
-    /** All sure breaches, and after them as many of the doubtful ones as there is room for. */
+    /** All certain breaches, followed by doubtful ones up to the limit. */
     private static List<Breach> listed(List<Breach> breaches, boolean trustworthy) {
         List<Breach> sure = breaches.stream().filter(b -> trustworthy || !b.timed()).toList();
         Stream<Breach> doubtful = breaches.stream().filter(b -> !trustworthy && b.timed());
@@ -86,7 +86,7 @@
         return Math.round(value * 100) / 100.0;
     }
 
-    /** All of it; what a rehearsal of many proxies adds goes beside it. */
+    /** The whole report; {@link FleetReport} embeds it. */
     public ObjectNode tree() {
         return tree;
     }
@@ -135,7 +135,7 @@
         return line.toString().strip();
     }
 
-    /** As the command ends: 0 where all rules are kept, 1 where one is broken, 3 where that cannot be told. */
+    /** 0 if all rules are kept, 1 if one is broken, 3 if that cannot be decided: breaches are only doubtful, or the run is incomplete. */
     @Override
     public int status() {
         JsonNode rules = tree.path("rules");
--- a/src/main/java/dappleseam/lab/report/Told.java
+++ b/src/main/java/dappleseam/lab/report/Told.java
@@ -2,13 +2,13 @@
 
 import java.io.IOException;
 
-/** What a rehearsal came to, however it is told. */
+/** The result of a run. */
 public interface Told {
-    /** One line a thing. */
+    /** One line per value. */
     String text();
 
     String json() throws IOException;
 
-    /** As the command ends: 0 where all is kept, 1 where something is broken, 3 where that cannot be told. */
+    /** The exit status of the command: 0 if all rules and guarantees hold, 1 if one is violated, 3 if that cannot be decided. */
     int status();
 }
--- a/src/main/java/dappleseam/lab/scenario/FaultyScenarioException.java
+++ b/src/main/java/dappleseam/lab/scenario/FaultyScenarioException.java
@@ -1,6 +1,6 @@
 package dappleseam.lab.scenario;
 
-/** A scenario is at fault; the message names the key. */
+/** A scenario file is invalid; the message names the key at fault. */
 public final class FaultyScenarioException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/dappleseam/lab/scenario/FleetScenario.java
+++ b/src/main/java/dappleseam/lab/scenario/FleetScenario.java
@@ -5,46 +5,47 @@
 import java.util.Set;
 
 /**
- * One rehearsal of many proxies: {@code play} is what any rehearsal has, beside it stand faults between the proxies and what befalls their
- * processes. {@code memoryMb}: limit of each; {@code settleS}: time after the last trouble until all views have to be right;
- * {@code listPushed}: whether they follow the list all the time, rather than ask where they have to; {@code choices}: what they tell each other; {@code leases}: null where there are none.
+ * A run of many proxies. {@code baseScenario} is what any run has; added to it are faults on the links between the proxies and events of their
+ * processes. {@code memoryMb}: memory limit of each proxy; {@code settleS}: time after the last fault until all views have to be correct;
+ * {@code listPushed}: whether the proxies watch the list permanently instead of on request; {@code features}: what they announce to each other; {@code leases}: null if there are none.
  */
 public record FleetScenario(Scenario play, int proxies, int memoryMb, double periodMs, double settleS, boolean listPushed, FleetFeatures choices, Leases leases, List<LinkFault> links,
                             List<ProcessEvent> processes) {
     /**
-     * Leases, of which the first three proxies are voters; {@code leaseMs}: of the one for the last list. {@code storeLateMs}: by how much the first write
-     * of each holder is late at the store. {@code disks}: whether voters keep their promises on a disk that lasts over restarts.
+     * Leases, with the first three proxies as voters. {@code leaseMs}: length of the lease for the last list; {@code storeDelayMs}: delay of the first write
+     * of each holder at the store; {@code persistentVoters}: whether voters keep their promises on a disk that survives restarts.
      */
     public record Leases(double leaseMs, double storeLateMs, boolean disks, List<Takeover> takeovers) {}
 
-    /** So many times, each that long after the one before: whoever holds the lease then is hit. */
+    /** Disrupts the current holder of the lease, {@code times} times, every {@code everyS} seconds. */
     public record Takeover(Blow blow, double atS, double everyS, int times, double forS) {
+        /** When the last disruption is over. */
         public double endS() {
             return atS + everyS * (times - 1) + forS;
         }
     }
 
-    /** What hits a holder: SIGKILL and a new process later, SIGSTOP, all its links cut, SIGTERM and a new process later, an upgrade. */
+    /** What is done to a holder: SIGKILL and a new process later, SIGSTOP, a cut of all its links, SIGTERM and a new process later, an upgrade. */
     public enum Blow { KILL, STOP, CUT, END, UPGRADE }
 
     /** What happens to datagrams between proxies. */
     public enum LinkHow { CUT, LOSS, DELAY, DOUBLE, REORDER, GARBLE }
 
     /**
-     * On all datagrams from one of {@code from} to one of {@code to}; an empty set is all, and members of both are among themselves not
-     * concerned when the sets differ. {@code size}: a share, or ms of a delay.
+     * A fault on all datagrams from a member of {@code from} to a member of {@code to}; an empty set stands for all proxies.
+     * {@code magnitude}: a share of the datagrams, or a delay in ms.
      */
     public record LinkFault(double atS, double forS, LinkHow how, Set<Integer> from, Set<Integer> to, double size) {
         public boolean concerns(int sender, int receiver) {
             return (from.isEmpty() || from.contains(sender)) && (to.isEmpty() || to.contains(receiver));
         }
 
-        /** Whether it is on one link only, one way. */
+        /** Whether it is on a single link in one direction. */
         public boolean isOneLink() {
             return from.size() == 1 && to.size() == 1;
         }
 
-        /** The same with its end so much later. */
+        /** The same fault with a later end. */
         public LinkFault prolonged(double byS) {
             return new LinkFault(atS, forS + byS, how, from, to, size);
         }
@@ -52,26 +53,26 @@
 
     /** What happens to a process. */
     public enum ProcessKind {
-        /** SIGKILL, and it stays away. */
+        /** SIGKILL, without a successor. */
         KILL,
-        /** SIGTERM, and it stays away. */
+        /** SIGTERM, without a successor. */
         END,
-        /** SIGKILL, and after {@code forS} a new process with nothing but its configuration. */
+        /** SIGKILL, and after {@code forS} a new process without saved state. */
         RESTART,
-        /** As RESTART, at once, but the new one stands still for {@code forS} on its way up. */
+        /** As RESTART, but immediately, and the new process is stopped for {@code forS} during its start-up. */
         SLOW_START,
         /** SIGSTOP, and SIGCONT after {@code forS}. */
         STOP,
-        /** A new process beside it; SIGTERM to the old one once the new one is ready. */
+        /** A new process is started next to the old one, which gets SIGTERM once the new one is ready. */
         UPGRADE,
-        /** Another process by its name, elsewhere, for {@code forS}. */
+        /** A duplicate: another process under the same name at another address, for {@code forS}. */
         TWIN
     }
 
-    /** To those proxies, all at once. */
+    /** Applies to all of those proxies at the same time. */
     public record ProcessEvent(double atS, double forS, ProcessKind kind, Set<Integer> proxies) {}
 
-    /** When the last trouble of links and processes is over, in s; SIGKILL and SIGTERM count from when they come. */
+    /** When the last fault of links and processes is over, in s; SIGKILL and SIGTERM count from the time at which they are sent. */
     public double troublesEndS() {
         double links = this.links.stream().mapToDouble(f -> f.atS + f.forS).max().orElse(0);
         links = Math.max(links, leases == null ? 0 : leases.takeovers().stream().mapToDouble(Takeover::endS).max().orElse(0));
--- a/src/main/java/dappleseam/lab/scenario/Scenario.java
+++ b/src/main/java/dappleseam/lab/scenario/Scenario.java
@@ -2,36 +2,49 @@
 
 import java.util.List;
 
-/** One rehearsal: the peers, the load, and what goes wrong when. Times in s or ms as the names say. */
+/** One run: the emulated services, the load, the incidents of services and the faults on connections. Times are in s or ms, as the names say. */
 public record Scenario(String name, long seed, double seconds, Caches caches, Origin origin, Load load,
                        List<Trouble> troubles, List<Fault> faults) {
-    /** Each cache takes {@code slots} commands at once, {@code queue} wait, and one holds so many connections. */
+    /**
+     * Each cache processes {@code slots} commands at once, lets {@code queue} more wait, and accepts {@code connections} connections. {@code keys}: the keys it can store;
+     * {@code coldCapacity}: its share of the capacity just after a cold start, which grows to 1 over {@code warmUpS}; {@code dedupWindowMs}: for how long the origin
+     * recognizes an idempotency key.
+     */
     public record Caches(int count, double workMs, int slots, int queue, int connections, int keys, double coldFrom,
                          double warmS, double windowMs, int valueBytes) {}
 
+    /** The origin processes {@code slots} requests at once. */
     public record Origin(double workMs, int slots) {}
 
+    /** {@code skew}: exponent of the Zipf distribution of the keys. */
     public record Load(double perSecond, int keys, double skew, List<Grade> grades) {}
 
+    /** Whether a query may be executed more than once. */
     public enum Repeat { IDEMPOTENT, DEDUPLICATED, NON_IDEMPOTENT }
 
+    /** A service grade. {@code share}: of the queries; {@code retries}: of the client; {@code disconnectShare}: of the clients, which disconnect before the timeout. */
     public record Grade(String name, double share, Repeat repeat, boolean write, double sloMs, double timeoutMs, int retries,
                         double leaveShare) {}
 
+    /** What happens to a service: see {@link Incident}. */
     public enum Kind { DIE, SILENT, SLOW, ERR, DRAIN, SPOIL, LIST_OUT }
 
     /**
-     * What happens to one cache, by its number, for a while; {@code size} is the multiple of its work, or a share. {@code LIST_OUT} is of the list service, whatever the number: it refuses
-     * connections, and bears {@code size} calls a second from then on, 0 for all.
+     * What happens to one cache, given by its number, for {@code forS}. {@code magnitude}: the multiple of its processing time, or a share of its answers.
+     * {@code LIST_OUT} applies to the list service, whatever the number: it refuses connections for that time and afterwards answers at most {@code magnitude} calls per second, or all
+     * if that is 0.
      */
     public record Trouble(double atS, Kind kind, int cache, double forS, double size) {}
 
+    /** The connections that a fault applies to. */
     public enum Where { CLIENTS, CACHES, ORIGIN, LIST }
 
+    /** {@code THERE}: from the side that opened the connection; {@code BACK}: to it. */
     public enum Way { THERE, BACK }
 
+    /** What a fault does to the bytes or to the connection. */
     public enum How { DELAY, SPLIT, GARBLE, CUT, RESET, HALF_CLOSE }
 
-    /** On a share of the connections, from a byte offset drawn up to {@code withinBytes} on; {@code size} in ms or bytes. */
+    /** A fault on a share of the connections, at a random byte offset below {@code withinBytes}. {@code magnitude}: in ms for a delay, in bytes for the pieces of a split. */
     public record Fault(Where where, Way way, How how, double share, int withinBytes, double size) {}
 }
--- a/src/main/java/dappleseam/lab/scenario/ScenarioReader.java
+++ b/src/main/java/dappleseam/lab/scenario/ScenarioReader.java
@@ -25,7 +25,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Reads a scenario and checks all of it before anything is started. */
+/** Reads a scenario file and validates all of it before anything is started. */
 public final class ScenarioReader {
     private ScenarioReader() {}
 
@@ -33,6 +33,7 @@
         return read(Files.readString(file), file.getFileName().toString());
     }
 
+    /** {@code source}: names the file in messages. */
     public static Scenario read(String json, String what) {
         Keys top = top(json, what);
         Scenario scenario = scenario(top);
@@ -48,7 +49,7 @@
         }
     }
 
-    /** A rehearsal of many proxies: a scenario with a part {@code fleet}. */
+    /** Reads a scenario of many proxies, which has an object {@code fleet} in addition. */
     public static FleetScenario readFleet(Path file) throws IOException {
         return readFleet(Files.readString(file), file.getFileName().toString());
     }
@@ -141,7 +142,7 @@
         return fault;
     }
 
-    /** One object of the file, with where it stands. */
+    /** A JSON object of the file with its path for messages; it notes which keys were read, so that unknown ones can be rejected. */
     private static final class Keys {
         private final JsonNode node;
         private final String at;
@@ -149,7 +150,7 @@
 
         Keys(JsonNode node, String at) {
             if (node == null || !node.isObject()) {
-                throw new FaultyScenarioException(at.isEmpty() ? "scenario" : at.substring(0, at.length() - 1), "is no object");
+                throw new FaultyScenarioException(at.isEmpty() ? "scenario" : at.substring(0, at.length() - 1), "is not an object");
             }
             this.node = node;
             this.at = at;
@@ -176,7 +177,7 @@
         List<Keys> list(String name) {
             JsonNode found = need(name);
             if (!found.isArray()) {
-                throw new FaultyScenarioException(at + name, "is no list");
+                throw new FaultyScenarioException(at + name, "is not a list");
             }
             List<Keys> parts = new ArrayList<>();
             for (JsonNode part : found) {
@@ -188,12 +189,12 @@
         double number(String name, double least, double most) {
             JsonNode found = need(name);
             if (!found.isNumber() || found.asDouble() < least || found.asDouble() > most) {
-                throw new FaultyScenarioException(at + name, "is no number from " + least + " to " + most);
+                throw new FaultyScenarioException(at + name, "is not a number from " + least + " to " + most);
             }
             return found.asDouble();
         }
 
-        /** Whole numbers from 0 up to that one. */
+        /** Whole numbers from 0 to {@code max}. */
         Set<Integer> numbers(String name, int most) {
             JsonNode found = need(name);
             Set<Integer> numbers = new TreeSet<>();
@@ -204,7 +205,7 @@
                 numbers.add(one.asInt());
             }
             if (!found.isArray()) {
-                throw new FaultyScenarioException(at + name, "is no list");
+                throw new FaultyScenarioException(at + name, "is not a list");
             }
             return numbers;
         }
@@ -212,12 +213,12 @@
         String text(String name) {
             JsonNode found = need(name);
             if (!found.isTextual() || !found.asText().matches("[A-Za-z0-9._-]{1,64}")) {
-                throw new FaultyScenarioException(at + name, "is no name");
+                throw new FaultyScenarioException(at + name, "is not a name of 1 to 64 letters, digits, dots, underscores and hyphens");
             }
             return found.asText();
         }
 
-        /** A flag that may be left out: not set. */
+        /** A flag that is false when it is left out. */
         boolean option(String name) {
             return has(name) && flag(name);
         }
--- a/src/test/java/dappleseam/lab/FleetRunTest.java
+++ b/src/test/java/dappleseam/lab/FleetRunTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Several real processes with faults between them; and the same with a defence taken out, to show that it is missed. */
+/** Runs several real processes with faults between them, and again with one protection disabled, to show that the checks detect its absence. */
 class FleetRunTest {
     private static final Path SHIPPED = Path.of("deploy/fleet-scenarios");
     private static final Path PLAYED = SHIPPED.resolve("faults-between-proxies.json");
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Dropped links, stalls, restarts, splits that heal, upgrades and kills, of six processes that know each other and of five that share a lease; all
-     * runs at once, for they wait most of the time.
+     * Cut links, stalls, restarts, healing partitions, upgrades and kills, with six processes of a fleet and with five that share a lease. All runs are
+     * concurrent, because they wait most of the time.
      */
     @Test
     void processesKeepWhatIsPromisedAndTheRulesAndFailWithoutADefence() throws Exception {
@@ -85,7 +85,7 @@
         }
     }
 
-    /** A holder that is cut off and a fleet in two halves, each write of a new holder late; and the same with faulty voters or a faulty store. */
+    /** A lease holder that is cut off and a fleet that is partitioned, with the first write of each holder delayed; and the same with faulty voters or a faulty store. */
     @Test
     void noTwoProcessesHoldALeaseAndAFaultInItIsSeen() throws Exception {
         Map<Planted, Future<FleetReport>> runs = new EnumMap<>(Planted.class);
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Executions at the three caches that are lied about, as a share of all at caches. */
+    /** Executions at the three caches that are falsely reported as failing, as a share of all executions at caches. */
     private static double shareAtAccused(FleetReport report) throws Exception {
         JsonNode nodes = new ObjectMapper().readTree(report.json()).path("play").path("executions_by_node");
         double accused = 0;
@@ -120,7 +120,7 @@
         return accused / all;
     }
 
-    /** One member that lies about caches moves nobody; four of six do, or the check could not fail. */
+    /** One member that falsely reports failing caches has no effect; four of six do, which shows that the check can fail. */
     @Test
     void aLiarConvictsNoCache() throws Exception {
         Map<Planted, Future<FleetReport>> runs = new EnumMap<>(Planted.class);
@@ -141,7 +141,7 @@
         }
     }
 
-    /** Six processes with all choices on: their shares come to no more than the whole and its margin, through a split, a restart, a stall and a kill; and do where no traffic is told. */
+    /** Six processes with all features on: through a partition, a restart, a stall and a kill, the sum of their shares stays within the whole and its margin. Without announced traffic it does not. */
     @Test
     void sharesComeToTheWholeThroughASplit() throws Exception {
         ExecutorService hands = Executors.newCachedThreadPool();
@@ -156,7 +156,7 @@
         }
     }
 
-    /** Else two rehearsals beside each other share a proxy's port without a word, and each sees the other's queries. */
+    /** Otherwise the proxies of two concurrent runs share a port unnoticed, and each run sees queries of the other. */
     @Test
     void aPortThatWasTakenIsGivenToNobodyElseAndAProxyMayListenThere() throws Exception {
         try (Ports ports = new Ports(); ServerSocketChannel proxy = ServerSocketChannel.open()) {
@@ -186,12 +186,12 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"\"proxies\": 6 | \"proxies\": 1 | fleet.proxies: is no number from 2.0 to 400.0",
+    @CsvSource(delimiter = '|', value = {"\"proxies\": 6 | \"proxies\": 1 | fleet.proxies: is not a number from 2.0 to 400.0",
         "\"how\": \"garble\" | \"how\": \"chew\" | fleet.links[6].how: is not known: chew",
         "\"proxies\": [5] | \"proxies\": [6] | fleet.processes[3].proxies: holds something other than numbers from 0 to 5",
         "\"kind\": \"stop\" | \"kind\": \"freeze\" | fleet.processes[0].kind: is not known: freeze",
         "\"settle_s\": 15 | \"settle\": 15 | fleet.settle_s: is missing",
-        "\"settle_s\": 15, | \"settle_s\": 15, \"leases\": {\"lease_ms\": 5}, | fleet.leases.lease_ms: is no number from 500.0 to 600000.0", "\"links\": [ | \"wires\": [], \"links\": [ | fleet.wires: is not known",
+        "\"settle_s\": 15, | \"settle_s\": 15, \"leases\": {\"lease_ms\": 5}, | fleet.leases.lease_ms: is not a number from 500.0 to 600000.0", "\"links\": [ | \"wires\": [], \"links\": [ | fleet.wires: is not known",
         "\"fleet\": | \"flotilla\": | fleet: is missing"})
     void aFaultNamesItsKey(String sound, String faulty, String message) throws Exception {
         String shipped = Files.readString(PLAYED);
--- a/src/test/java/dappleseam/lab/LabTest.java
+++ b/src/test/java/dappleseam/lab/LabTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The laboratory as its users run it, on a scenario that is shipped. */
+/** Runs the laboratory as its users do, with a shipped scenario. */
 class LabTest {
     private static final Path SHIPPED = Path.of("deploy/scenarios/dying-and-draining.json");
 
@@ -28,7 +28,7 @@
         return Files.readString(SHIPPED);
     }
 
-    /** The proxy through dying and draining caches, behind faults on its connections: no rule broken, nothing left over. */
+    /** Two proxies with dying and draining caches and faults on their connections: no rule is broken and no connection is left open. */
     @Test
     void aProxyKeepsTheRulesThroughAShippedScenario() throws Exception {
         Scenario scenario = ScenarioReader.read(shipped().replace("\"seconds\": 12", "\"seconds\": 9"), "short");
@@ -57,10 +57,10 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"\"seed\": 7 | \"seed\": \"x\" | seed: is no number",
-        "\"count\": 6 | \"count\": 0 | caches.count: is no number from 1.0 to 200.0",
+    @CsvSource(delimiter = '|', value = {"\"seed\": 7 | \"seed\": \"x\" | seed: is not a number",
+        "\"count\": 6 | \"count\": 0 | caches.count: is not a number from 1.0 to 200.0",
         "\"kind\": \"die\" | \"kind\": \"explode\" | troubles[0].kind: is not known: explode",
-        "\"cache\": 4 | \"cache\": 6 | troubles[1].cache: is no number from 0.0 to 5.0",
+        "\"cache\": 4 | \"cache\": 6 | troubles[1].cache: is not a number from 0.0 to 5.0",
         "\"within_bytes\": 30000 | \"bytes\": 3 | faults[4].within_bytes: is missing",
         "\"queue\": 20 | \"queue\": 20, \"colour\": 1 | caches.colour: is not known",
         "\"troubles\" | \"trouble\" | troubles: is missing"})
--- a/src/test/java/dappleseam/lab/check/RuleCheckerTest.java
+++ b/src/test/java/dappleseam/lab/check/RuleCheckerTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each rule is shown to catch a history that breaks it, and to let the nearest one that keeps it pass. */
+/** Shows for each rule that it detects a history that breaks it and accepts the closest history that keeps it. */
 class RuleCheckerTest {
     private static final Scenario SCENARIO = new Scenario("s", 1, 10, new Caches(2, 10, 1, 5, 100, 100, 0.5, 4, 2000, 10),
             new Origin(10, 4), new Load(10, 10, 1, List.of(grade("read", Repeat.IDEMPOTENT),
@@ -96,7 +96,7 @@
     void aMarkWhoseEffectHappensTwiceBreaksTheSecondRule() {
         asked("a", "transfer", 1200, Verdict.ABORTED, 1);
         ran("a", "origin", 1010, "m1");
-        ledger.executions.add(new Execution("a", "origin", 1100, "m1", false, false)); // dropped: as it should be
+        ledger.executions.add(new Execution("a", "origin", 1100, "m1", false, false)); // dropped as a duplicate, which is correct
         assertThat(broken()).isEmpty();
         ran("a", "origin", 1150, "m1");
         assertThat(broken()).containsExactly(2);
@@ -114,7 +114,7 @@
     @Test
     void aColdCacheThatIsPushedOverBreaksTheFourthRule() {
         ledger.started.add(new Ledger.Started("cache-0", 1000, true));
-        for (int i = 0; i < 220; i++) { // it can do 75 in 1.5 s when it starts; three times that are 225
+        for (int i = 0; i < 220; i++) { // a cold cache can process 75 in 1.5 s; the limit is three times that, 225
             ran("q" + i, "cache-0", 1001 + i, "");
         }
         assertThat(broken()).isEmpty();
--- a/src/test/java/dappleseam/lab/emulator/PeerTest.java
+++ b/src/test/java/dappleseam/lab/emulator/PeerTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 class PeerTest {
-    /** Else a proxy is blamed for what it sent in time, to a cache that read it when it was back. */
+    /** Otherwise a proxy is blamed for commands that it sent in time to a cache that read them only after its silence. */
     @Test
     void whatComesToASilentCacheCameThen() throws Exception {
         Ledger ledger = new Ledger();
@@ -45,7 +45,7 @@
         socket.getOutputStream().write(("*4\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$2\r\n" + id + "\r\n$1\r\nf\r\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A listener that closes is held for a moment by its thread in accept: the next process found the address in use. */
+    /** The thread in accept keeps a closed listener's port for a moment, so that a restarted server found its address in use. */
     @Test
     void aPeerComesBackAtItsAddressRightAfterItDied() throws Exception {
         try (Peer peer = new Peer() {
--- a/src/test/java/dappleseam/lab/fault/FaultToolTest.java
+++ b/src/test/java/dappleseam/lab/fault/FaultToolTest.java
@@ -22,7 +22,7 @@
 
     private ServerSocket echo;
 
-    /** Sends back all that comes, then ends. */
+    /** Starts a server that echoes all input of a connection and then closes it. */
     @BeforeEach
     void listen() throws IOException {
         echo = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
@@ -34,7 +34,7 @@
                         try (socket) {
                             socket.getInputStream().transferTo(socket.getOutputStream());
                         } catch (IOException e) {
-                            // cut, as it was to be
+                            // cut by the fault, as expected
                         }
                     });
                     one.setDaemon(true);
@@ -57,7 +57,7 @@
         return new Fault(Where.CACHES, way, how, 1, SENT, size);
     }
 
-    /** What comes back of one message through such faults. */
+    /** Sends one message through those faults to the echo server; returns what comes back. */
     private byte[] through(long seed, Fault... script) throws Exception {
         try (FaultTool tool = new FaultTool(echo.getLocalPort(), List.of(script), seed);
                 Socket client = new Socket("127.0.0.1", tool.port())) {
@@ -68,7 +68,7 @@
                     client.getOutputStream().write(message);
                     client.shutdownOutput();
                 } catch (IOException e) {
-                    // cut, as it was to be
+                    // cut by the fault, as expected
                 }
             });
             sender.start();
@@ -81,7 +81,7 @@
             for (int i = 0; i < 200 && tool.open() > 0; i++) {
                 Thread.sleep(10);
             }
-            assertThat(tool.open()).isZero(); // no connection is left over
+            assertThat(tool.open()).isZero(); // no connection is left open
             return back;
         }
     }
@@ -121,7 +121,7 @@
             byte[] back;
             try {
                 back = through(11, cut);
-            } catch (SocketException e) { // the end came while bytes of ours were unread
+            } catch (SocketException e) { // the connection was closed while our bytes were unread, which resets it
                 continue;
             }
             assertThat(back).hasSize((int) at(11, cut)).isEqualTo(Arrays.copyOf(new byte[SENT], back.length));
--- a/src/test/java/dappleseam/lab/load/LoadToolTest.java
+++ b/src/test/java/dappleseam/lab/load/LoadToolTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 class LoadToolTest {
-    /** Else a proxy that the machine did not run for seconds passes for one that never answers, which no lateness excuses. */
+    /** Otherwise a proxy that the machine did not schedule for seconds counts as one that never answers, which is a breach however late the laboratory was. */
     @Test
     void anAnswerThatComesSecondsLateIsToldFromNone() throws Exception {
         Scenario scenario = new Scenario("s", 3, 0.2, new Caches(1, 1, 1, 1, 9, 9, 1, 0, 0, 9), new Origin(1, 1),
--- a/src/test/java/dappleseam/lab/peer/TimedInputTest.java
+++ b/src/test/java/dappleseam/lab/peer/TimedInputTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class TimedInputTest {
-    /** Else a proxy is blamed for what a busy laboratory read late. */
+    /** Otherwise a proxy is blamed for input that a busy laboratory read late. */
     @Test
     void whatIsReadLateCameWhenItCouldComeAtTheEarliest() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -20,7 +20,7 @@
             assertThat(in.read()).isEqualTo(1);
             long first = in.receivedNanos();
             out.write(2);
-            Thread.sleep(100); // the reader is elsewhere
+            Thread.sleep(100); // the reader is busy elsewhere
             long late = System.nanoTime();
             assertThat(in.read()).isEqualTo(2);
             assertThat(in.receivedNanos()).isBetween(first, late - 50_000_000);
@@ -46,7 +46,7 @@
             assertThat(in.read()).isEqualTo(1);
             long now = System.nanoTime();
             sender.join();
-            assertThat(in.receivedNanos()).as("not before the reader could have been kept waiting").isGreaterThan(now - 100_000_000).isLessThanOrEqualTo(now);
+            assertThat(in.receivedNanos()).as("no earlier than the reader could have been kept waiting").isGreaterThan(now - 100_000_000).isLessThanOrEqualTo(now);
         }
     }
 }
--- a/src/test/java/dappleseam/lab/report/ReportTest.java
+++ b/src/test/java/dappleseam/lab/report/ReportTest.java
@@ -23,7 +23,7 @@
         return new Report(scenario, ledger, new LoadTool(scenario, ledger, List.of()), breaches, 0, 0).tree();
     }
 
-    /** Else what is sure cannot be traced: doubtful ones fill the list. */
+    /** Otherwise doubtful breaches fill the list and certain ones cannot be traced. */
     @Test
     void sureBreachesAreAllListedAndFirst() throws Exception {
         ledger.late(1000);
