--- a/src/main/java/dappleseam/lab/FleetRun.java
+++ b/src/main/java/dappleseam/lab/FleetRun.java
@@ -337,7 +337,7 @@
         }), Math.round(Math.max(0, endMs - PROLONG_LEAD_MS - nowMs())), TimeUnit.MILLISECONDS);
     }
 
-    /** Time that the current processes of those slots were stalled, by their own records. */
+    /** Time during which a current process of those slots was stalled, or had low local health because of that, by their own records. */
     private double disturbedMs(Set<Integer> numbers, double fromMs, double toMs) throws IOException {
         Disturbances disturbances = new Disturbances(Membership.STALL_GRACE_PERIODS * scenario.periodMs());
         for (int number : numbers) {
@@ -373,7 +373,7 @@
         }
     }
 
-    /** Disrupts the current lease holder, by the processes' own records; does nothing if there is none. */
+    /** Disrupts the process that holds the lease according to the processes' own records; does nothing if there is none. */
     private void hit(Takeover takeover) throws IOException, InterruptedException {
         Instance holder = awaitHolder();
         if (holder == null) {
--- a/src/main/java/dappleseam/lab/check/Ledger.java
+++ b/src/main/java/dappleseam/lab/check/Ledger.java
@@ -32,7 +32,7 @@
     /** The list service has sent a node's state to a proxy. */
     public record Told(String node, String state, double atMs) {}
 
-    /** The start of a cache's process. {@code cold}: whether it starts empty and with reduced capacity. */
+    /** The start of a cache's process. {@code cold}: whether it starts empty and with reduced capacity; {@code atMs}: 0 for one that is warm from the beginning. */
     public record Started(String node, double atMs, boolean cold) {}
 
     /** Lateness in ms of the laboratory's own threads from which on it is recorded as a stall. */
--- a/src/main/java/dappleseam/lab/check/RuleChecker.java
+++ b/src/main/java/dappleseam/lab/check/RuleChecker.java
@@ -17,7 +17,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Checks the four rules on the record of a run, without I/O. Rule 1: each query has exactly one answer, within its statement timeout, and is not executed after it.
+ * Checks the four rules on the record of a run, without I/O. Rule 1: each query has exactly one answer, within its statement timeout, and is not executed after its end.
  * Rule 2: a non-idempotent query is not retried if it may have been executed, and an idempotency key takes effect once. Rule 3: a drained node receives no executions.
  * Rule 4: a cold cache is not overloaded. Each breach describes the query's history.
  */
