--- a/src/main/java/dappleseam/lab/GrowthCommand.java
+++ b/src/main/java/dappleseam/lab/GrowthCommand.java
@@ -1,7 +1,7 @@
 package dappleseam.lab;
 
-import dappleseam.lab.emulator.LargeFleet.Day;
-import dappleseam.lab.growth.Growth;
+import dappleseam.lab.emulator.LargeFleet.ChurnPattern;
+import dappleseam.lab.growth.ScalingBenchmark;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -19,7 +19,7 @@
     private int large;
 
     @Option(names = "--days", split = ",", defaultValue = "CALM,ROLLING_REPLACEMENT,ZONE_LOST,WHOLE_LISTS", description = "Patterns of change to run: ${COMPLETION-CANDIDATES}.")
-    private List<Day> days;
+    private List<ChurnPattern> days;
 
     @Option(names = "--seconds", defaultValue = "30", description = "Length of each run in seconds (default: 30).")
     private double seconds;
@@ -32,11 +32,11 @@
 
     @Override
     public Integer call() throws Exception {
-        Path home = Files.createTempDirectory("dappleseam-growth");
-        Growth growth = new Growth(serve, home, seconds, perSecond);
+        Path workFolder = Files.createTempDirectory("dappleseam-growth");
+        ScalingBenchmark benchmark = new ScalingBenchmark(serve, workFolder, seconds, perSecond);
         boolean isOver = false;
-        for (Day day : days) {
-            Growth.Comparison comparison = Growth.compare(day, large, growth.play(day, usual), growth.play(day, large));
+        for (ChurnPattern pattern : days) {
+            ScalingBenchmark.Comparison comparison = ScalingBenchmark.compare(pattern, large, benchmark.measure(pattern, usual), benchmark.measure(pattern, large));
             System.out.print(comparison.table());
             isOver |= comparison.isOver();
         }
--- a/src/main/java/dappleseam/lab/SizesCommand.java
+++ b/src/main/java/dappleseam/lab/SizesCommand.java
@@ -1,6 +1,6 @@
 package dappleseam.lab;
 
-import dappleseam.lab.fleet.Sizes;
+import dappleseam.lab.fleet.MembershipMeasurement;
 import dappleseam.lab.fleet.SimulatedFleet.Module;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -38,22 +38,22 @@
     public Integer call() {
         for (int size : members) {
             for (Module module : modules) {
-                Sizes sizes = new Sizes(module, size, runs, runningMs);
+                MembershipMeasurement measurement = new MembershipMeasurement(module, size, runs, runningMs);
                 if (only == null || only.equals("deaths")) {
-                    System.out.println(sizes.deaths(deaths));
+                    System.out.println(measurement.singleDeaths(deaths));
                 }
                 if (only == null || only.equals("together")) {
-                    System.out.println(sizes.together(together));
+                    System.out.println(measurement.simultaneousDeaths(together));
                 }
                 if (only == null || only.equals("heal")) {
-                    System.out.println(sizes.heal());
+                    System.out.println(measurement.partitionHealing());
                 }
                 if (only == null || only.equals("false")) {
                     for (double loss : new double[] {0, 0.1, 0.3}) {
-                        System.out.println(sizes.falseFailures(loss, 0, minutes));
+                        System.out.println(measurement.falseFailures(loss, 0, minutes));
                     }
                     for (double loss : new double[] {0, 0.1, 0.3}) {
-                        System.out.println(sizes.falseFailures(loss, 0.1, minutes));
+                        System.out.println(measurement.falseFailures(loss, 0.1, minutes));
                     }
                 }
             }
--- a/src/main/java/dappleseam/lab/SubsetsCommand.java
+++ b/src/main/java/dappleseam/lab/SubsetsCommand.java
@@ -1,8 +1,8 @@
 package dappleseam.lab;
 
-import dappleseam.lab.fleet.Subsets;
-import dappleseam.lab.fleet.Subsets.Found;
-import dappleseam.lab.fleet.Subsets.Way;
+import dappleseam.lab.fleet.SubsetMeasurement;
+import dappleseam.lab.fleet.SubsetMeasurement.Result;
+import dappleseam.lab.fleet.SubsetMeasurement.Strategy;
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -28,19 +28,19 @@
     @Override
     public Integer call() {
         for (int count : proxies) {
-            for (Way way : Way.values()) {
-                List<Found> found = LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> new Subsets(count, locations, copies, seed).measure(way)).toList();
+            for (Strategy way : Strategy.values()) {
+                List<Result> found = LongStream.rangeClosed(1, seeds).parallel().mapToObj(seed -> new SubsetMeasurement(count, locations, copies, seed).measure(way)).toList();
                 System.out.printf("%5d proxies, %d copies, %-13s busiest copy relative to the mean: median %.3f, maximum %.3f; at the worst location, median %.3f; by number of proxies, maximum %.3f; proxies moved when one joins or leaves: mean %.1f, maximum %.1f%n", count, copies, way,
-                        at(found.stream().mapToDouble(Found::peak).toArray(), 0.5), at(found.stream().mapToDouble(Found::peak).toArray(), 1),
-                        at(found.stream().mapToDouble(Found::near).toArray(), 0.5),
-                        at(found.stream().mapToDouble(Found::proxiesPeak).toArray(), 1), found.stream().mapToDouble(Found::moved).average().orElse(0),
-                        at(found.stream().mapToDouble(Found::moved).toArray(), 1));
+                        percentile(found.stream().mapToDouble(Result::peak).toArray(), 0.5), percentile(found.stream().mapToDouble(Result::peak).toArray(), 1),
+                        percentile(found.stream().mapToDouble(Result::locationPeak).toArray(), 0.5),
+                        percentile(found.stream().mapToDouble(Result::proxyCountPeak).toArray(), 1), found.stream().mapToDouble(Result::moved).average().orElse(0),
+                        percentile(found.stream().mapToDouble(Result::moved).toArray(), 1));
             }
         }
         return 0;
     }
 
-    private static double at(double[] values, double share) {
+    private static double percentile(double[] values, double share) {
         double[] sorted = Arrays.stream(values).sorted().toArray();
         return sorted[(int) Math.max(0, Math.ceil(share * sorted.length) - 1)];
     }
--- a/src/main/java/dappleseam/lab/check/RuleChecker.java
+++ b/src/main/java/dappleseam/lab/check/RuleChecker.java
@@ -2,12 +2,12 @@
 
 import dappleseam.lab.check.Ledger.Execution;
 import dappleseam.lab.check.Ledger.Query;
-import dappleseam.lab.check.Ledger.Started;
-import dappleseam.lab.check.Ledger.Told;
-import dappleseam.lab.check.Ledger.Verdict;
+import dappleseam.lab.check.Ledger.CacheStart;
+import dappleseam.lab.check.Ledger.ListUpdate;
+import dappleseam.lab.check.Ledger.Outcome;
 import dappleseam.lab.scenario.Scenario;
 import dappleseam.lab.scenario.Scenario.Grade;
-import dappleseam.lab.scenario.Scenario.Repeat;
+import dappleseam.lab.scenario.Scenario.Semantics;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -25,13 +25,13 @@
     /** Allowance in ms that is added to every time limit for the way there and back. */
     static final double SLACK_MS = 50;
     /** Time in ms after a drain was announced during which executions may still be sent to the node. */
-    static final double GRACE_MS = 500;
+    static final double DRAIN_GRACE_MS = 500;
     /** A cold cache is overloaded when it is sent more than this multiple of its capacity during a window of this length in ms. */
-    static final double FALL_MULTIPLE = 3;
-    static final double FALL_MS = 1500;
+    static final double OVERLOAD_FACTOR = 3;
+    static final double OVERLOAD_WINDOW_MS = 1500;
 
     /** A broken rule, 1 to 4. {@code timeBased}: whether it depends on a time limit, which cannot be judged when the laboratory itself was late. */
-    public record Breach(int rule, String what, boolean timed) {}
+    public record Breach(int rule, String description, boolean timeBased) {}
 
     private final Scenario scenario;
     private final Map<String, Grade> grades;
@@ -43,96 +43,96 @@
     }
 
     /** {@code hasClientFaults}: faults on the clients' own connections are not the proxy's, so an answer that is cut there breaks no rule. */
-    public static List<Breach> check(Scenario scenario, Ledger ledger, boolean clientsAreCut) {
+    public static List<Breach> check(Scenario scenario, Ledger ledger, boolean hasClientFaults) {
         RuleChecker checker = new RuleChecker(scenario);
         // In the order in which the nodes recorded them, not by time: a node records an execution before it answers, and its time is only the earliest possible one.
         Map<String, List<Execution>> byQuery = ledger.executions.stream().collect(Collectors.groupingBy(Execution::query));
         for (Query query : ledger.queries) {
-            checker.oneAnswer(query, byQuery.getOrDefault(query.id(), List.of()), clientsAreCut);
-            checker.noEffectTwice(query, byQuery.getOrDefault(query.id(), List.of()));
+            checker.checkSingleAnswer(query, byQuery.getOrDefault(query.id(), List.of()), hasClientFaults);
+            checker.checkNonIdempotent(query, byQuery.getOrDefault(query.id(), List.of()));
         }
-        checker.marksOnce(ledger);
-        checker.drains(ledger);
-        checker.coldCaches(ledger);
+        checker.checkIdempotencyKeys(ledger);
+        checker.checkDrains(ledger);
+        checker.checkColdCaches(ledger);
         return checker.breaches;
     }
 
-    private void breach(int rule, String what, List<Execution> history) {
-        breach(rule, what, history, false);
+    private void addBreach(int rule, String description, List<Execution> history) {
+        addBreach(rule, description, history, false);
     }
 
-    private void breach(int rule, String what, List<Execution> history, boolean timed) {
-        breaches.add(new Breach(rule, what + history.stream().map(e -> String.format("; %s at %.1f ms%s", e.node(), e.atMs(),
-                e.turnedAway() ? " refused" : e.effect() ? "" : " dropped as a duplicate")).collect(Collectors.joining()), timed));
+    private void addBreach(int rule, String description, List<Execution> history, boolean timeBased) {
+        breaches.add(new Breach(rule, description + history.stream().map(e -> String.format("; %s at %.1f ms%s", e.node(), e.atMs(),
+                e.refused() ? " refused" : e.effect() ? "" : " dropped as a duplicate")).collect(Collectors.joining()), timeBased));
     }
 
-    private void oneAnswer(Query q, List<Execution> executions, boolean clientsAreCut) {
-        if (q.verdict() == Verdict.TAKEN_DOWN) {
+    private void checkSingleAnswer(Query q, List<Execution> executions, boolean hasClientFaults) {
+        if (q.outcome() == Outcome.TAKEN_DOWN) {
             return;
         }
-        boolean lost = q.verdict() == Verdict.UNANSWERED || q.verdict() == Verdict.CUT || q.verdict() == Verdict.SPOILT;
-        if (lost && !clientsAreCut) {
-            breach(1, "query " + q.id() + " ended " + q.verdict() + " after "
+        boolean lost = q.outcome() == Outcome.UNANSWERED || q.outcome() == Outcome.CUT || q.outcome() == Outcome.SPOILT;
+        if (lost && !hasClientFaults) {
+            addBreach(1, "query " + q.id() + " ended " + q.outcome() + " after "
                     + Math.round(q.endedMs() - q.sentMs()) + " of " + Math.round(q.timeoutMs()) + " ms", executions);
-        } else if (!lost && q.verdict() != Verdict.LEFT && q.answers() != 1) {
-            breach(1, "query " + q.id() + " received " + q.answers() + " answers", executions);
-        } else if (!lost && q.cameMs() > q.sentMs() + q.timeoutMs() + SLACK_MS) {
-            breach(1, "query " + q.id() + " was answered after its statement timeout", executions, true);
+        } else if (!lost && q.outcome() != Outcome.LEFT && q.answers() != 1) {
+            addBreach(1, "query " + q.id() + " received " + q.answers() + " answers", executions);
+        } else if (!lost && q.lastByteMs() > q.sentMs() + q.timeoutMs() + SLACK_MS) {
+            addBreach(1, "query " + q.id() + " was answered after its statement timeout", executions, true);
         }
         for (Execution e : executions) {
-            if (!clientsAreCut && e.atMs() > q.endedMs() + SLACK_MS) {
-                breach(1, "query " + q.id() + " was forwarded after its end at " + Math.round(q.endedMs()) + " ms", executions, true);
+            if (!hasClientFaults && e.atMs() > q.endedMs() + SLACK_MS) {
+                addBreach(1, "query " + q.id() + " was forwarded after its end at " + Math.round(q.endedMs()) + " ms", executions, true);
                 return;
             }
         }
     }
 
-    private void noEffectTwice(Query q, List<Execution> executions) {
-        if (grades.get(q.grade()).repeat() != Repeat.NON_IDEMPOTENT) {
+    private void checkNonIdempotent(Query q, List<Execution> executions) {
+        if (grades.get(q.grade()).semantics() != Semantics.NON_IDEMPOTENT) {
             return;
         }
         long effects = executions.stream().filter(Execution::effect).count();
         boolean ranBeforeLast = executions.stream().limit(Math.max(0, executions.size() - 1)).anyMatch(Execution::effect);
         if (effects > 1 || ranBeforeLast) {
-            breach(2, "query " + q.id() + " was retried although it may have been executed", executions);
-        } else if (effects > 0 && q.verdict() == Verdict.REJECTED) {
-            breach(2, "query " + q.id() + " was rejected although it was executed", executions);
+            addBreach(2, "query " + q.id() + " was retried although it may have been executed", executions);
+        } else if (effects > 0 && q.outcome() == Outcome.REJECTED) {
+            addBreach(2, "query " + q.id() + " was rejected although it was executed", executions);
         }
     }
 
-    private void marksOnce(Ledger ledger) {
-        Map<String, List<Execution>> byMark = ledger.executions.stream().filter(e -> e.effect() && !e.mark().isEmpty())
-                .collect(Collectors.groupingBy(Execution::mark));
-        byMark.forEach((mark, ran) -> {
-            if (ran.size() > 1) {
-                breach(2, "idempotency key " + mark + " took effect " + ran.size() + " times", ran);
+    private void checkIdempotencyKeys(Ledger ledger) {
+        Map<String, List<Execution>> byKey = ledger.executions.stream().filter(e -> e.effect() && !e.idempotencyKey().isEmpty())
+                .collect(Collectors.groupingBy(Execution::idempotencyKey));
+        byKey.forEach((idempotencyKey, keyExecutions) -> {
+            if (keyExecutions.size() > 1) {
+                addBreach(2, "idempotency key " + idempotencyKey + " took effect " + keyExecutions.size() + " times", keyExecutions);
             }
         });
     }
 
-    private void drains(Ledger ledger) {
-        Map<String, Double> leftAt = new HashMap<>();
-        for (Told told : ledger.told) {
-            if (told.state().equals("ready")) {
-                leftAt.remove(told.node());
+    private void checkDrains(Ledger ledger) {
+        Map<String, Double> drainedAt = new HashMap<>();
+        for (ListUpdate update : ledger.listUpdates) {
+            if (update.state().equals("ready")) {
+                drainedAt.remove(update.node());
             } else {
-                leftAt.putIfAbsent(told.node(), told.atMs());
+                drainedAt.putIfAbsent(update.node(), update.atMs());
             }
         }
         for (Execution e : ledger.executions) {
-            Double at = leftAt.get(e.node());
-            if (at != null && e.atMs() > at + GRACE_MS + SLACK_MS) {
-                breach(3, e.node() + " received query " + e.query() + " " + Math.round(e.atMs() - at)
+            Double at = drainedAt.get(e.node());
+            if (at != null && e.atMs() > at + DRAIN_GRACE_MS + SLACK_MS) {
+                addBreach(3, e.node() + " received query " + e.query() + " " + Math.round(e.atMs() - at)
                         + " ms after its drain was announced", List.of(), true);
             }
         }
     }
 
     /** Compares the commands within any window of the stated length with the capacity of the cache during it. */
-    private void coldCaches(Ledger ledger) {
+    private void checkColdCaches(Ledger ledger) {
         double perMs = scenario.caches().slots() / Math.max(0.1, scenario.caches().workMs());
-        double warmMs = scenario.caches().warmS() * 1000;
-        for (Started start : ledger.started) {
+        double warmMs = scenario.caches().warmUpS() * 1000;
+        for (CacheStart start : ledger.cacheStarts) {
             if (!start.cold()) {
                 continue;
             }
@@ -140,13 +140,13 @@
                     && e.atMs() >= start.atMs() && e.atMs() < start.atMs() + warmMs)
                     .sorted(Comparator.comparingDouble(Execution::atMs)).toList();
             for (int from = 0, to = 0; to < sent.size(); to++) {
-                while (sent.get(to).atMs() - sent.get(from).atMs() > FALL_MS) {
+                while (sent.get(to).atMs() - sent.get(from).atMs() > OVERLOAD_WINDOW_MS) {
                     from++;
                 }
                 double age = Math.max(0, sent.get(from).atMs() - start.atMs());
-                double share = scenario.caches().coldFrom() + (1 - scenario.caches().coldFrom()) * age / Math.max(1, warmMs);
-                if (to - from + 1 > FALL_MULTIPLE * share * perMs * FALL_MS) {
-                    breach(4, start.node() + " received " + (to - from + 1) + " commands in " + FALL_MS + " ms, "
+                double share = scenario.caches().coldCapacity() + (1 - scenario.caches().coldCapacity()) * age / Math.max(1, warmMs);
+                if (to - from + 1 > OVERLOAD_FACTOR * share * perMs * OVERLOAD_WINDOW_MS) {
+                    addBreach(4, start.node() + " received " + (to - from + 1) + " commands in " + OVERLOAD_WINDOW_MS + " ms, "
                             + Math.round(age) + " ms after its cold start", List.of(), true);
                     break;
                 }
--- a/src/main/java/dappleseam/lab/emulator/Timetable.java
+++ b/src/main/java/dappleseam/lab/emulator/EventSchedule.java
@@ -7,29 +7,29 @@
 import java.util.concurrent.TimeUnit;
 
 /** Runs the events of a scenario one after the other on a thread of its own. */
-final class Timetable implements AutoCloseable {
+final class EventSchedule implements AutoCloseable {
     /** Something that happens to an emulated service. */
     interface Event {
-        void play() throws IOException;
+        void apply() throws IOException;
     }
 
     private final Ledger ledger;
-    private final ScheduledExecutorService events = Executors.newSingleThreadScheduledExecutor(work -> {
+    private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor(work -> {
         Thread thread = new Thread(work, "events");
         thread.setDaemon(true);
         return thread;
     });
 
     /** Events that fail are noted in the ledger. */
-    Timetable(Ledger ledger) {
+    EventSchedule(Ledger ledger) {
         this.ledger = ledger;
     }
 
     /** Runs the event after that time in ms. */
-    void in(long ms, Event event) {
-        events.schedule(() -> {
+    void runIn(long ms, Event event) {
+        executor.schedule(() -> {
             try {
-                event.play();
+                event.apply();
             } catch (IOException e) {
                 ledger.notes.add("an event could not be applied: " + e.getMessage());
             }
@@ -38,6 +38,6 @@
 
     @Override
     public void close() {
-        events.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/src/main/java/dappleseam/lab/emulator/OriginEmulator.java
+++ b/src/main/java/dappleseam/lab/emulator/OriginEmulator.java
@@ -1,7 +1,7 @@
 package dappleseam.lab.emulator;
 
 import dappleseam.lab.check.Ledger;
-import dappleseam.lab.peer.Blocking;
+import dappleseam.lab.peer.BlockingIo;
 import dappleseam.lab.peer.TimedInput;
 import dappleseam.lab.scenario.Scenario.Caches;
 import dappleseam.lab.scenario.Scenario.Origin;
@@ -15,26 +15,26 @@
 import java.util.concurrent.Semaphore;
 
 /** Emulates the origin: reads after cache misses, writes, and deduplication by idempotency key within a window. */
-public final class OriginEmulator extends Peer implements CacheEmulator.Origin {
-    private final Origin rules;
-    private final Caches caches;
+public final class OriginEmulator extends EmulatedServer implements CacheEmulator.MissListener {
+    private final Origin config;
+    private final Caches cacheConfig;
     private final Ledger ledger;
     private final Semaphore slots;
     /** Caches that missed the key of a query, by the query's identifier; they store the value once the origin has answered. */
-    private final Map<String, ConcurrentLinkedQueue<CacheEmulator>> missed = new ConcurrentHashMap<>();
+    private final Map<String, ConcurrentLinkedQueue<CacheEmulator>> misses = new ConcurrentHashMap<>();
     /** When each idempotency key was first used. */
-    private final Map<String, Double> marks = new ConcurrentHashMap<>();
-    private volatile List<CacheEmulator> all = List.of();
+    private final Map<String, Double> firstUseMs = new ConcurrentHashMap<>();
+    private volatile List<CacheEmulator> allCaches = List.of();
 
-    OriginEmulator(Origin rules, Caches caches, Ledger ledger) throws IOException {
-        this.rules = rules;
-        this.caches = caches;
+    OriginEmulator(Origin config, Caches cacheConfig, Ledger ledger) throws IOException {
+        this.config = config;
+        this.cacheConfig = cacheConfig;
         this.ledger = ledger;
-        slots = new Semaphore(rules.slots(), true);
+        slots = new Semaphore(config.slots(), true);
     }
 
-    void caches(List<CacheEmulator> listed) {
-        all = listed;
+    void setCaches(List<CacheEmulator> caches) {
+        allCaches = caches;
     }
 
     /** The value for that key and query, distinct from that of any other query, so that a client can verify it. */
@@ -44,18 +44,18 @@
     }
 
     @Override
-    public void missed(String query, CacheEmulator at) {
-        missed.computeIfAbsent(query, q -> new ConcurrentLinkedQueue<>()).add(at);
+    public void onMiss(String query, CacheEmulator reporter) {
+        misses.computeIfAbsent(query, q -> new ConcurrentLinkedQueue<>()).add(reporter);
     }
 
     @Override
     void serve(TimedInput in, OutputStream out) throws IOException, InterruptedException {
         while (true) {
-            String[] first = Blocking.line(in).split(" ");
+            String[] first = BlockingIo.readLine(in).split(" ");
             if (first.length != 3 || !first[1].startsWith("/")) {
                 throw new IOException("malformed request: the connection is closed");
             }
-            Map<String, String> headers = Blocking.headers(in);
+            Map<String, String> headers = BlockingIo.readHeaders(in);
             in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
             String body = answer(first[0].equals("PUT"), first[1].substring(1), headers, ledger.msAt(in.receivedNanos()));
             out.write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
@@ -63,27 +63,27 @@
         }
     }
 
-    private String answer(boolean write, String key, Map<String, String> headers, double cameAt) throws InterruptedException {
+    private String answer(boolean write, String key, Map<String, String> headers, double receivedMs) throws InterruptedException {
         String query = headers.getOrDefault("x-correlation-id", "");
-        String mark = "";
+        String idempotencyKey = "";
         for (String fact : headers.getOrDefault("x-facts", "").split(",")) {
-            mark = fact.startsWith("k=") ? fact.substring(2) : mark;
+            idempotencyKey = fact.startsWith("k=") ? fact.substring(2) : idempotencyKey;
         }
-        Double before = mark.isEmpty() ? null : marks.putIfAbsent(mark, ledger.nowMs());
-        boolean repeat = before != null && cameAt < before + caches.windowMs();
-        ledger.executions.add(new Ledger.Execution(query, "origin", cameAt, mark, !repeat, false));
+        Double firstMs = idempotencyKey.isEmpty() ? null : firstUseMs.putIfAbsent(idempotencyKey, ledger.nowMs());
+        boolean repeat = firstMs != null && receivedMs < firstMs + cacheConfig.dedupWindowMs();
+        ledger.executions.add(new Ledger.Execution(query, "origin", receivedMs, idempotencyKey, !repeat, false));
         slots.acquire();
         try {
-            Thread.sleep(Math.round(rules.workMs()));
+            Thread.sleep(Math.round(config.workMs()));
         } finally {
             slots.release();
         }
-        ConcurrentLinkedQueue<CacheEmulator> lacking = missed.remove(query);
+        ConcurrentLinkedQueue<CacheEmulator> missedAt = misses.remove(query);
         if (write) {
-            all.forEach(cache -> cache.drop(key));
-        } else if (lacking != null) {
-            lacking.forEach(cache -> cache.hold(key));
+            allCaches.forEach(cache -> cache.drop(key));
+        } else if (missedAt != null) {
+            missedAt.forEach(cache -> cache.store(key));
         }
-        return value(key, query, write ? 0 : caches.valueBytes());
+        return value(key, query, write ? 0 : cacheConfig.valueBytes());
     }
 }
--- a/src/main/java/dappleseam/lab/emulator/StoreEmulator.java
+++ b/src/main/java/dappleseam/lab/emulator/StoreEmulator.java
@@ -3,7 +3,7 @@
 import dappleseam.fleet.lastlist.ListStore.Stored;
 import dappleseam.fleet.lease.Token;
 import dappleseam.lab.fleet.LeaseChecker.Write;
-import dappleseam.lab.peer.Blocking;
+import dappleseam.lab.peer.BlockingIo;
 import dappleseam.lab.peer.TimedInput;
 import dappleseam.wire.Json;
 import java.io.IOException;
@@ -19,26 +19,26 @@
  * Emulates an HTTP store for the fleet's last list, as {@link dappleseam.fleet.lastlist.HttpStore} requires it. The first write of each token is delayed, as if by the network:
  * it is applied only {@code delayMs} after its arrival, whatever has happened since.
  */
-public final class StoreEmulator extends Peer {
+public final class StoreEmulator extends EmulatedServer {
     private static final double NANOS_PER_MS = 1e6;
-    private static final int LONGEST = 4 << 20;
+    private static final int MAX_BODY_BYTES = 4 << 20;
 
-    private final double lateMs;
+    private final double delayMs;
     private final boolean fenced;
     private final Queue<Write> writes = new ConcurrentLinkedQueue<>();
-    private final Set<Token> begun = new HashSet<>();
-    private Stored kept;
+    private final Set<Token> seenTokens = new HashSet<>();
+    private Stored stored;
     private byte[] body;
 
     /** {@code fenced}: whether it refuses writes that are older than the stored one. */
-    public StoreEmulator(double lateMs, boolean fenced) throws IOException {
-        this.lateMs = lateMs;
+    public StoreEmulator(double delayMs, boolean fenced) throws IOException {
+        this.delayMs = delayMs;
         this.fenced = fenced;
     }
 
     /** Starts accepting connections. */
     public void open() {
-        begin();
+        startAccepting();
     }
 
     /** All writes so far, accepted and refused, in the order in which they were applied; times are on the machine's monotonic clock. */
@@ -49,57 +49,57 @@
     @Override
     void serve(TimedInput in, OutputStream out) throws IOException, InterruptedException {
         while (true) {
-            String[] first = Blocking.line(in).split(" ");
-            Map<String, String> headers = Blocking.headers(in);
-            byte[] sent = in.readNBytes(Math.min(LONGEST, Integer.parseInt(headers.getOrDefault("content-length", "0"))));
+            String[] first = BlockingIo.readLine(in).split(" ");
+            Map<String, String> headers = BlockingIo.readHeaders(in);
+            byte[] sent = in.readNBytes(Math.min(MAX_BODY_BYTES, Integer.parseInt(headers.getOrDefault("content-length", "0"))));
             if (first[0].equals("PUT")) {
                 put(headers, sent, out);
             } else {
-                byte[] now = now();
+                byte[] now = currentBody();
                 answer(out, now == null ? "404 Not Found" : "200 OK", "", now == null ? new byte[0] : now);
             }
         }
     }
 
-    private synchronized byte[] now() {
+    private synchronized byte[] currentBody() {
         return body;
     }
 
-    private synchronized boolean isFirst(Token token) {
-        return begun.add(token);
+    private synchronized boolean isFirstWrite(Token token) {
+        return seenTokens.add(token);
     }
 
     private void put(Map<String, String> headers, byte[] sent, OutputStream out) throws IOException, InterruptedException {
         Token token;
         long number;
-        Stored told;
+        Stored received;
         try {
             token = Token.parse(headers.getOrDefault("fencing-token", ""));
             number = Long.parseLong(headers.getOrDefault("write-number", ""));
-            told = Stored.of(Json.read(sent));
+            received = Stored.of(Json.read(sent));
         } catch (IllegalArgumentException e) {
             answer(out, "400 Bad Request", "", new byte[0]);
             return;
         }
-        if (lateMs > 0 && isFirst(token)) {
-            Thread.sleep(Math.round(lateMs));
+        if (delayMs > 0 && isFirstWrite(token)) {
+            Thread.sleep(Math.round(delayMs));
         }
-        Token seen = judge(token, number, told, sent);
-        if (seen == null) {
+        Token newerToken = applyWrite(token, number, received, sent);
+        if (newerToken == null) {
             answer(out, "204 No Content", "", new byte[0]);
         } else {
-            answer(out, "409 Conflict", "Fencing-Token: " + seen.text() + "\r\n", new byte[0]);
+            answer(out, "409 Conflict", "Fencing-Token: " + newerToken.text() + "\r\n", new byte[0]);
         }
     }
 
     /** Compares and replaces atomically; null if the write was accepted, otherwise the token of the stored one. */
-    private synchronized Token judge(Token token, long number, Stored told, byte[] sent) {
-        boolean takes = !fenced || kept == null || kept.isBefore(token, number);
-        writes.add(new Write(System.nanoTime() / NANOS_PER_MS, token, number, takes));
-        if (!takes) {
-            return kept.token();
+    private synchronized Token applyWrite(Token token, long number, Stored received, byte[] sent) {
+        boolean accepts = !fenced || stored == null || stored.isBefore(token, number);
+        writes.add(new Write(System.nanoTime() / NANOS_PER_MS, token, number, accepts));
+        if (!accepts) {
+            return stored.token();
         }
-        kept = told;
+        stored = received;
         body = sent;
         return null;
     }
--- a/src/main/java/dappleseam/lab/fault/FaultTool.java
+++ b/src/main/java/dappleseam/lab/fault/ConnectionFaultInjector.java
@@ -1,9 +1,9 @@
 package dappleseam.lab.fault;
 
-import dappleseam.lab.peer.Blocking;
-import dappleseam.lab.scenario.Scenario.Fault;
-import dappleseam.lab.scenario.Scenario.How;
-import dappleseam.lab.scenario.Scenario.Way;
+import dappleseam.lab.peer.BlockingIo;
+import dappleseam.lab.scenario.Scenario.ConnectionFault;
+import dappleseam.lab.scenario.Scenario.FaultEffect;
+import dappleseam.lab.scenario.Scenario.Direction;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -21,29 +21,29 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /** A TCP relay that injects faults: connections to its port are forwarded to another port, each direction with the faults that are planned for it. */
-public final class FaultTool implements AutoCloseable {
+public final class ConnectionFaultInjector implements AutoCloseable {
     /** The bits that GARBLE flips in a single byte. */
-    public static final byte GARBLED_BITS = 0x55;
+    public static final byte GARBLE_MASK = 0x55;
     private static final int BUFFER = 16 << 10;
     private static final int BACKLOG = 512;
-    private static final int CONNECT_MS = 2000;
+    private static final int CONNECT_TIMEOUT_MS = 2000;
 
     /** A fault in one direction of one connection, from the byte {@code offset} on. */
-    public record Planned(long connection, Way way, How how, long at, double size) {}
+    public record PlannedFault(long connection, Direction direction, FaultEffect effect, long offset, double magnitude) {}
 
     private final ServerSocket server;
-    private final int target;
-    private final List<Fault> script;
+    private final int targetPort;
+    private final List<ConnectionFault> faults;
     private final long seed;
-    private final Queue<Planned> planned = new ConcurrentLinkedQueue<>();
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+    private final Queue<PlannedFault> plannedFaults = new ConcurrentLinkedQueue<>();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
 
-    public FaultTool(int target, List<Fault> script, long seed) throws IOException {
-        this.target = target;
-        this.script = script;
+    public ConnectionFaultInjector(int targetPort, List<ConnectionFault> faults, long seed) throws IOException {
+        this.targetPort = targetPort;
+        this.faults = faults;
         this.seed = seed;
         server = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
-        Blocking.start("fault", this::accept);
+        BlockingIo.startThread("fault", this::accept);
     }
 
     public int port() {
@@ -51,60 +51,60 @@
     }
 
     /** The faults planned for the connections so far. */
-    public List<Planned> planned() {
-        return planned.stream().sorted(Comparator.comparingLong(Planned::connection).thenComparing(Planned::way)
-                .thenComparingLong(Planned::at)).toList();
+    public List<PlannedFault> plannedFaults() {
+        return plannedFaults.stream().sorted(Comparator.comparingLong(PlannedFault::connection).thenComparing(PlannedFault::direction)
+                .thenComparingLong(PlannedFault::offset)).toList();
     }
 
     /** Number of sockets that are open now, counting both sides of a connection. */
-    public int open() {
-        return open.size();
+    public int openSockets() {
+        return openSockets.size();
     }
 
     /** Depends on the seed and the connection's number only: the same seed plans the same faults at the same offsets. */
-    static List<Planned> plan(List<Fault> script, long seed, long connection) {
+    static List<PlannedFault> plan(List<ConnectionFault> faults, long seed, long connection) {
         SplittableRandom random = new SplittableRandom(seed * 0x9e3779b97f4a7c15L + connection);
-        List<Planned> plan = new ArrayList<>();
-        for (Fault fault : script) {
+        List<PlannedFault> plan = new ArrayList<>();
+        for (ConnectionFault fault : faults) {
             double chance = random.nextDouble();
-            long at = random.nextInt(fault.withinBytes());
+            long offset = random.nextInt(fault.withinBytes());
             if (chance < fault.share()) {
-                plan.add(new Planned(connection, fault.way(), fault.how(), at, fault.size()));
+                plan.add(new PlannedFault(connection, fault.direction(), fault.effect(), offset, fault.magnitude()));
             }
         }
-        plan.sort(Comparator.comparingLong(Planned::at));
+        plan.sort(Comparator.comparingLong(PlannedFault::offset));
         return plan;
     }
 
     private void accept() throws IOException {
         for (long number = 0; ; number++) {
-            Socket near = server.accept();
+            Socket accepted = server.accept();
             long connection = number;
-            open.add(near);
-            Blocking.start("fault", () -> join(near, connection));
+            openSockets.add(accepted);
+            BlockingIo.startThread("fault", () -> connectToTarget(accepted, connection));
         }
     }
 
-    private void join(Socket near, long connection) throws IOException, InterruptedException {
-        Socket far = new Socket();
+    private void connectToTarget(Socket accepted, long connection) throws IOException, InterruptedException {
+        Socket target = new Socket();
         try {
-            near.setTcpNoDelay(true);
-            far.setTcpNoDelay(true);
-            far.connect(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), target), CONNECT_MS);
+            accepted.setTcpNoDelay(true);
+            target.setTcpNoDelay(true);
+            target.connect(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), targetPort), CONNECT_TIMEOUT_MS);
         } catch (IOException e) {
-            reset(near, far);
+            resetAll(accepted, target);
             return;
         }
-        open.add(far);
-        List<Planned> plan = plan(script, seed, connection);
-        planned.addAll(plan);
-        Blocking.start("fault", () -> pump(far, near, plan.stream().filter(p -> p.way() == Way.BACK).toList()));
-        pump(near, far, plan.stream().filter(p -> p.way() == Way.THERE).toList());
+        openSockets.add(target);
+        List<PlannedFault> plan = plan(faults, seed, connection);
+        plannedFaults.addAll(plan);
+        BlockingIo.startThread("fault", () -> forward(target, accepted, plan.stream().filter(p -> p.direction() == Direction.BACK).toList()));
+        forward(accepted, target, plan.stream().filter(p -> p.direction() == Direction.THERE).toList());
     }
 
-    private void end(Socket... sockets) {
+    private void closeAll(Socket... sockets) {
         for (Socket socket : sockets) {
-            open.remove(socket);
+            openSockets.remove(socket);
             try {
                 socket.close();
             } catch (IOException e) {
@@ -113,7 +113,7 @@
         }
     }
 
-    private void reset(Socket... sockets) {
+    private void resetAll(Socket... sockets) {
         for (Socket socket : sockets) {
             try {
                 socket.setSoLinger(true, 0);
@@ -121,13 +121,13 @@
                 continue; // already closed by the other side
             }
         }
-        end(sockets);
+        closeAll(sockets);
     }
 
     /** Copies one direction until it ends, applying its faults at their offsets. */
-    private void pump(Socket from, Socket to, List<Planned> plan) throws IOException, InterruptedException {
+    private void forward(Socket from, Socket to, List<PlannedFault> plan) throws IOException, InterruptedException {
         byte[] bytes = new byte[BUFFER];
-        long passed = 0;
+        long forwarded = 0;
         int next = 0;
         try {
             InputStream in = from.getInputStream();
@@ -135,29 +135,29 @@
             for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
                 int done = 0;
                 while (done < count) {
-                    boolean due = next < plan.size() && plan.get(next).at() < passed + count - done;
-                    int part = due ? (int) Math.max(0, plan.get(next).at() - passed) : count - done;
-                    write(out, bytes, done, part, plan, next);
+                    boolean due = next < plan.size() && plan.get(next).offset() < forwarded + count - done;
+                    int part = due ? (int) Math.max(0, plan.get(next).offset() - forwarded) : count - done;
+                    writeInPieces(out, bytes, done, part, plan, next);
                     done += part;
-                    passed += part;
-                    if (due && !befall(plan.get(next++), bytes, done, from, to)) {
+                    forwarded += part;
+                    if (due && !applyFault(plan.get(next++), bytes, done, from, to)) {
                         return;
                     }
                 }
             }
             to.shutdownOutput();
             if (from.isOutputShutdown()) {
-                end(from, to);
+                closeAll(from, to);
             }
         } catch (IOException e) {
-            reset(from, to);
+            resetAll(from, to);
         }
     }
 
     /** Writes the bytes in small pieces once a SPLIT has been reached. */
-    private static void write(OutputStream out, byte[] bytes, int from, int count, List<Planned> plan, int next)
+    private static void writeInPieces(OutputStream out, byte[] bytes, int from, int count, List<PlannedFault> plan, int next)
             throws IOException, InterruptedException {
-        int piece = plan.subList(0, next).stream().filter(p -> p.how() == How.SPLIT).mapToInt(p -> (int) Math.max(1, p.size()))
+        int piece = plan.subList(0, next).stream().filter(p -> p.effect() == FaultEffect.SPLIT).mapToInt(p -> (int) Math.max(1, p.magnitude()))
                 .min().orElse(Math.max(1, count));
         for (int at = 0; at < count; at += piece) {
             out.write(bytes, from + at, Math.min(piece, count - at));
@@ -169,25 +169,25 @@
     }
 
     /** Applies a fault; returns whether this direction continues. */
-    private boolean befall(Planned fault, byte[] bytes, int at, Socket from, Socket to)
+    private boolean applyFault(PlannedFault fault, byte[] bytes, int at, Socket from, Socket to)
             throws IOException, InterruptedException {
-        switch (fault.how()) {
-            case DELAY -> Thread.sleep(Math.round(fault.size()));
-            case GARBLE -> bytes[at] ^= GARBLED_BITS;
+        switch (fault.effect()) {
+            case DELAY -> Thread.sleep(Math.round(fault.magnitude()));
+            case GARBLE -> bytes[at] ^= GARBLE_MASK;
             case SPLIT -> { }
             case CUT -> {
-                end(from, to);
+                closeAll(from, to);
                 return false;
             }
             case RESET -> {
-                reset(from, to);
+                resetAll(from, to);
                 return false;
             }
             case HALF_CLOSE -> {
                 to.shutdownOutput();
                 from.getInputStream().transferTo(OutputStream.nullOutputStream()); // discards the rest, or the sender would block for ever
                 if (from.isOutputShutdown()) {
-                    end(from, to);
+                    closeAll(from, to);
                 }
                 return false;
             }
@@ -198,6 +198,6 @@
     @Override
     public void close() throws IOException {
         server.close();
-        reset(open.toArray(Socket[]::new));
+        resetAll(openSockets.toArray(Socket[]::new));
     }
 }
--- a/src/main/java/dappleseam/lab/peer/TimedInput.java
+++ b/src/main/java/dappleseam/lab/peer/TimedInput.java
@@ -15,47 +15,47 @@
 
     /** {@code openedNanos}: the earliest time at which the connection can have been opened, by {@link System#nanoTime}. */
     public TimedInput(InputStream socket, long openedNanos) {
-        super(new Stamped(socket, openedNanos));
+        super(new TimestampingStream(socket, openedNanos));
     }
 
     /** The earliest time at which the bytes of the latest read can have arrived, by {@link System#nanoTime}. */
     public long receivedNanos() {
-        return ((Stamped) in).receivedNanos;
+        return ((TimestampingStream) in).receivedNanos;
     }
 
     /** The current time less the time that the calling thread has waited for a processor since {@code before}. */
-    public static long nanosLess(ThreadTimes before) {
+    public static long nowExcludingWait(ThreadTimes before) {
         double waitedMs = ThreadTimes.ofCurrentThread().since(before).waitedMs();
         return System.nanoTime() - (Double.isNaN(waitedMs) ? 0 : Math.round(waitedMs * NANOS_PER_MS));
     }
 
     /** Stamps each read of the socket. */
-    private static final class Stamped extends FilterInputStream {
+    private static final class TimestampingStream extends FilterInputStream {
         /** The last time at which there was nothing to read: the next bytes arrive after it. */
-        private long emptyNanos;
+        private long lastEmptyNanos;
         private long receivedNanos;
 
-        Stamped(InputStream socket, long openedNanos) {
+        TimestampingStream(InputStream socket, long openedNanos) {
             super(socket);
-            emptyNanos = openedNanos;
+            lastEmptyNanos = openedNanos;
             receivedNanos = openedNanos;
         }
 
         @Override
         public int available() throws IOException {
             long before = System.nanoTime();
-            int there = in.available();
-            emptyNanos = there == 0 ? before : emptyNanos;
-            return there;
+            int count = in.available();
+            lastEmptyNanos = count == 0 ? before : lastEmptyNanos;
+            return count;
         }
 
         @Override
         public int read(byte[] bytes, int from, int length) throws IOException {
-            boolean isThere = available() > 0;
+            boolean hadInput = available() > 0;
             ThreadTimes before = ThreadTimes.ofCurrentThread();
             int count = in.read(bytes, from, length);
-            receivedNanos = isThere ? emptyNanos : Math.max(emptyNanos, nanosLess(before));
-            emptyNanos = receivedNanos; // the next bytes arrive after these
+            receivedNanos = hadInput ? lastEmptyNanos : Math.max(lastEmptyNanos, nowExcludingWait(before));
+            lastEmptyNanos = receivedNanos; // the next bytes arrive after these
             return count;
         }
     }
--- a/src/main/java/dappleseam/lab/proxies/Ports.java
+++ b/src/main/java/dappleseam/lab/proxies/PortAllocator.java
@@ -14,22 +14,22 @@
  * Allocates ports for proxies and reserves them until the run ends. A socket that is bound but does not listen keeps the system from assigning the port again;
  * a proxy can still listen there, because both set SO_REUSEPORT. Without it, the proxies of concurrent runs would share a port unnoticed.
  */
-public final class Ports implements AutoCloseable {
-    private static final int TRIES = 50;
+public final class PortAllocator implements AutoCloseable {
+    private static final int MAX_TRIES = 50;
 
-    private final List<Socket> held = new ArrayList<>();
+    private final List<Socket> reserved = new ArrayList<>();
 
     /** A port that is free for TCP and for UDP and is not given to anybody else. */
-    public synchronized int take() throws IOException {
-        InetAddress here = InetAddress.getByName("127.0.0.1");
-        for (int i = 0; i < TRIES; i++) {
+    public synchronized int allocate() throws IOException {
+        InetAddress loopback = InetAddress.getByName("127.0.0.1");
+        for (int i = 0; i < MAX_TRIES; i++) {
             Socket socket = new Socket();
-            held.add(socket);
+            reserved.add(socket);
             socket.setOption(StandardSocketOptions.SO_REUSEPORT, true);
             socket.setReuseAddress(true);
-            socket.bind(new InetSocketAddress(here, 0));
-            try (DatagramSocket free = new DatagramSocket(socket.getLocalPort(), here)) {
-                return free.getLocalPort();
+            socket.bind(new InetSocketAddress(loopback, 0));
+            try (DatagramSocket probe = new DatagramSocket(socket.getLocalPort(), loopback)) {
+                return probe.getLocalPort();
             } catch (SocketException e) {
                 continue; // in use for UDP: it stays reserved, and another port is tried
             }
@@ -39,9 +39,9 @@
 
     @Override
     public synchronized void close() throws IOException {
-        for (Socket socket : held) {
+        for (Socket socket : reserved) {
             socket.close();
         }
-        held.clear();
+        reserved.clear();
     }
 }
--- a/src/main/java/dappleseam/lab/report/Report.java
+++ b/src/main/java/dappleseam/lab/report/Report.java
@@ -5,9 +5,9 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import dappleseam.lab.check.Ledger;
-import dappleseam.lab.check.Ledger.Verdict;
+import dappleseam.lab.check.Ledger.Outcome;
 import dappleseam.lab.check.RuleChecker.Breach;
-import dappleseam.lab.load.LoadTool;
+import dappleseam.lab.load.LoadGenerator;
 import dappleseam.lab.scenario.Scenario;
 import dappleseam.lab.scenario.Scenario.Grade;
 import java.io.IOException;
@@ -22,63 +22,63 @@
 import org.HdrHistogram.Histogram;
 
 /** The report of one run, as JSON and as text that is made from the same tree. */
-public final class Report implements Told {
+public final class Report implements RunReport {
     private static final double[] PERCENTILES = {50, 90, 99, 100};
     /** Breaches that a report lists at most if some are doubtful; certain ones are all listed. */
-    private static final int MOST_BREACHES = 20;
+    private static final int MAX_LISTED_BREACHES = 20;
     /** Stalls of the laboratory that a report lists at most, the longest first. */
-    private static final int MOST_HELD_UPS = 5;
+    private static final int MAX_LISTED_STALLS = 5;
 
     private final ObjectNode tree = new ObjectMapper().createObjectNode();
 
-    public Report(Scenario scenario, Ledger ledger, LoadTool load, List<Breach> breaches, int faults, int leftOpen) {
+    public Report(Scenario scenario, Ledger ledger, LoadGenerator load, List<Breach> breaches, int faults, int openConnections) {
         tree.put("scenario", scenario.name()).put("seed", scenario.seed()).put("seconds", scenario.seconds());
         tree.put("complete", ledger.notes.stream().noneMatch(n -> n.contains("incomplete")));
-        ObjectNode tools = tree.putObject("tools").put("latest_ms", round(ledger.latenessMs()))
-                .put("load_was_full", load.wasFull()).put("faults_planned", faults).put("connections_left_at_fault_tools", leftOpen);
-        tools.put("trustworthy", ledger.latenessMs() < Ledger.HELD_UP_MS && !load.wasFull());
-        ArrayNode heldUps = tools.putArray("held_up");
-        ledger.heldUps.stream().sorted(Comparator.comparingDouble(Ledger.HeldUp::lateMs).reversed()).limit(MOST_HELD_UPS).forEach(h -> heldUps.addObject()
+        ObjectNode tools = tree.putObject("tools").put("latest_ms", round(ledger.maxLatenessMs()))
+                .put("load_was_full", load.reachedLimit()).put("faults_planned", faults).put("connections_left_at_fault_tools", openConnections);
+        tools.put("trustworthy", ledger.maxLatenessMs() < Ledger.STALL_MS && !load.reachedLimit());
+        ArrayNode stalls = tools.putArray("held_up");
+        ledger.stalls.stream().sorted(Comparator.comparingDouble(Ledger.Stall::lateMs).reversed()).limit(MAX_LISTED_STALLS).forEach(h -> stalls.addObject()
                 .put("at_ms", Math.round(h.atMs())).put("late_ms", Math.round(h.lateMs())).put("waited_for_a_processor_ms", Math.round(h.waitedMs()))
-                .put("collected_garbage_ms", Math.round(h.collectedMs())));
+                .put("collected_garbage_ms", Math.round(h.gcMs())));
         ObjectNode grades = tree.putObject("grades");
         for (Grade grade : scenario.load().grades()) {
-            grade(grades.putObject(grade.name()), grade, ledger, load.times().get(grade.name()));
+            addGrade(grades.putObject(grade.name()), grade, ledger, load.latencies().get(grade.name()));
         }
-        long asked = ledger.queries.size();
-        tree.put("queries", asked).put("executions", ledger.executions.size())
-                .put("executions_a_query", asked == 0 ? 0 : round((double) ledger.executions.size() / asked))
-                .put("list_calls", ledger.listCalls.get());
+        long queryCount = ledger.queries.size();
+        tree.put("queries", queryCount).put("executions", ledger.executions.size())
+                .put("executions_a_query", queryCount == 0 ? 0 : round((double) ledger.executions.size() / queryCount))
+                .put("list_calls", ledger.listCallCount.get());
         ObjectNode nodes = tree.putObject("executions_by_node");
         new TreeMap<>(ledger.executions.stream().collect(Collectors.groupingBy(Ledger.Execution::node, Collectors.counting())))
                 .forEach(nodes::put);
         ledger.notes.forEach(tree.putArray("notes")::add);
         boolean trustworthy = tools.path("trustworthy").asBoolean();
-        List<Breach> sure = breaches.stream().filter(b -> trustworthy || !b.timed()).toList();
+        List<Breach> certain = breaches.stream().filter(b -> trustworthy || !b.timeBased()).toList();
         // A laboratory that was late itself cannot judge time limits: a proxy must not be blamed for a busy machine.
-        ObjectNode rules = tree.putObject("rules").put("broken", sure.size()).put("doubtful", breaches.size() - sure.size());
-        var told = rules.putArray("breaches");
-        listed(breaches, trustworthy).forEach(b -> told.addObject().put("rule", b.rule()).put("sure", trustworthy || !b.timed()).put("what", b.what()));
+        ObjectNode rules = tree.putObject("rules").put("broken", certain.size()).put("doubtful", breaches.size() - certain.size());
+        var breachArray = rules.putArray("breaches");
+        breachesToList(breaches, trustworthy).forEach(b -> breachArray.addObject().put("rule", b.rule()).put("sure", trustworthy || !b.timeBased()).put("what", b.description()));
     }
 
     /** All certain breaches, followed by doubtful ones up to the limit. */
-    private static List<Breach> listed(List<Breach> breaches, boolean trustworthy) {
-        List<Breach> sure = breaches.stream().filter(b -> trustworthy || !b.timed()).toList();
-        Stream<Breach> doubtful = breaches.stream().filter(b -> !trustworthy && b.timed());
-        return Stream.concat(sure.stream(), doubtful.limit(Math.max(0, MOST_BREACHES - sure.size()))).toList();
+    private static List<Breach> breachesToList(List<Breach> breaches, boolean trustworthy) {
+        List<Breach> certain = breaches.stream().filter(b -> trustworthy || !b.timeBased()).toList();
+        Stream<Breach> doubtful = breaches.stream().filter(b -> !trustworthy && b.timeBased());
+        return Stream.concat(certain.stream(), doubtful.limit(Math.max(0, MAX_LISTED_BREACHES - certain.size()))).toList();
     }
 
-    private static void grade(ObjectNode node, Grade grade, Ledger ledger, Histogram times) {
-        List<Ledger.Query> asked = ledger.queries.stream().filter(q -> q.grade().equals(grade.name())).toList();
-        node.put("queries", asked.size());
-        Map<Verdict, Long> verdicts = asked.stream().collect(Collectors.groupingBy(Ledger.Query::verdict, Collectors.counting()));
-        for (Verdict verdict : Verdict.values()) {
-            node.put(verdict.name().toLowerCase(Locale.ROOT), verdicts.getOrDefault(verdict, 0L));
+    private static void addGrade(ObjectNode node, Grade grade, Ledger ledger, Histogram latencies) {
+        List<Ledger.Query> gradeQueries = ledger.queries.stream().filter(q -> q.grade().equals(grade.name())).toList();
+        node.put("queries", gradeQueries.size());
+        Map<Outcome, Long> outcomes = gradeQueries.stream().collect(Collectors.groupingBy(Ledger.Query::outcome, Collectors.counting()));
+        for (Outcome outcome : Outcome.values()) {
+            node.put(outcome.name().toLowerCase(Locale.ROOT), outcomes.getOrDefault(outcome, 0L));
         }
         for (double percentile : PERCENTILES) {
-            node.put("p" + (int) percentile + "_ms", round(times.getValueAtPercentile(percentile) / 1000.0));
+            node.put("p" + (int) percentile + "_ms", round(latencies.getValueAtPercentile(percentile) / 1000.0));
         }
-        double inTime = times.getTotalCount() == 0 ? 0 : times.getPercentileAtOrBelowValue((long) (grade.sloMs() * 1000));
+        double inTime = latencies.getTotalCount() == 0 ? 0 : latencies.getPercentileAtOrBelowValue((long) (grade.sloMs() * 1000));
         node.put("completed_within_slo_percent", round(inTime));
     }
 
@@ -103,21 +103,21 @@
 
     static String text(JsonNode tree) {
         StringBuilder text = new StringBuilder();
-        lines(text, "", tree);
+        appendLines(text, "", tree);
         return text.toString();
     }
 
-    private static void lines(StringBuilder text, String at, JsonNode node) {
+    private static void appendLines(StringBuilder text, String prefix, JsonNode node) {
         if (node.isObject()) {
             node.fields().forEachRemaining(f -> {
                 if (f.getValue().isContainerNode() && !isFlat(f.getValue())) {
-                    lines(text, at + f.getKey() + ".", f.getValue());
+                    appendLines(text, prefix + f.getKey() + ".", f.getValue());
                 } else {
-                    text.append(String.format("%-28s %s%n", at + f.getKey(), flat(f.getValue())));
+                    text.append(String.format("%-28s %s%n", prefix + f.getKey(), flat(f.getValue())));
                 }
             });
         } else {
-            node.forEach(part -> text.append(String.format("%-28s %s%n", at.substring(0, at.length() - 1), flat(part))));
+            node.forEach(part -> text.append(String.format("%-28s %s%n", prefix.substring(0, prefix.length() - 1), flat(part))));
         }
     }
 
@@ -137,7 +137,7 @@
 
     /** 0 if all rules are kept, 1 if one is broken, 3 if that cannot be decided: breaches are only doubtful, or the run is incomplete. */
     @Override
-    public int status() {
+    public int exitStatus() {
         JsonNode rules = tree.path("rules");
         return rules.path("broken").asInt() > 0 ? 1
                 : rules.path("doubtful").asInt() > 0 || !tree.path("complete").asBoolean() ? 3 : 0;
--- a/src/main/java/dappleseam/lab/scenario/FleetScenario.java
+++ b/src/main/java/dappleseam/lab/scenario/FleetScenario.java
@@ -9,16 +9,16 @@
  * processes. {@code memoryMb}: memory limit of each proxy; {@code settleS}: time after the last fault until all views have to be correct;
  * {@code listPushed}: whether the proxies watch the list permanently instead of on request; {@code features}: what they announce to each other; {@code leases}: null if there are none.
  */
-public record FleetScenario(Scenario play, int proxies, int memoryMb, double periodMs, double settleS, boolean listPushed, FleetFeatures choices, Leases leases, List<LinkFault> links,
-                            List<ProcessEvent> processes) {
+public record FleetScenario(Scenario baseScenario, int proxies, int memoryMb, double periodMs, double settleS, boolean listPushed, FleetFeatures features, Leases leases, List<LinkFault> linkFaults,
+                            List<ProcessEvent> processEvents) {
     /**
      * Leases, with the first three proxies as voters. {@code leaseMs}: length of the lease for the last list; {@code storeDelayMs}: delay of the first write
      * of each holder at the store; {@code persistentVoters}: whether voters keep their promises on a disk that survives restarts.
      */
-    public record Leases(double leaseMs, double storeLateMs, boolean disks, List<Takeover> takeovers) {}
+    public record Leases(double leaseMs, double storeDelayMs, boolean persistentVoters, List<Takeover> takeovers) {}
 
     /** Disrupts the current holder of the lease, {@code times} times, every {@code everyS} seconds. */
-    public record Takeover(Blow blow, double atS, double everyS, int times, double forS) {
+    public record Takeover(Disruption disruption, double atS, double everyS, int times, double forS) {
         /** When the last disruption is over. */
         public double endS() {
             return atS + everyS * (times - 1) + forS;
@@ -26,17 +26,17 @@
     }
 
     /** What is done to a holder: SIGKILL and a new process later, SIGSTOP, a cut of all its links, SIGTERM and a new process later, an upgrade. */
-    public enum Blow { KILL, STOP, CUT, END, UPGRADE }
+    public enum Disruption { KILL, STOP, CUT, END, UPGRADE }
 
     /** What happens to datagrams between proxies. */
-    public enum LinkHow { CUT, LOSS, DELAY, DOUBLE, REORDER, GARBLE }
+    public enum LinkEffect { CUT, LOSS, DELAY, DOUBLE, REORDER, GARBLE }
 
     /**
      * A fault on all datagrams from a member of {@code from} to a member of {@code to}; an empty set stands for all proxies.
      * {@code magnitude}: a share of the datagrams, or a delay in ms.
      */
-    public record LinkFault(double atS, double forS, LinkHow how, Set<Integer> from, Set<Integer> to, double size) {
-        public boolean concerns(int sender, int receiver) {
+    public record LinkFault(double atS, double forS, LinkEffect effect, Set<Integer> from, Set<Integer> to, double magnitude) {
+        public boolean appliesTo(int sender, int receiver) {
             return (from.isEmpty() || from.contains(sender)) && (to.isEmpty() || to.contains(receiver));
         }
 
@@ -46,13 +46,13 @@
         }
 
         /** The same fault with a later end. */
-        public LinkFault prolonged(double byS) {
-            return new LinkFault(atS, forS + byS, how, from, to, size);
+        public LinkFault extended(double byS) {
+            return new LinkFault(atS, forS + byS, effect, from, to, magnitude);
         }
     }
 
     /** What happens to a process. */
-    public enum ProcessKind {
+    public enum ProcessEventKind {
         /** SIGKILL, without a successor. */
         KILL,
         /** SIGTERM, without a successor. */
@@ -70,12 +70,12 @@
     }
 
     /** Applies to all of those proxies at the same time. */
-    public record ProcessEvent(double atS, double forS, ProcessKind kind, Set<Integer> proxies) {}
+    public record ProcessEvent(double atS, double forS, ProcessEventKind kind, Set<Integer> proxies) {}
 
     /** When the last fault of links and processes is over, in s; SIGKILL and SIGTERM count from the time at which they are sent. */
-    public double troublesEndS() {
-        double links = this.links.stream().mapToDouble(f -> f.atS + f.forS).max().orElse(0);
-        links = Math.max(links, leases == null ? 0 : leases.takeovers().stream().mapToDouble(Takeover::endS).max().orElse(0));
-        return Math.max(links, processes.stream().mapToDouble(e -> e.atS + e.forS).max().orElse(0));
+    public double faultsEndS() {
+        double endS = this.linkFaults.stream().mapToDouble(f -> f.atS + f.forS).max().orElse(0);
+        endS = Math.max(endS, leases == null ? 0 : leases.takeovers().stream().mapToDouble(Takeover::endS).max().orElse(0));
+        return Math.max(endS, processEvents.stream().mapToDouble(e -> e.atS + e.forS).max().orElse(0));
     }
 }
--- a/src/main/java/dappleseam/lab/scenario/FaultyScenarioException.java
+++ b/src/main/java/dappleseam/lab/scenario/InvalidScenarioException.java
@@ -1,10 +1,10 @@
 package dappleseam.lab.scenario;
 
 /** A scenario file is invalid; the message names the key at fault. */
-public final class FaultyScenarioException extends RuntimeException {
+public final class InvalidScenarioException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    FaultyScenarioException(String key, String fault) {
-        super(key + ": " + fault);
+    InvalidScenarioException(String key, String problem) {
+        super(key + ": " + problem);
     }
 }
--- a/src/test/java/dappleseam/lab/LabTest.java
+++ b/src/test/java/dappleseam/lab/LabTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import dappleseam.lab.load.LoadTool;
+import dappleseam.lab.load.LoadGenerator;
 import dappleseam.lab.report.Report;
-import dappleseam.lab.scenario.FaultyScenarioException;
+import dappleseam.lab.scenario.InvalidScenarioException;
 import dappleseam.lab.scenario.Scenario;
 import dappleseam.lab.scenario.ScenarioReader;
 import java.nio.file.Files;
@@ -33,7 +33,7 @@
     void aProxyKeepsTheRulesThroughAShippedScenario() throws Exception {
         Scenario scenario = ScenarioReader.read(shipped().replace("\"seconds\": 12", "\"seconds\": 9"), "short");
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        Report report = Lab.play(scenario, "exec " + java + " -XX:TieredStopAtLevel=1 -cp "
+        Report report = Lab.runScenario(scenario, "exec " + java + " -XX:TieredStopAtLevel=1 -cp "
                 + System.getProperty("java.class.path") + " dappleseam.proxy.Serve", 2, folder);
         assertThat(report.text()).contains("rules.broken                 0").contains("cache-1+ ").contains("cache-4+ ")
                 .contains("connections_left_at_fault_tools 0").containsPattern("complete +true");
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void allShippedScenariosAreSound() throws Exception {
+    void allShippedScenariosAreValid() throws Exception {
         try (Stream<Path> files = Files.list(SHIPPED.getParent())) {
             for (Path file : files.toList()) {
                 assertThat(ScenarioReader.read(file).name() + ".json").isEqualTo(file.getFileName().toString());
@@ -50,10 +50,10 @@
     }
 
     @Test
-    void arrivalsAreDrawnAheadBySeedAlone() throws Exception {
+    void arrivalsDependOnTheSeedAlone() throws Exception {
         Scenario scenario = ScenarioReader.read(SHIPPED);
-        List<LoadTool.Arrival> arrivals = LoadTool.draw(scenario);
-        assertThat(arrivals).isEqualTo(LoadTool.draw(scenario)).hasSizeBetween(2200, 2600);
+        List<LoadGenerator.Arrival> arrivals = LoadGenerator.drawArrivals(scenario);
+        assertThat(arrivals).isEqualTo(LoadGenerator.drawArrivals(scenario)).hasSizeBetween(2200, 2600);
     }
 
     @ParameterizedTest
@@ -64,9 +64,9 @@
         "\"within_bytes\": 30000 | \"bytes\": 3 | faults[4].within_bytes: is missing",
         "\"queue\": 20 | \"queue\": 20, \"colour\": 1 | caches.colour: is not known",
         "\"troubles\" | \"trouble\" | troubles: is missing"})
-    void aFaultNamesItsKey(String sound, String faulty, String message) throws Exception {
-        assertThat(shipped()).contains(sound);
-        assertThatThrownBy(() -> ScenarioReader.read(shipped().replace(sound, faulty), "s"))
-                .isInstanceOf(FaultyScenarioException.class).hasMessageContaining(message);
+    void anInvalidScenarioIsReportedWithItsKey(String valid, String invalid, String message) throws Exception {
+        assertThat(shipped()).contains(valid);
+        assertThatThrownBy(() -> ScenarioReader.read(shipped().replace(valid, invalid), "s"))
+                .isInstanceOf(InvalidScenarioException.class).hasMessageContaining(message);
     }
 }
--- a/src/test/java/dappleseam/lab/fault/FaultToolTest.java
+++ b/src/test/java/dappleseam/lab/fault/ConnectionFaultInjectorTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dappleseam.lab.scenario.Scenario.Fault;
-import dappleseam.lab.scenario.Scenario.How;
-import dappleseam.lab.scenario.Scenario.Way;
-import dappleseam.lab.scenario.Scenario.Where;
+import dappleseam.lab.scenario.Scenario.ConnectionFault;
+import dappleseam.lab.scenario.Scenario.FaultEffect;
+import dappleseam.lab.scenario.Scenario.Direction;
+import dappleseam.lab.scenario.Scenario.FaultLocation;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class FaultToolTest {
+class ConnectionFaultInjectorTest {
     private static final int SENT = 50_000;
 
     private ServerSocket echo;
@@ -49,18 +49,18 @@
     }
 
     @AfterEach
-    void end() throws IOException {
+    void closeEcho() throws IOException {
         echo.close();
     }
 
-    private static Fault fault(Way way, How how, double size) {
-        return new Fault(Where.CACHES, way, how, 1, SENT, size);
+    private static ConnectionFault fault(Direction way, FaultEffect how, double size) {
+        return new ConnectionFault(FaultLocation.CACHES, way, how, 1, SENT, size);
     }
 
     /** Sends one message through those faults to the echo server; returns what comes back. */
-    private byte[] through(long seed, Fault... script) throws Exception {
-        try (FaultTool tool = new FaultTool(echo.getLocalPort(), List.of(script), seed);
-                Socket client = new Socket("127.0.0.1", tool.port())) {
+    private byte[] sendThrough(long seed, ConnectionFault... script) throws Exception {
+        try (ConnectionFaultInjector injector = new ConnectionFaultInjector(echo.getLocalPort(), List.of(script), seed);
+                Socket client = new Socket("127.0.0.1", injector.port())) {
             client.setSoTimeout(10_000);
             byte[] message = new byte[SENT];
             Thread sender = new Thread(() -> {
@@ -78,53 +78,53 @@
             } finally {
                 sender.join();
             }
-            for (int i = 0; i < 200 && tool.open() > 0; i++) {
+            for (int i = 0; i < 200 && injector.openSockets() > 0; i++) {
                 Thread.sleep(10);
             }
-            assertThat(tool.open()).isZero(); // no connection is left open
+            assertThat(injector.openSockets()).isZero(); // no connection is left open
             return back;
         }
     }
 
-    private static long at(long seed, Fault... script) {
-        return FaultTool.plan(List.of(script), seed, 0).get(0).at();
+    private static long plannedOffset(long seed, ConnectionFault... script) {
+        return ConnectionFaultInjector.plan(List.of(script), seed, 0).get(0).offset();
     }
 
     @Test
     void theSameSeedPlansTheSameFaults() {
-        List<Fault> script = List.of(new Fault(Where.CACHES, Way.BACK, How.CUT, 0.5, 1000, 0),
-                new Fault(Where.CACHES, Way.THERE, How.GARBLE, 0.5, 1000, 0));
+        List<ConnectionFault> script = List.of(new ConnectionFault(FaultLocation.CACHES, Direction.BACK, FaultEffect.CUT, 0.5, 1000, 0),
+                new ConnectionFault(FaultLocation.CACHES, Direction.THERE, FaultEffect.GARBLE, 0.5, 1000, 0));
         for (int connection = 0; connection < 50; connection++) {
-            assertThat(FaultTool.plan(script, 7, connection)).isEqualTo(FaultTool.plan(script, 7, connection));
+            assertThat(ConnectionFaultInjector.plan(script, 7, connection)).isEqualTo(ConnectionFaultInjector.plan(script, 7, connection));
         }
-        assertThat(FaultTool.plan(script, 7, 3)).isNotEqualTo(FaultTool.plan(script, 8, 3));
+        assertThat(ConnectionFaultInjector.plan(script, 7, 3)).isNotEqualTo(ConnectionFaultInjector.plan(script, 8, 3));
     }
 
     @Test
-    void piecesAndDelaysChangeNoByte() throws Exception {
-        assertThat(through(3, fault(Way.BACK, How.SPLIT, 500), fault(Way.THERE, How.DELAY, 20))).isEqualTo(new byte[SENT]);
+    void splitsAndDelaysChangeNoByte() throws Exception {
+        assertThat(sendThrough(3, fault(Direction.BACK, FaultEffect.SPLIT, 500), fault(Direction.THERE, FaultEffect.DELAY, 20))).isEqualTo(new byte[SENT]);
     }
 
     @Test
-    void oneByteIsGarbledWhereItWasPlanned() throws Exception {
-        Fault garble = fault(Way.THERE, How.GARBLE, 0);
+    void oneByteIsGarbledAtThePlannedOffset() throws Exception {
+        ConnectionFault garble = fault(Direction.THERE, FaultEffect.GARBLE, 0);
         byte[] expected = new byte[SENT];
-        expected[(int) at(5, garble)] ^= 0x55;
-        assertThat(through(5, garble)).isEqualTo(expected);
-        assertThat(through(5, garble)).isEqualTo(expected);
+        expected[(int) plannedOffset(5, garble)] ^= 0x55;
+        assertThat(sendThrough(5, garble)).isEqualTo(expected);
+        assertThat(sendThrough(5, garble)).isEqualTo(expected);
     }
 
     @Test
-    void aCutAndAHalfCloseComeAtTheirByte() throws Exception {
-        for (How how : List.of(How.CUT, How.HALF_CLOSE)) {
-            Fault cut = fault(Way.BACK, how, 0);
+    void cutsAndHalfClosesHappenAtThePlannedOffset() throws Exception {
+        for (FaultEffect how : List.of(FaultEffect.CUT, FaultEffect.HALF_CLOSE)) {
+            ConnectionFault cut = fault(Direction.BACK, how, 0);
             byte[] back;
             try {
-                back = through(11, cut);
+                back = sendThrough(11, cut);
             } catch (SocketException e) { // the connection was closed while our bytes were unread, which resets it
                 continue;
             }
-            assertThat(back).hasSize((int) at(11, cut)).isEqualTo(Arrays.copyOf(new byte[SENT], back.length));
+            assertThat(back).hasSize((int) plannedOffset(11, cut)).isEqualTo(Arrays.copyOf(new byte[SENT], back.length));
         }
     }
 }
--- a/src/test/java/dappleseam/lab/peer/TimedInputTest.java
+++ b/src/test/java/dappleseam/lab/peer/TimedInputTest.java
@@ -11,7 +11,7 @@
 class TimedInputTest {
     /** Otherwise a proxy is blamed for input that a busy laboratory read late. */
     @Test
-    void whatIsReadLateCameWhenItCouldComeAtTheEarliest() throws Exception {
+    void lateReadsAreStampedWithTheEarliestPossibleArrival() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
              Socket client = new Socket(server.getInetAddress(), server.getLocalPort()); Socket socket = server.accept()) {
             TimedInput in = new TimedInput(socket.getInputStream(), System.nanoTime());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void whatIsWaitedForCameWhenItWasSent() throws Exception {
+    void blockingReadsAreStampedOnArrival() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
              Socket client = new Socket(server.getInetAddress(), server.getLocalPort()); Socket socket = server.accept()) {
             TimedInput in = new TimedInput(socket.getInputStream(), System.nanoTime());
--- a/src/test/java/dappleseam/lab/report/ReportTest.java
+++ b/src/test/java/dappleseam/lab/report/ReportTest.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import dappleseam.lab.check.Ledger;
 import dappleseam.lab.check.RuleChecker.Breach;
-import dappleseam.lab.load.LoadTool;
+import dappleseam.lab.load.LoadGenerator;
 import dappleseam.lab.scenario.Scenario;
 import dappleseam.lab.scenario.ScenarioReader;
 import java.nio.file.Path;
@@ -20,13 +20,13 @@
 
     private JsonNode report(List<Breach> breaches) throws Exception {
         Scenario scenario = ScenarioReader.read(SHIPPED);
-        return new Report(scenario, ledger, new LoadTool(scenario, ledger, List.of()), breaches, 0, 0).tree();
+        return new Report(scenario, ledger, new LoadGenerator(scenario, ledger, List.of()), breaches, 0, 0).tree();
     }
 
     /** Otherwise doubtful breaches fill the list and certain ones cannot be traced. */
     @Test
-    void sureBreachesAreAllListedAndFirst() throws Exception {
-        ledger.late(1000);
+    void certainBreachesAreAllListedFirst() throws Exception {
+        ledger.recordLateness(1000);
         List<Breach> breaches = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             breaches.add(new Breach(1, "late " + i, true));
@@ -40,9 +40,9 @@
     }
 
     @Test
-    void whatHeldUpTheLaboratoryIsNamedLongestFirst() throws Exception {
-        ledger.heldUps.add(new Ledger.HeldUp(100, 60, 55, 0));
-        ledger.heldUps.add(new Ledger.HeldUp(900, 700, 20, 650));
+    void stallsAreListedLongestFirst() throws Exception {
+        ledger.stalls.add(new Ledger.Stall(100, 60, 55, 0));
+        ledger.stalls.add(new Ledger.Stall(900, 700, 20, 650));
         JsonNode longest = report(List.of()).path("tools").path("held_up").get(0);
         assertThat(longest.path("late_ms").asInt()).isEqualTo(700);
         assertThat(longest.path("collected_garbage_ms").asInt()).isEqualTo(650);
