--- a/src/main/java/dappleseam/lab/emulator/CacheEmulator.java
+++ b/src/main/java/dappleseam/lab/emulator/CacheEmulator.java
@@ -131,7 +131,7 @@
         for (int i = 0; i < parts.length; i++) {
             String length = BlockingIo.readLine(in);
             if (!length.matches("\\$\\d{1,7}") || Integer.parseInt(length.substring(1)) > MAX_PART_BYTES) {
-                throw new IOException("malformed command");
+                throw new IOException("garbage");
             }
             parts[i] = new String(in.readNBytes(Integer.parseInt(length.substring(1))), StandardCharsets.ISO_8859_1);
             BlockingIo.readLine(in);
