--- a/src/main/java/dappleseam/lab/FleetRun.java
+++ b/src/main/java/dappleseam/lab/FleetRun.java
@@ -104,7 +104,7 @@
         final int bindPort;
         final int advertisedPort;
         int spawnCount;
-        ProxyInstance current;
+        ProxyInstance currentInstance;
 
         ProxySlot(int number) throws IOException {
             this.number = number;
@@ -237,10 +237,10 @@
         }
         double spawnStartMs = nowMs();
         for (ProxySlot slot : slots) {
-            slot.current = slot.spawn(slot.bindPort, slot.advertisedPort, slot.config);
+            slot.currentInstance = slot.spawn(slot.bindPort, slot.advertisedPort, slot.config);
         }
         for (ProxySlot slot : slots) {
-            awaitReady(slot.current);
+            awaitReady(slot.currentInstance);
         }
         double readyMs = nowMs() - spawnStartMs;
         LoadGenerator load = new LoadGenerator(scenario.baseScenario(), ledger, slots.stream().map(s -> s.clientPort).toList());
@@ -341,7 +341,7 @@
     private double stalledMs(Set<Integer> numbers, double fromMs, double toMs) throws IOException {
         StallPeriods stalls = new StallPeriods(Membership.STALL_GRACE_PERIODS * scenario.periodMs());
         for (int number : numbers) {
-            for (JsonNode line : readRecord(slots.get(number).current)) {
+            for (JsonNode line : readRecord(slots.get(number).currentInstance)) {
                 if (line.has("stood_still")) {
                     stalls.addStall(line.path("ms").asDouble(), line.path("stood_still").asDouble());
                 }
@@ -413,7 +413,7 @@
 
     private ProxyInstance findHolder() throws IOException {
         for (ProxyInstance instance : instances) {
-            boolean runs = instance.shouldRun && instance == instance.slot.current;
+            boolean runs = instance.shouldRun && instance == instance.slot.currentInstance;
             LeaseChecker.LeaseRecord last = null;
             for (JsonNode one : runs ? readRecord(instance) : List.<JsonNode>of()) {
                 last = isLeaseLine(one) ? parseLeaseLine(instance, one) : last;
@@ -433,7 +433,7 @@
     }
 
     private void applyEvent(ProcessEvent event, ProxySlot slot) throws IOException, InterruptedException {
-        ProxyInstance instance = slot.current;
+        ProxyInstance instance = slot.currentInstance;
         String name = "lab-" + slot.number;
         double now = nowMs();
         switch (event.kind()) {
@@ -453,10 +453,10 @@
                 startFresh(slot);
                 Thread.sleep(SLOW_START_STALL_DELAY_MS);
                 groundTruth.addFault(name, now, now + SLOW_START_STALL_DELAY_MS + event.forS() * MS_PER_S);
-                slot.current.process.signal("STOP");
+                slot.currentInstance.process.signal("STOP");
                 runAfter(event.forS(), () -> {
-                    slot.current.process.signal("CONT");
-                    awaitReady(slot.current);
+                    slot.currentInstance.process.signal("CONT");
+                    awaitReady(slot.currentInstance);
                     ledger.markUp(slot.clientPort);
                 });
             }
@@ -472,7 +472,7 @@
             case UPGRADE -> {
                 ProxyInstance next = slot.spawn(slot.bindPort, slot.advertisedPort, slot.config);
                 awaitReady(next);
-                slot.current = next;
+                slot.currentInstance = next;
                 instance.markStopped();
                 instance.process.stop();
             }
@@ -495,7 +495,7 @@
     private void restartAfter(ProxySlot slot, double afterS) {
         runAfter(afterS, () -> {
             startFresh(slot);
-            awaitReady(slot.current);
+            awaitReady(slot.currentInstance);
             ledger.markUp(slot.clientPort);
         });
     }
@@ -506,9 +506,9 @@
 
     private void kill(ProxySlot slot) throws InterruptedException {
         ledger.markDown(slot.clientPort);
-        slot.current.markStopped();
-        slot.current.process.close();
-        slot.current.process.awaitExit();
+        slot.currentInstance.markStopped();
+        slot.currentInstance.process.close();
+        slot.currentInstance.process.awaitExit();
         links.setReachable(slot.advertisedPort, false);
     }
 
@@ -521,7 +521,7 @@
             }
         }
         links.setReachable(slot.advertisedPort, true);
-        slot.current = slot.spawn(slot.bindPort, slot.advertisedPort, slot.config);
+        slot.currentInstance = slot.spawn(slot.bindPort, slot.advertisedPort, slot.config);
     }
 
     /** The lines of a process's own record. */
--- a/src/main/java/dappleseam/lab/peer/TimedInput.java
+++ b/src/main/java/dappleseam/lab/peer/TimedInput.java
@@ -44,9 +44,9 @@
         @Override
         public int available() throws IOException {
             long before = System.nanoTime();
-            int count = in.available();
-            lastEmptyNanos = count == 0 ? before : lastEmptyNanos;
-            return count;
+            int availableBytes = in.available();
+            lastEmptyNanos = availableBytes == 0 ? before : lastEmptyNanos;
+            return availableBytes;
         }
 
         @Override
--- a/src/main/java/dappleseam/lab/scenario/FleetScenario.java
+++ b/src/main/java/dappleseam/lab/scenario/FleetScenario.java
@@ -74,8 +74,8 @@
 
     /** When the last fault of links and processes is over, in s; SIGKILL and SIGTERM count from the time at which they are sent. */
     public double faultsEndS() {
-        double endS = this.linkFaults.stream().mapToDouble(f -> f.atS + f.forS).max().orElse(0);
-        endS = Math.max(endS, leases == null ? 0 : leases.takeovers().stream().mapToDouble(Takeover::endS).max().orElse(0));
-        return Math.max(endS, processEvents.stream().mapToDouble(e -> e.atS + e.forS).max().orElse(0));
+        double latestS = this.linkFaults.stream().mapToDouble(f -> f.atS + f.forS).max().orElse(0);
+        latestS = Math.max(latestS, leases == null ? 0 : leases.takeovers().stream().mapToDouble(Takeover::endS).max().orElse(0));
+        return Math.max(latestS, processEvents.stream().mapToDouble(e -> e.atS + e.forS).max().orElse(0));
     }
 }
