--- a/src/main/java/dappleseam/lab/fault/ConnectionFaultInjector.java
+++ b/src/main/java/dappleseam/lab/fault/ConnectionFaultInjector.java
@@ -108,7 +108,7 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                continue; // nothing more can be done
+                continue; // the socket is closed all the same
             }
         }
     }
