--- a/src/main/java/dappleseam/lab/FleetRun.java
+++ b/src/main/java/dappleseam/lab/FleetRun.java
@@ -193,8 +193,8 @@
         store = scenario.leases() == null ? null : new StoreEmulator(scenario.leases().storeDelayMs(), planted != PlantedFault.NO_FENCE);
     }
 
-    private static Thread daemon(Runnable work) {
-        Thread thread = new Thread(work, "rehearsal");
+    private static Thread daemon(Runnable task) {
+        Thread thread = new Thread(task, "rehearsal");
         thread.setDaemon(true);
         return thread;
     }
@@ -249,7 +249,7 @@
         startMs = nowMs();
         links.setFaults(scenario.linkFaults());
         scenario.linkFaults().stream().filter(fault -> fault.effect() == LinkEffect.CUT && fault.isOneLink()).forEach(this::extendCutIfDisturbed);
-        double playMs = ledger.nowMs();
+        double ledgerStartMs = ledger.nowMs();
         services.startIncidents();
         scenario.linkFaults().forEach(this::recordLinkFault);
         for (ProcessEvent event : scenario.processEvents()) {
@@ -286,7 +286,7 @@
         Report baseReport = new Report(scenario.baseScenario(), ledger, load, RuleChecker.check(scenario.baseScenario(), ledger, false), 0, 0);
         return new FleetReport(scenario, baseReport, groundTruth, records.viewChanges(), breaches, List.copyOf(timeline), startMs, settledMs, readyMs, links, !failed,
                 LeaseChecker.check(leaseRecords.stream().filter(l -> l.ms() <= settledMs).toList()), List.copyOf(holderFaults),
-                store == null ? List.of() : List.copyOf(store.writes()), ledger, playMs, costs);
+                store == null ? List.of() : List.copyOf(store.writes()), ledger, ledgerStartMs, costs);
     }
 
     private void stopAllGracefully() throws InterruptedException {
--- a/src/main/java/dappleseam/lab/emulator/CacheEmulator.java
+++ b/src/main/java/dappleseam/lab/emulator/CacheEmulator.java
@@ -78,8 +78,8 @@
         listenAgain();
     }
 
-    void setSilent(boolean now) {
-        silent = now;
+    void setSilent(boolean value) {
+        silent = value;
     }
 
     void setSlowdown(double multiple) {
--- a/src/main/java/dappleseam/lab/emulator/StoreEmulator.java
+++ b/src/main/java/dappleseam/lab/emulator/StoreEmulator.java
@@ -71,11 +71,11 @@
 
     private void put(Map<String, String> headers, byte[] sent, OutputStream out) throws IOException, InterruptedException {
         Token token;
-        long number;
+        long writeNumber;
         Stored received;
         try {
             token = Token.parse(headers.getOrDefault("fencing-token", ""));
-            number = Long.parseLong(headers.getOrDefault("write-number", ""));
+            writeNumber = Long.parseLong(headers.getOrDefault("write-number", ""));
             received = Stored.of(Json.read(sent));
         } catch (IllegalArgumentException e) {
             answer(out, "400 Bad Request", "", new byte[0]);
@@ -84,7 +84,7 @@
         if (delayMs > 0 && isFirstWrite(token)) {
             Thread.sleep(Math.round(delayMs));
         }
-        Token newerToken = applyWrite(token, number, received, sent);
+        Token newerToken = applyWrite(token, writeNumber, received, sent);
         if (newerToken == null) {
             answer(out, "204 No Content", "", new byte[0]);
         } else {
@@ -93,9 +93,9 @@
     }
 
     /** Compares and replaces atomically; null if the write was accepted, otherwise the token of the stored one. */
-    private synchronized Token applyWrite(Token token, long number, Stored received, byte[] sent) {
-        boolean accepts = !fenced || stored == null || stored.isBefore(token, number);
-        writes.add(new Write(System.nanoTime() / NANOS_PER_MS, token, number, accepts));
+    private synchronized Token applyWrite(Token token, long writeNumber, Stored received, byte[] sent) {
+        boolean accepts = !fenced || stored == null || stored.isBefore(token, writeNumber);
+        writes.add(new Write(System.nanoTime() / NANOS_PER_MS, token, writeNumber, accepts));
         if (!accepts) {
             return stored.token();
         }
--- a/src/main/java/dappleseam/lab/report/FleetReport.java
+++ b/src/main/java/dappleseam/lab/report/FleetReport.java
@@ -88,10 +88,10 @@
                 .put("a_proxy_and_second", round(links.forwarded() / seconds / scenario.proxies()))
                 .put("bytes_a_proxy_and_second", round(links.forwardedBytes() / seconds / scenario.proxies()));
         links.kindCounts().forEach((kind, count) -> datagrams.put("came_" + kind.name().toLowerCase(Locale.ROOT), count));
-        links.faultCounts().forEach((how, count) -> datagrams.put(how.name().toLowerCase(Locale.ROOT), count));
+        links.faultCounts().forEach((type, count) -> datagrams.put(type.name().toLowerCase(Locale.ROOT), count));
         addCost(costs);
-        ObjectNode promises = tree.putObject("promises").put("broken", brokenCount);
-        ArrayNode breachArray = promises.putArray("breaches");
+        ObjectNode guarantees = tree.putObject("promises").put("broken", brokenCount);
+        ArrayNode breachArray = guarantees.putArray("breaches");
         breaches.forEach(b -> breachArray.addObject().put("promise", b.promise().name()).put("at_s", round((b.ms() - startMs) / MS_PER_S)).put("what", b.what()));
         leases.forEach((name, found) -> {
             ObjectNode lease = tree.putObject("lease_" + name).put("broken", found.breaches().size()).put("holders", found.holdPeriods().size());
@@ -109,8 +109,8 @@
             storeBreaches.forEach(store.putArray("breaches")::add);
         }
         Map<String, LeaseChecker.TakeoverTimes> takeoverTimes = LeaseChecker.takeoverTimes(holderFaults, leases.values().stream().flatMap(l -> l.holdPeriods().stream()).toList(), IMMEDIATE_STOPS);
-        takeoverTimes.forEach((how, of) -> {
-            ObjectNode disruptionNode = tree.putObject("holder_" + how).put("hits", of.withoutHolderMs().size()).put("without_next", of.notTakenOver());
+        takeoverTimes.forEach((type, of) -> {
+            ObjectNode disruptionNode = tree.putObject("holder_" + type).put("hits", of.withoutHolderMs().size()).put("without_next", of.notTakenOver());
             addDistribution(disruptionNode, "without_ms", of.withoutHolderMs());
             addDistribution(disruptionNode, "since_hit_ms", of.sinceFaultMs());
         });
@@ -294,13 +294,13 @@
         plot.getRangeAxis().setRange(0, 105);
         plot.getRenderer().setSeriesPaint(0, new Color(0x1F5FA8));
         plot.getRenderer().setSeriesStroke(0, new BasicStroke(2));
-        Map<Double, Set<String>> begins = new TreeMap<>();
-        scenario.processEvents().forEach(e -> begins.computeIfAbsent(e.atS(), at -> new TreeSet<>()).add(e.kind().name()));
+        Map<Double, Set<String>> startMarks = new TreeMap<>();
+        scenario.processEvents().forEach(e -> startMarks.computeIfAbsent(e.atS(), at -> new TreeSet<>()).add(e.kind().name()));
         scenario.linkFaults().forEach(l -> {
-            begins.computeIfAbsent(l.atS(), at -> new TreeSet<>()).add(l.effect().name());
+            startMarks.computeIfAbsent(l.atS(), at -> new TreeSet<>()).add(l.effect().name());
             addMarker(plot, l.atS() + l.forS(), "", new Color(0x2E7D32));
         });
-        begins.forEach((at, what) -> addMarker(plot, at, String.join(" ", what), new Color(0xB03A2E)));
+        startMarks.forEach((at, labels) -> addMarker(plot, at, String.join(" ", labels), new Color(0xB03A2E)));
         ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH, HEIGHT);
     }
 
