--- a/src/main/java/dappleseam/lab/emulator/CacheEmulator.java
+++ b/src/main/java/dappleseam/lab/emulator/CacheEmulator.java
@@ -78,8 +78,8 @@
         listenAgain();
     }
 
-    void setSilent(boolean value) {
-        silent = value;
+    void setSilent(boolean isSilent) {
+        silent = isSilent;
     }
 
     void setSlowdown(double multiple) {
