--- a/src/main/java/dappleseam/lab/HistoriesCommand.java
+++ b/src/main/java/dappleseam/lab/HistoriesCommand.java
@@ -15,73 +15,74 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Many drawn histories of a fleet in simulated time; a seed that fails is replayed by itself, and shrunk. */
-@Command(name = "histories", mixinStandardHelpOptions = true, description = "Play drawn histories of a fleet in simulated time; status 1 where one breaks a promise.")
+/** Runs many randomly generated fault histories of a fleet in simulated time. A failing seed is replayed on its own and shrunk. */
+@Command(name = "histories", mixinStandardHelpOptions = true, description = "Run random fault histories of a fleet in simulated time; exit status 1 if a guarantee is violated.")
 final class HistoriesCommand implements Callable<Integer> {
-    private static final int MOST_SHRUNK = 5;
+    private static final int MAX_SHRUNK = 5;
 
     @Option(names = "--from", defaultValue = "1", description = "First seed (default: 1).")
     private long from;
 
-    @Option(names = "--seeds", defaultValue = "1000", description = "How many (default: 1000).")
+    @Option(names = "--seeds", defaultValue = "1000", description = "Number of seeds (default: 1000).")
     private int seeds;
 
-    @Option(names = "--members", defaultValue = "6", description = "Members of each fleet (default: 6).")
+    @Option(names = "--members", defaultValue = "6", description = "Members in each fleet (default: 6).")
     private int members;
 
-    @Option(names = "--steps", defaultValue = "8", description = "Troubles in each history (default: 8).")
+    @Option(names = "--steps", defaultValue = "8", description = "Faults in each history (default: 8).")
     private int steps;
 
-    @Option(names = "--planted", defaultValue = "NONE", description = "A defence that is taken out: ${COMPLETION-CANDIDATES}.")
+    @Option(names = "--planted", defaultValue = "NONE", description = "Protection to disable: ${COMPLETION-CANDIDATES}.")
     private PlantedFault planted;
 
-    @Option(names = "--shares", description = "Traffic goes up and down meanwhile, and shares of the whole are watched.")
+    @Option(names = "--shares", description = "Also vary the traffic and check the members' shares of the fleet's limits.")
     private boolean shares;
 
     @Override
     public Integer call() {
         ConcurrentSkipListSet<Long> failing = new ConcurrentSkipListSet<>();
-        Map<Long, FaultHistory.ShareTotals> taken = new ConcurrentSkipListMap<>();
+        Map<Long, FaultHistory.ShareTotals> shareTotals = new ConcurrentSkipListMap<>();
         Queue<Double> agreed = new ConcurrentLinkedQueue<>();
         LongStream.range(from, from + seeds).parallel().forEach(seed -> {
-            FaultHistory.Outcome verdict = draw(seed).play(planted);
-            taken.put(seed, verdict.shareTotals());
-            if (!verdict.breaches().isEmpty()) {
+            FaultHistory.Outcome outcome = generateHistory(seed).play(planted);
+            shareTotals.put(seed, outcome.shareTotals());
+            if (!outcome.breaches().isEmpty()) {
                 failing.add(seed);
             }
-            agreed.add(verdict.agreedMs());
+            agreed.add(outcome.agreedMs());
         });
         double[] sorted = agreed.stream().mapToDouble(d -> d).sorted().toArray();
-        System.out.printf("%d histories of %d members and %d troubles, seeds %d to %d, planted %s: %d break a promise%n", seeds, members, steps, from,
+        System.out.printf("%d histories of %d members and %d faults, seeds %d to %d, planted %s: %d violate a guarantee%n", seeds, members, steps, from,
                 from + seeds - 1, planted, failing.size());
-        System.out.printf("all views right after the last trouble: median %.1f s, 99 of 100 %.1f s, most %.1f s%n", at(sorted, 0.5), at(sorted, 0.99),
-                at(sorted, 1));
+        System.out.printf("time from the last fault until all views were correct: median %.1f s, p99 %.1f s, maximum %.1f s%n", percentileS(sorted, 0.5), percentileS(sorted, 0.99),
+                percentileS(sorted, 1));
         if (shares) {
-            tell(taken);
+            printShares(shareTotals);
         }
-        for (long seed : List.copyOf(failing).subList(0, Math.min(MOST_SHRUNK, failing.size()))) {
-            FaultHistory least = draw(seed).shrink(planted);
-            System.out.printf("seed %d: %s%n", seed, least.play(planted).breaches().get(0));
-            least.steps().forEach(step -> System.out.println("    " + step));
+        for (long seed : List.copyOf(failing).subList(0, Math.min(MAX_SHRUNK, failing.size()))) {
+            FaultHistory shrunk = generateHistory(seed).shrink(planted);
+            System.out.printf("seed %d: %s%n", seed, shrunk.play(planted).breaches().get(0));
+            shrunk.steps().forEach(step -> System.out.println("    " + step));
         }
         return failing.isEmpty() ? 0 : 1;
     }
 
-    private FaultHistory draw(long seed) {
-        FaultHistory drawn = FaultHistory.generate(seed, members, steps);
-        return shares ? drawn.withShares() : drawn;
+    private FaultHistory generateHistory(long seed) {
+        FaultHistory history = FaultHistory.generate(seed, members, steps);
+        return shares ? history.withShares() : history;
     }
 
-    private static void tell(Map<Long, FaultHistory.ShareTotals> taken) {
-        double[] most = taken.values().stream().mapToDouble(FaultHistory.ShareTotals::highest).sorted().toArray();
-        Map.Entry<Long, FaultHistory.ShareTotals> worst = taken.entrySet().stream().max(Comparator.comparingDouble(e -> e.getValue().highest())).orElseThrow();
-        System.out.printf("all together took at most: median %.3f of the whole, 99 of 100 %.3f, most %.3f (seed %d, at %.1f s); at the end: %.3f to %.3f; the least share %.2f of an even one%n",
+    private static void printShares(Map<Long, FaultHistory.ShareTotals> shareTotals) {
+        double[] most = shareTotals.values().stream().mapToDouble(FaultHistory.ShareTotals::highest).sorted().toArray();
+        Map.Entry<Long, FaultHistory.ShareTotals> worst = shareTotals.entrySet().stream().max(Comparator.comparingDouble(e -> e.getValue().highest())).orElseThrow();
+        System.out.printf("highest sum of all shares: median %.3f, p99 %.3f, maximum %.3f (seed %d, at %.1f s); sum at the end: %.3f to %.3f; smallest share: %.2f of an even one%n",
                 most[most.length / 2], most[(int) Math.ceil(0.99 * most.length) - 1], worst.getValue().highest(), worst.getKey(), worst.getValue().highestAtMs() / 1000,
-                taken.values().stream().mapToDouble(FaultHistory.ShareTotals::atEnd).min().orElse(0), taken.values().stream().mapToDouble(FaultHistory.ShareTotals::atEnd).max().orElse(0),
-                taken.values().stream().mapToDouble(FaultHistory.ShareTotals::lowestShare).min().orElse(0));
+                shareTotals.values().stream().mapToDouble(FaultHistory.ShareTotals::atEnd).min().orElse(0), shareTotals.values().stream().mapToDouble(FaultHistory.ShareTotals::atEnd).max().orElse(0),
+                shareTotals.values().stream().mapToDouble(FaultHistory.ShareTotals::lowestShare).min().orElse(0));
     }
 
-    private static double at(double[] sorted, double share) {
+    /** The value in s at that share of the sorted values in ms; NaN stands for a history that never agreed and counts only for the maximum. */
+    private static double percentileS(double[] sorted, double share) {
         double[] numbers = Arrays.stream(sorted).filter(d -> !Double.isNaN(d)).toArray();
         return numbers.length < sorted.length && share == 1 || numbers.length == 0 ? Double.NaN
                 : numbers[(int) Math.min(numbers.length - 1, Math.ceil(share * numbers.length) - 1)] / 1000;
--- a/src/main/java/dappleseam/lab/Metronome.java
+++ b/src/main/java/dappleseam/lab/LatenessMonitor.java
@@ -5,13 +5,13 @@
 import java.lang.management.GarbageCollectorMXBean;
 import java.lang.management.ManagementFactory;
 
-/** Measures how late a thread of this process is run, as all stand-ins are, and what held it up. */
-final class Metronome extends Thread {
-    private static final int BEAT_MS = 2;
+/** Measures how late a thread of this process is scheduled, which the emulators' threads share, and what delayed it: waiting for a processor or garbage collection. */
+final class LatenessMonitor extends Thread {
+    private static final int INTERVAL_MS = 2;
 
     private final Ledger ledger;
 
-    Metronome(Ledger ledger) {
+    LatenessMonitor(Ledger ledger) {
         super("metronome");
         this.ledger = ledger;
         setDaemon(true);
@@ -21,19 +21,19 @@
     public void run() {
         try {
             ThreadTimes times = ThreadTimes.ofCurrentThread();
-            double collected = collectedMs();
+            double gcMs = garbageCollectionMs();
             while (true) {
                 double before = ledger.nowMs();
-                Thread.sleep(BEAT_MS);
+                Thread.sleep(INTERVAL_MS);
                 double now = ledger.nowMs();
-                double lateMs = now - before - BEAT_MS;
-                ledger.late(lateMs);
-                if (lateMs >= Ledger.HELD_UP_MS) {
+                double lateMs = now - before - INTERVAL_MS;
+                ledger.recordLateness(lateMs);
+                if (lateMs >= Ledger.STALL_MS) {
                     ThreadTimes timesNow = ThreadTimes.ofCurrentThread();
-                    double collectedNow = collectedMs();
-                    ledger.heldUps.add(new Ledger.HeldUp(now, lateMs, timesNow.since(times).waitedMs(), collectedNow - collected));
+                    double gcMsNow = garbageCollectionMs();
+                    ledger.stalls.add(new Ledger.Stall(now, lateMs, timesNow.since(times).waitedMs(), gcMsNow - gcMs));
                     times = timesNow;
-                    collected = collectedNow;
+                    gcMs = gcMsNow;
                 }
             }
         } catch (InterruptedException e) {
@@ -41,7 +41,7 @@
         }
     }
 
-    private static double collectedMs() {
+    private static double garbageCollectionMs() {
         return ManagementFactory.getGarbageCollectorMXBeans().stream().mapToLong(GarbageCollectorMXBean::getCollectionTime).sum();
     }
 }
--- a/src/main/java/dappleseam/lab/emulator/Peer.java
+++ b/src/main/java/dappleseam/lab/emulator/EmulatedServer.java
@@ -1,7 +1,7 @@
 package dappleseam.lab.emulator;
 
 import dappleseam.diagnostics.ThreadTimes;
-import dappleseam.lab.peer.Blocking;
+import dappleseam.lab.peer.BlockingIo;
 import dappleseam.lab.peer.TimedInput;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -14,45 +14,45 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A stand-in that listens on a port of its own, with a thread for each connection. */
-abstract class Peer implements AutoCloseable {
+/** Base of the emulated services: listens on a port of its own and serves each connection on a thread. */
+abstract class EmulatedServer implements AutoCloseable {
     private static final int BACKLOG = 512;
-    /** Tries to listen again where a process died a moment ago, and the time in ms between two. */
-    private static final int BINDS = 50;
-    private static final long BIND_AGAIN_MS = 20;
+    /** Attempts to bind to the port of a process that has just crashed, and the time in ms between two. */
+    private static final int MAX_BIND_TRIES = 50;
+    private static final long BIND_RETRY_MS = 20;
 
-    private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger accepted = new AtomicInteger();
+    private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
+    private final AtomicInteger acceptedCount = new AtomicInteger();
     private ServerSocket server;
     private final int port;
 
-    Peer() throws IOException {
+    EmulatedServer() throws IOException {
         server = new ServerSocket(0, BACKLOG, InetAddress.getByName("127.0.0.1"));
         port = server.getLocalPort();
     }
 
-    final void begin() {
+    final void startAccepting() {
         ServerSocket listening = server;
-        Blocking.start("accept", () -> {
+        BlockingIo.startThread("accept", () -> {
             while (!listening.isClosed()) {
                 ThreadTimes before = ThreadTimes.ofCurrentThread();
                 Socket socket = listening.accept();
-                long openedNanos = TimedInput.nanosLess(before);
+                long openedNanos = TimedInput.nowExcludingWait(before);
                 socket.setTcpNoDelay(true);
-                open.add(socket);
-                accepted.incrementAndGet();
-                Blocking.start("peer", () -> {
+                openSockets.add(socket);
+                acceptedCount.incrementAndGet();
+                BlockingIo.startThread("peer", () -> {
                     try (socket) {
                         serve(new TimedInput(socket.getInputStream(), openedNanos), socket.getOutputStream());
                     } finally {
-                        open.remove(socket);
+                        openSockets.remove(socket);
                     }
                 });
             }
         });
     }
 
-    /** Speaks on one connection until it ends. */
+    /** Serves one connection until it ends. */
     abstract void serve(TimedInput in, OutputStream out) throws IOException, InterruptedException;
 
     public int port() {
@@ -60,49 +60,49 @@
     }
 
     /** Connections accepted so far. */
-    int accepted() {
-        return accepted.get();
+    int acceptedCount() {
+        return acceptedCount.get();
     }
 
-    int connections() {
-        return open.size();
+    int openConnections() {
+        return openSockets.size();
     }
 
-    /** As a process that dies: connections are reset, new ones refused. */
-    final void die() throws IOException {
+    /** Acts as a crashed process: resets its connections and refuses new ones. */
+    final void crash() throws IOException {
         server.close();
-        for (Socket socket : open) {
+        for (Socket socket : openSockets) {
             try {
                 socket.setSoLinger(true, 0);
                 socket.close();
             } catch (IOException e) {
-                continue; // its own thread has closed it
+                continue; // closed by its own thread
             }
         }
     }
 
-    /** As the process that comes after it, at the same address. */
-    final void comeBack() throws IOException {
+    /** Acts as a new process at the same address. */
+    final void listenAgain() throws IOException {
         for (int tries = 1; ; tries++) {
             server = new ServerSocket();
             server.setReuseAddress(true);
             try {
                 server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), BACKLOG);
-                begin();
+                startAccepting();
                 return;
-            } catch (BindException e) { // the old listener is held until its thread has left accept
+            } catch (BindException e) { // the old listener keeps the port until its thread has returned from accept
                 server.close();
-                if (tries == BINDS) {
+                if (tries == MAX_BIND_TRIES) {
                     throw e;
                 }
-                pause();
+                sleepBeforeRetry();
             }
         }
     }
 
-    private static void pause() {
+    private static void sleepBeforeRetry() {
         try {
-            Thread.sleep(BIND_AGAIN_MS);
+            Thread.sleep(BIND_RETRY_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -110,6 +110,6 @@
 
     @Override
     public void close() throws IOException {
-        die();
+        crash();
     }
 }
--- a/src/main/java/dappleseam/lab/emulator/StoreEmulator.java
+++ b/src/main/java/dappleseam/lab/emulator/StoreEmulator.java
@@ -3,7 +3,7 @@
 import dappleseam.fleet.lastlist.ListStore.Stored;
 import dappleseam.fleet.lease.Token;
 import dappleseam.lab.fleet.LeaseChecker.Write;
-import dappleseam.lab.peer.Blocking;
+import dappleseam.lab.peer.BlockingIo;
 import dappleseam.lab.peer.TimedInput;
 import dappleseam.wire.Json;
 import java.io.IOException;
@@ -16,32 +16,32 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 
 /**
- * A store behind HTTP for the fleet's last list, as {@link dappleseam.fleet.lastlist.HttpStore} asks for. The first write of each token is long on its way: it is
- * looked at only {@code lateMs} after it came, whatever happened since.
+ * Emulates an HTTP store for the fleet's last list, as {@link dappleseam.fleet.lastlist.HttpStore} requires it. The first write of each token is delayed, as if by the network:
+ * it is applied only {@code delayMs} after its arrival, whatever has happened since.
  */
-public final class StoreEmulator extends Peer {
+public final class StoreEmulator extends EmulatedServer {
     private static final double NANOS_PER_MS = 1e6;
-    private static final int LONGEST = 4 << 20;
+    private static final int MAX_BODY_BYTES = 4 << 20;
 
-    private final double lateMs;
+    private final double delayMs;
     private final boolean fenced;
     private final Queue<Write> writes = new ConcurrentLinkedQueue<>();
-    private final Set<Token> begun = new HashSet<>();
-    private Stored kept;
+    private final Set<Token> seenTokens = new HashSet<>();
+    private Stored stored;
     private byte[] body;
 
-    /** {@code fenced}: whether it refuses what comes before what it has. */
-    public StoreEmulator(double lateMs, boolean fenced) throws IOException {
-        this.lateMs = lateMs;
+    /** {@code fenced}: whether it refuses writes that are older than the stored one. */
+    public StoreEmulator(double delayMs, boolean fenced) throws IOException {
+        this.delayMs = delayMs;
         this.fenced = fenced;
     }
 
-    /** Begins to listen. */
+    /** Starts accepting connections. */
     public void open() {
-        begin();
+        startAccepting();
     }
 
-    /** All that was judged so far, in order, on the machine's monotonic clock. */
+    /** All writes so far, accepted and refused, in the order in which they were applied; times are on the machine's monotonic clock. */
     public Queue<Write> writes() {
         return writes;
     }
@@ -49,57 +49,57 @@
     @Override
     void serve(TimedInput in, OutputStream out) throws IOException, InterruptedException {
         while (true) {
-            String[] first = Blocking.line(in).split(" ");
-            Map<String, String> headers = Blocking.headers(in);
-            byte[] sent = in.readNBytes(Math.min(LONGEST, Integer.parseInt(headers.getOrDefault("content-length", "0"))));
+            String[] first = BlockingIo.readLine(in).split(" ");
+            Map<String, String> headers = BlockingIo.readHeaders(in);
+            byte[] sent = in.readNBytes(Math.min(MAX_BODY_BYTES, Integer.parseInt(headers.getOrDefault("content-length", "0"))));
             if (first[0].equals("PUT")) {
                 put(headers, sent, out);
             } else {
-                byte[] now = now();
+                byte[] now = currentBody();
                 answer(out, now == null ? "404 Not Found" : "200 OK", "", now == null ? new byte[0] : now);
             }
         }
     }
 
-    private synchronized byte[] now() {
+    private synchronized byte[] currentBody() {
         return body;
     }
 
-    private synchronized boolean isFirst(Token token) {
-        return begun.add(token);
+    private synchronized boolean isFirstWrite(Token token) {
+        return seenTokens.add(token);
     }
 
     private void put(Map<String, String> headers, byte[] sent, OutputStream out) throws IOException, InterruptedException {
         Token token;
-        long number;
-        Stored told;
+        long writeNumber;
+        Stored received;
         try {
             token = Token.parse(headers.getOrDefault("fencing-token", ""));
-            number = Long.parseLong(headers.getOrDefault("write-number", ""));
-            told = Stored.of(Json.read(sent));
+            writeNumber = Long.parseLong(headers.getOrDefault("write-number", ""));
+            received = Stored.of(Json.read(sent));
         } catch (IllegalArgumentException e) {
             answer(out, "400 Bad Request", "", new byte[0]);
             return;
         }
-        if (lateMs > 0 && isFirst(token)) {
-            Thread.sleep(Math.round(lateMs));
+        if (delayMs > 0 && isFirstWrite(token)) {
+            Thread.sleep(Math.round(delayMs));
         }
-        Token seen = judge(token, number, told, sent);
-        if (seen == null) {
+        Token newerToken = applyWrite(token, writeNumber, received, sent);
+        if (newerToken == null) {
             answer(out, "204 No Content", "", new byte[0]);
         } else {
-            answer(out, "409 Conflict", "Fencing-Token: " + seen.text() + "\r\n", new byte[0]);
+            answer(out, "409 Conflict", "Fencing-Token: " + newerToken.text() + "\r\n", new byte[0]);
         }
     }
 
-    /** Looks and replaces in one step; the token that is there where it does not. */
-    private synchronized Token judge(Token token, long number, Stored told, byte[] sent) {
-        boolean takes = !fenced || kept == null || kept.isBefore(token, number);
-        writes.add(new Write(System.nanoTime() / NANOS_PER_MS, token, number, takes));
-        if (!takes) {
-            return kept.token();
+    /** Compares and replaces atomically; null if the write was accepted, otherwise the token of the stored one. */
+    private synchronized Token applyWrite(Token token, long writeNumber, Stored received, byte[] sent) {
+        boolean accepts = !fenced || stored == null || stored.isBefore(token, writeNumber);
+        writes.add(new Write(System.nanoTime() / NANOS_PER_MS, token, writeNumber, accepts));
+        if (!accepts) {
+            return stored.token();
         }
-        kept = told;
+        stored = received;
         body = sent;
         return null;
     }
--- a/src/main/java/dappleseam/lab/peer/Blocking.java
+++ b/src/main/java/dappleseam/lab/peer/BlockingIo.java
@@ -6,24 +6,25 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What all of the laboratory that blocks on sockets has in common. */
-public final class Blocking {
+/** Helpers for the parts of the laboratory that use blocking sockets. */
+public final class BlockingIo {
     private static final long STACK_BYTES = 128 << 10;
-    private static final int LONGEST_LINE = 8192;
+    private static final int MAX_LINE_LENGTH = 8192;
 
-    private Blocking() {}
+    private BlockingIo() {}
 
-    /** What a thread does until its socket ends. */
-    public interface Work {
+    /** The task of a thread that ends with its socket. */
+    public interface Task {
         void run() throws IOException, InterruptedException;
     }
 
-    public static void start(String name, Work work) {
+    /** Runs the task on a daemon thread; an {@link IOException} ends it silently. */
+    public static void startThread(String name, Task task) {
         Thread thread = new Thread(null, () -> {
             try {
-                work.run();
+                task.run();
             } catch (IOException e) {
-                return; // the other side has gone, or this one is over
+                return; // the connection or the listener was closed by either side
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -32,10 +33,10 @@
         thread.start();
     }
 
-    /** The headers of one message in HTTP, by their names in lower case. */
-    public static Map<String, String> headers(InputStream in) throws IOException {
+    /** Reads the headers of an HTTP message; names are in lower case. */
+    public static Map<String, String> readHeaders(InputStream in) throws IOException {
         Map<String, String> headers = new HashMap<>();
-        for (String line = line(in); !line.isEmpty(); line = line(in)) {
+        for (String line = readLine(in); !line.isEmpty(); line = readLine(in)) {
             int colon = line.indexOf(':');
             if (colon > 0) {
                 headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
@@ -44,12 +45,12 @@
         return headers;
     }
 
-    /** A line without its end. */
-    public static String line(InputStream in) throws IOException {
+    /** Reads a line; returns it without its line end. */
+    public static String readLine(InputStream in) throws IOException {
         StringBuilder line = new StringBuilder();
         for (int c = in.read(); c != '\n'; c = in.read()) {
-            if (c < 0 || line.length() > LONGEST_LINE) {
-                throw new IOException(c < 0 ? "ended in a line" : "a line without end");
+            if (c < 0 || line.length() > MAX_LINE_LENGTH) {
+                throw new IOException(c < 0 ? "connection closed within a line" : "line is too long");
             }
             line.append((char) c);
         }
--- a/src/main/java/dappleseam/lab/scenario/ScenarioReader.java
+++ b/src/main/java/dappleseam/lab/scenario/ScenarioReader.java
@@ -5,16 +5,16 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import dappleseam.fleet.share.FleetFeatures;
 import dappleseam.lab.scenario.Scenario.Caches;
-import dappleseam.lab.scenario.Scenario.Fault;
+import dappleseam.lab.scenario.Scenario.ConnectionFault;
 import dappleseam.lab.scenario.Scenario.Grade;
-import dappleseam.lab.scenario.Scenario.How;
-import dappleseam.lab.scenario.Scenario.Kind;
+import dappleseam.lab.scenario.Scenario.FaultEffect;
+import dappleseam.lab.scenario.Scenario.IncidentKind;
 import dappleseam.lab.scenario.Scenario.Load;
 import dappleseam.lab.scenario.Scenario.Origin;
-import dappleseam.lab.scenario.Scenario.Repeat;
-import dappleseam.lab.scenario.Scenario.Trouble;
-import dappleseam.lab.scenario.Scenario.Way;
-import dappleseam.lab.scenario.Scenario.Where;
+import dappleseam.lab.scenario.Scenario.Semantics;
+import dappleseam.lab.scenario.Scenario.Incident;
+import dappleseam.lab.scenario.Scenario.Direction;
+import dappleseam.lab.scenario.Scenario.FaultLocation;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -25,7 +25,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Reads a scenario and checks all of it before anything is started. */
+/** Reads a scenario file and validates all of it before anything is started. */
 public final class ScenarioReader {
     private ScenarioReader() {}
 
@@ -33,75 +33,76 @@
         return read(Files.readString(file), file.getFileName().toString());
     }
 
-    public static Scenario read(String json, String what) {
-        Keys top = top(json, what);
+    /** {@code source}: names the file in messages. */
+    public static Scenario read(String json, String source) {
+        JsonObject top = top(json, source);
         Scenario scenario = scenario(top);
-        top.noMore();
+        top.rejectUnknownKeys();
         return scenario;
     }
 
-    private static Keys top(String json, String what) {
+    private static JsonObject top(String json, String source) {
         try {
-            return new Keys(new ObjectMapper().readTree(json), "");
+            return new JsonObject(new ObjectMapper().readTree(json), "");
         } catch (JsonProcessingException e) {
-            throw new FaultyScenarioException(what, "is not JSON: " + e.getOriginalMessage());
+            throw new InvalidScenarioException(source, "is not JSON: " + e.getOriginalMessage());
         }
     }
 
-    /** A rehearsal of many proxies: a scenario with a part {@code fleet}. */
+    /** Reads a scenario of many proxies, which has an object {@code fleet} in addition. */
     public static FleetScenario readFleet(Path file) throws IOException {
         return readFleet(Files.readString(file), file.getFileName().toString());
     }
 
-    public static FleetScenario readFleet(String json, String what) {
-        Keys top = top(json, what);
+    public static FleetScenario readFleet(String json, String source) {
+        JsonObject top = top(json, source);
         Scenario scenario = scenario(top);
-        Keys fleet = top.part("fleet");
+        JsonObject fleet = top.child("fleet");
         int proxies = (int) fleet.number("proxies", 2, 400);
         FleetScenario read = new FleetScenario(scenario, proxies, (int) fleet.number("memory_mb", 32, 1024), fleet.number("period_ms", 20, 60_000),
-                fleet.number("settle_s", 1, 600), fleet.option("list_pushed"), new FleetFeatures(fleet.option("signals"), fleet.option("shares"), fleet.option("turns"), fleet.option("subsets")), fleet.has("leases") ? leases(fleet.part("leases")) : null,
-                fleet.list("links").stream().map(keys -> link(keys, proxies)).toList(),
-                fleet.list("processes").stream().map(keys -> event(keys, proxies)).toList());
-        List.of(top, fleet).forEach(Keys::noMore);
+                fleet.number("settle_s", 1, 600), fleet.optionalFlag("list_pushed"), new FleetFeatures(fleet.optionalFlag("signals"), fleet.optionalFlag("shares"), fleet.optionalFlag("turns"), fleet.optionalFlag("subsets")), fleet.has("leases") ? leases(fleet.child("leases")) : null,
+                fleet.list("links").stream().map(object -> link(object, proxies)).toList(),
+                fleet.list("processes").stream().map(object -> event(object, proxies)).toList());
+        List.of(top, fleet).forEach(JsonObject::rejectUnknownKeys);
         return read;
     }
 
-    private static FleetScenario.Leases leases(Keys keys) {
-        FleetScenario.Leases leases = new FleetScenario.Leases(keys.number("lease_ms", 500, 600_000), keys.number("store_late_ms", 0, 600_000), keys.flag("disks"),
-                keys.list("takeovers").stream().map(ScenarioReader::takeover).toList());
-        keys.noMore();
+    private static FleetScenario.Leases leases(JsonObject object) {
+        FleetScenario.Leases leases = new FleetScenario.Leases(object.number("lease_ms", 500, 600_000), object.number("store_late_ms", 0, 600_000), object.flag("disks"),
+                object.list("takeovers").stream().map(ScenarioReader::takeover).toList());
+        object.rejectUnknownKeys();
         return leases;
     }
 
-    private static FleetScenario.Takeover takeover(Keys keys) {
-        FleetScenario.Takeover takeover = new FleetScenario.Takeover(keys.oneOf("blow", FleetScenario.Blow.class), keys.number("at_s", 0, 3600),
-                keys.number("every_s", 1, 3600), (int) keys.number("times", 1, 1000), keys.number("for_s", 0, 3600));
-        keys.noMore();
+    private static FleetScenario.Takeover takeover(JsonObject object) {
+        FleetScenario.Takeover takeover = new FleetScenario.Takeover(object.enumValue("blow", FleetScenario.Disruption.class), object.number("at_s", 0, 3600),
+                object.number("every_s", 1, 3600), (int) object.number("times", 1, 1000), object.number("for_s", 0, 3600));
+        object.rejectUnknownKeys();
         return takeover;
     }
 
-    private static FleetScenario.LinkFault link(Keys keys, int proxies) {
-        FleetScenario.LinkFault fault = new FleetScenario.LinkFault(keys.number("at_s", 0, 3600), keys.number("for_s", 0, 3600),
-                keys.oneOf("how", FleetScenario.LinkHow.class), keys.numbers("from", proxies - 1), keys.numbers("to", proxies - 1),
-                keys.number("size", 0, 60_000));
-        keys.noMore();
+    private static FleetScenario.LinkFault link(JsonObject object, int proxies) {
+        FleetScenario.LinkFault fault = new FleetScenario.LinkFault(object.number("at_s", 0, 3600), object.number("for_s", 0, 3600),
+                object.enumValue("how", FleetScenario.LinkEffect.class), object.indexes("from", proxies - 1), object.indexes("to", proxies - 1),
+                object.number("size", 0, 60_000));
+        object.rejectUnknownKeys();
         return fault;
     }
 
-    private static FleetScenario.ProcessEvent event(Keys keys, int proxies) {
-        FleetScenario.ProcessEvent event = new FleetScenario.ProcessEvent(keys.number("at_s", 0, 3600), keys.number("for_s", 0, 3600),
-                keys.oneOf("kind", FleetScenario.ProcessKind.class), keys.numbers("proxies", proxies - 1));
-        keys.noMore();
+    private static FleetScenario.ProcessEvent event(JsonObject object, int proxies) {
+        FleetScenario.ProcessEvent event = new FleetScenario.ProcessEvent(object.number("at_s", 0, 3600), object.number("for_s", 0, 3600),
+                object.enumValue("kind", FleetScenario.ProcessEventKind.class), object.indexes("proxies", proxies - 1));
+        object.rejectUnknownKeys();
         return event;
     }
 
-    private static Scenario scenario(Keys top) {
-        Keys caches = top.part("caches");
-        Keys origin = top.part("origin");
-        Keys load = top.part("load");
+    private static Scenario scenario(JsonObject top) {
+        JsonObject caches = top.child("caches");
+        JsonObject origin = top.child("origin");
+        JsonObject load = top.child("load");
         List<Grade> grades = load.list("grades").stream().map(ScenarioReader::grade).toList();
         if (grades.isEmpty()) {
-            throw new FaultyScenarioException("load.grades", "is empty");
+            throw new InvalidScenarioException("load.grades", "is empty");
         }
         Caches c = new Caches((int) caches.number("count", 1, 200), caches.number("work_ms", 0, 10_000),
                 (int) caches.number("slots", 1, 1000), (int) caches.number("queue", 0, 10_000),
@@ -113,137 +114,137 @@
                 new Origin(origin.number("work_ms", 0, 10_000), (int) origin.number("slots", 1, 1000)),
                 new Load(load.number("per_second", 0.1, 20_000), (int) load.number("keys", 1, 10_000_000),
                         load.number("skew", 0, 3), grades),
-                top.list("troubles").stream().map(t -> trouble(t, c.count())).toList(),
+                top.list("troubles").stream().map(t -> incident(t, c.count())).toList(),
                 top.list("faults").stream().map(ScenarioReader::fault).toList());
-        List.of(caches, origin, load).forEach(Keys::noMore);
+        List.of(caches, origin, load).forEach(JsonObject::rejectUnknownKeys);
         return scenario;
     }
 
-    private static Grade grade(Keys keys) {
-        Grade grade = new Grade(keys.text("name"), keys.number("share", 0, 1), keys.oneOf("repeat", Repeat.class),
-                keys.flag("write"), keys.number("slo_ms", 1, 600_000), keys.number("timeout_ms", 1, 600_000),
-                (int) keys.number("retries", 0, 10), keys.number("leave_share", 0, 1));
-        keys.noMore();
+    private static Grade grade(JsonObject object) {
+        Grade grade = new Grade(object.text("name"), object.number("share", 0, 1), object.enumValue("repeat", Semantics.class),
+                object.flag("write"), object.number("slo_ms", 1, 600_000), object.number("timeout_ms", 1, 600_000),
+                (int) object.number("retries", 0, 10), object.number("leave_share", 0, 1));
+        object.rejectUnknownKeys();
         return grade;
     }
 
-    private static Trouble trouble(Keys keys, int caches) {
-        Trouble trouble = new Trouble(keys.number("at_s", 0, 3600), keys.oneOf("kind", Kind.class),
-                (int) keys.number("cache", 0, caches - 1), keys.number("for_s", 0, 3600), keys.number("size", 0, 1000));
-        keys.noMore();
-        return trouble;
+    private static Incident incident(JsonObject object, int caches) {
+        Incident incident = new Incident(object.number("at_s", 0, 3600), object.enumValue("kind", IncidentKind.class),
+                (int) object.number("cache", 0, caches - 1), object.number("for_s", 0, 3600), object.number("size", 0, 1000));
+        object.rejectUnknownKeys();
+        return incident;
     }
 
-    private static Fault fault(Keys keys) {
-        Fault fault = new Fault(keys.oneOf("where", Where.class), keys.oneOf("way", Way.class), keys.oneOf("how", How.class),
-                keys.number("share", 0, 1), (int) keys.number("within_bytes", 1, 1 << 30), keys.number("size", 0, 1 << 20));
-        keys.noMore();
+    private static ConnectionFault fault(JsonObject object) {
+        ConnectionFault fault = new ConnectionFault(object.enumValue("where", FaultLocation.class), object.enumValue("way", Direction.class), object.enumValue("how", FaultEffect.class),
+                object.number("share", 0, 1), (int) object.number("within_bytes", 1, 1 << 30), object.number("size", 0, 1 << 20));
+        object.rejectUnknownKeys();
         return fault;
     }
 
-    /** One object of the file, with where it stands. */
-    private static final class Keys {
+    /** A JSON object of the file with its path for messages; it notes which keys were read, so that unknown ones can be rejected. */
+    private static final class JsonObject {
         private final JsonNode node;
-        private final String at;
-        private final Set<String> read = new HashSet<>();
+        private final String path;
+        private final Set<String> readKeys = new HashSet<>();
 
-        Keys(JsonNode node, String at) {
+        JsonObject(JsonNode node, String path) {
             if (node == null || !node.isObject()) {
-                throw new FaultyScenarioException(at.isEmpty() ? "scenario" : at.substring(0, at.length() - 1), "is no object");
+                throw new InvalidScenarioException(path.isEmpty() ? "scenario" : path.substring(0, path.length() - 1), "is not an object");
             }
             this.node = node;
-            this.at = at;
+            this.path = path;
         }
 
-        private JsonNode need(String name) {
-            read.add(name);
+        private JsonNode require(String name) {
+            readKeys.add(name);
             JsonNode found = node.get(name);
             if (found == null || found.isNull()) {
-                throw new FaultyScenarioException(at + name, "is missing");
+                throw new InvalidScenarioException(path + name, "is missing");
             }
             return found;
         }
 
         boolean has(String name) {
-            read.add(name);
+            readKeys.add(name);
             return node.has(name);
         }
 
-        Keys part(String name) {
-            return new Keys(need(name), at + name + ".");
+        JsonObject child(String name) {
+            return new JsonObject(require(name), path + name + ".");
         }
 
-        List<Keys> list(String name) {
-            JsonNode found = need(name);
+        List<JsonObject> list(String name) {
+            JsonNode found = require(name);
             if (!found.isArray()) {
-                throw new FaultyScenarioException(at + name, "is no list");
+                throw new InvalidScenarioException(path + name, "is not a list");
             }
-            List<Keys> parts = new ArrayList<>();
+            List<JsonObject> parts = new ArrayList<>();
             for (JsonNode part : found) {
-                parts.add(new Keys(part, at + name + "[" + parts.size() + "]."));
+                parts.add(new JsonObject(part, path + name + "[" + parts.size() + "]."));
             }
             return parts;
         }
 
-        double number(String name, double least, double most) {
-            JsonNode found = need(name);
-            if (!found.isNumber() || found.asDouble() < least || found.asDouble() > most) {
-                throw new FaultyScenarioException(at + name, "is no number from " + least + " to " + most);
+        double number(String name, double min, double max) {
+            JsonNode found = require(name);
+            if (!found.isNumber() || found.asDouble() < min || found.asDouble() > max) {
+                throw new InvalidScenarioException(path + name, "is not a number from " + min + " to " + max);
             }
             return found.asDouble();
         }
 
-        /** Whole numbers from 0 up to that one. */
-        Set<Integer> numbers(String name, int most) {
-            JsonNode found = need(name);
-            Set<Integer> numbers = new TreeSet<>();
+        /** Whole numbers from 0 to {@code max}. */
+        Set<Integer> indexes(String name, int max) {
+            JsonNode found = require(name);
+            Set<Integer> indexes = new TreeSet<>();
             for (JsonNode one : found) {
-                if (!one.isInt() || one.asInt() < 0 || one.asInt() > most) {
-                    throw new FaultyScenarioException(at + name, "holds something other than numbers from 0 to " + most);
+                if (!one.isInt() || one.asInt() < 0 || one.asInt() > max) {
+                    throw new InvalidScenarioException(path + name, "holds something other than numbers from 0 to " + max);
                 }
-                numbers.add(one.asInt());
+                indexes.add(one.asInt());
             }
             if (!found.isArray()) {
-                throw new FaultyScenarioException(at + name, "is no list");
+                throw new InvalidScenarioException(path + name, "is not a list");
             }
-            return numbers;
+            return indexes;
         }
 
         String text(String name) {
-            JsonNode found = need(name);
+            JsonNode found = require(name);
             if (!found.isTextual() || !found.asText().matches("[A-Za-z0-9._-]{1,64}")) {
-                throw new FaultyScenarioException(at + name, "is no name");
+                throw new InvalidScenarioException(path + name, "is not a name of 1 to 64 letters, digits, dots, underscores and hyphens");
             }
             return found.asText();
         }
 
-        /** A flag that may be left out: not set. */
-        boolean option(String name) {
+        /** A flag that is false when it is left out. */
+        boolean optionalFlag(String name) {
             return has(name) && flag(name);
         }
 
         boolean flag(String name) {
-            JsonNode found = need(name);
+            JsonNode found = require(name);
             if (!found.isBoolean()) {
-                throw new FaultyScenarioException(at + name, "is neither true nor false");
+                throw new InvalidScenarioException(path + name, "is neither true nor false");
             }
             return found.asBoolean();
         }
 
-        <E extends Enum<E>> E oneOf(String name, Class<E> kind) {
-            String text = need(name).asText();
+        <E extends Enum<E>> E enumValue(String name, Class<E> kind) {
+            String text = require(name).asText();
             for (E one : kind.getEnumConstants()) {
                 if (one.name().toLowerCase(Locale.ROOT).equals(text)) {
                     return one;
                 }
             }
-            throw new FaultyScenarioException(at + name, "is not known: " + text);
+            throw new InvalidScenarioException(path + name, "is not known: " + text);
         }
 
-        void noMore() {
+        void rejectUnknownKeys() {
             node.fieldNames().forEachRemaining(name -> {
-                if (!read.contains(name)) {
-                    throw new FaultyScenarioException(at + name, "is not known");
+                if (!readKeys.contains(name)) {
+                    throw new InvalidScenarioException(path + name, "is not known");
                 }
             });
         }
--- a/src/test/java/dappleseam/lab/emulator/PeerTest.java
+++ b/src/test/java/dappleseam/lab/emulator/EmulatedServerTest.java
@@ -11,14 +11,14 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-class PeerTest {
-    /** Else a proxy is blamed for what it sent in time, to a cache that read it when it was back. */
+class EmulatedServerTest {
+    /** Otherwise a proxy is blamed for commands that it sent in time to a cache that read them only after its silence. */
     @Test
-    void whatComesToASilentCacheCameThen() throws Exception {
+    void commandsToASilentCacheAreRecordedAtTheirArrival() throws Exception {
         Ledger ledger = new Ledger();
         try (CacheEmulator cache = new CacheEmulator("c", new Scenario.Caches(1, 0, 4, 4, 9, 9, 1, 0, 0, 9), ledger, (query, at) -> { }, 1)) {
-            cache.begin();
-            cache.silent(true);
+            cache.startAccepting();
+            cache.setSilent(true);
             try (Socket socket = new Socket("127.0.0.1", cache.port())) {
                 send(socket, "q1");
                 while (ledger.executions.isEmpty()) {
@@ -27,7 +27,7 @@
                 send(socket, "q2");
                 Thread.sleep(300);
                 double before = ledger.nowMs() - 150;
-                cache.silent(false);
+                cache.setSilent(false);
                 while (ledger.executions.size() < 2) {
                     Thread.sleep(5);
                 }
@@ -45,20 +45,20 @@
         socket.getOutputStream().write(("*4\r\n$5\r\nC.GET\r\n$1\r\nk\r\n$2\r\n" + id + "\r\n$1\r\nf\r\n").getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** A listener that closes is held for a moment by its thread in accept: the next process found the address in use. */
+    /** The thread in accept keeps a closed listener's port for a moment, so that a restarted server found its address in use. */
     @Test
-    void aPeerComesBackAtItsAddressRightAfterItDied() throws Exception {
-        try (Peer peer = new Peer() {
+    void aServerListensAgainAtItsAddressRightAfterACrash() throws Exception {
+        try (EmulatedServer server = new EmulatedServer() {
             @Override
             void serve(TimedInput in, OutputStream out) throws IOException {
                 out.write('x');
             }
         }) {
-            peer.begin();
+            server.startAccepting();
             for (int i = 0; i < 200; i++) {
-                peer.die();
-                peer.comeBack();
-                try (Socket socket = new Socket("127.0.0.1", peer.port())) {
+                server.crash();
+                server.listenAgain();
+                try (Socket socket = new Socket("127.0.0.1", server.port())) {
                     assertThat(socket.getInputStream().read()).isEqualTo('x');
                 }
             }
